--- a/internal/rollout/attempt.go
+++ b/internal/rollout/attempt.go
@@ -2,78 +2,81 @@
 
 import "time"
 
-func (s *Step) began(now time.Duration, e Began) {
+func (s *Step) handleBegan(now time.Duration, e Began) {
 	i, ok := s.slotOf(e.ID)
-	if !ok || !s.slots[i].live(e.Attempt) || e.Version <= 0 {
+	if !ok || !s.slots[i].isRunning(e.Attempt) || e.Version <= 0 {
 		return
 	}
 	if e.Version < s.oldestAllowed() {
 		s.emit(CancelAttempt{ID: e.ID, Attempt: e.Attempt})
-		s.staleAttempt(now, i)
+		s.endStaleAttempt(now, i)
 		return
 	}
-	s.slots[i].began = e.Version
-	s.probeBegan(i)
+	s.slots[i].firstVersion = e.Version
+	s.probeSucceeded(i)
 }
 
-// endAttempt takes the live attempt off its slot, which waits again.
+// endAttempt removes the running attempt from slot i, which is waiting again.
 func (s *Step) endAttempt(i int) {
-	s.endProbe(i)
-	s.slots[i].running = 0
-	s.slots[i].began = 0
+	s.probeEnded(i)
+	s.slots[i].runningAttempt = 0
+	s.slots[i].firstVersion = 0
 	s.setState(i, waiting)
 }
 
-// stopAttempts gives up whatever runs for a slot and forgets what it made.
-func (s *Step) stopAttempts(i int) {
+// discardWork cancels what runs for slot i and discards its completion. The caller
+// must set the slot's state.
+func (s *Step) discardWork(i int) {
 	sl := &s.slots[i]
-	id := s.idOf(i)
-	if sl.running != 0 {
-		s.emit(CancelAttempt{ID: id, Attempt: sl.running})
+	id := s.sampleID(i)
+	if sl.runningAttempt != 0 {
+		s.emit(CancelAttempt{ID: id, Attempt: sl.runningAttempt})
 	}
 	if sl.state == scoring {
-		s.emit(CancelAttempt{ID: id, Attempt: sl.made.attempt})
+		s.emit(CancelAttempt{ID: id, Attempt: sl.completion.attempt})
 	}
-	if sl.made != nil {
-		s.bytes -= len(sl.made.text)
+	if sl.completion != nil {
+		s.bufferedBytes -= len(sl.completion.text)
 	}
-	s.endProbe(i)
-	sl.running = 0
-	sl.began = 0
-	sl.made = nil
+	s.probeEnded(i)
+	sl.runningAttempt = 0
+	sl.firstVersion = 0
+	sl.completion = nil
 }
 
-func (s *Step) generated(now time.Duration, e Generated) {
+func (s *Step) handleGenerated(now time.Duration, e Generated) {
 	i, ok := s.slotOf(e.ID)
-	if !ok || !s.slots[i].live(e.Attempt) {
+	if !ok || !s.slots[i].isRunning(e.Attempt) {
 		return
 	}
-	// An engine may leave a token unlabelled. Its version can't be guessed, so
-	// the whole text is dropped.
-	if err := checkLabels(e.Segments, e.Tokens); err != nil {
+	// An engine may return a token without a version. The version can't be inferred,
+	// so the whole text is discarded.
+	if err := checkSegments(e.Segments, e.Tokens); err != nil {
 		s.tally.Unlabelled++
-		s.retryLater(now, i, Failure{Reason: err.Error()})
+		s.endFailedAttempt(now, i, Failure{Reason: err.Error()})
 		return
 	}
 	if oldestVersion(e.Segments) < s.oldestAllowed() {
-		s.staleAttempt(now, i)
+		s.endStaleAttempt(now, i)
 		return
 	}
-	s.probeBegan(i)
+	s.probeSucceeded(i)
 	s.endAttempt(i)
-	s.keep(i, e)
+	s.storeCompletion(i, e)
 }
 
-func (s *Step) keep(i int, e Generated) {
+// storeCompletion keeps the generated text in slot i and makes it ready to be scored,
+// or ready if the step has no scorer.
+func (s *Step) storeCompletion(i int, e Generated) {
 	sl := &s.slots[i]
 	sl.failures = 0
-	sl.made = &completion{
-		attempt:  e.Attempt,
-		text:     e.Text,
-		segments: mergeSegments(e.Segments),
-		oldest:   oldestVersion(e.Segments),
+	sl.completion = &completion{
+		attempt:       e.Attempt,
+		text:          e.Text,
+		segments:      mergeSegments(e.Segments),
+		oldestVersion: oldestVersion(e.Segments),
 	}
-	s.bytes += len(e.Text)
+	s.bufferedBytes += len(e.Text)
 	if s.spec.Scorer == "" {
 		s.setState(i, ready)
 		return
@@ -81,9 +84,9 @@
 	s.setState(i, scoreWaiting)
 }
 
-func (s *Step) generateFailed(now time.Duration, e GenerateFailed) {
+func (s *Step) handleGenerateFailed(now time.Duration, e GenerateFailed) {
 	i, ok := s.slotOf(e.ID)
-	if !ok || !s.slots[i].live(e.Attempt) {
+	if !ok || !s.slots[i].isRunning(e.Attempt) {
 		return
 	}
 	if e.Failure.final() {
@@ -92,17 +95,18 @@
 		return
 	}
 	if e.Failure.Kind == NotRun {
-		s.notRun(now, i, e.Failure)
+		s.endRefusedAttempt(now, i, e.Failure)
 		return
 	}
-	s.retryLater(now, i, e.Failure)
+	s.endFailedAttempt(now, i, e.Failure)
 }
 
-// notRun ends an attempt that was refused. The step as a whole waits, see hold;
-// the slot has no backoff of its own, beyond what the refusal asks for.
-func (s *Step) notRun(now time.Duration, i int, f Failure) {
+// endRefusedAttempt ends an attempt that was refused. It trips the circuit breaker,
+// which delays the whole step. The slot itself has no backoff unless the refusal
+// specifies a delay.
+func (s *Step) endRefusedAttempt(now time.Duration, i int, f Failure) {
 	s.tally.Failures++
-	s.holdAfter(now, i)
+	s.tripBreaker(now, i)
 	s.endAttempt(i)
 	if f.RetryAfter > 0 {
 		s.slots[i].notBefore = now + f.RetryAfter
@@ -110,25 +114,26 @@
 	}
 }
 
-// retryLater ends the attempt; the slot waits its backoff out.
-func (s *Step) retryLater(now time.Duration, i int, f Failure) {
+// endFailedAttempt ends the running attempt of slot i and retries it after a backoff.
+func (s *Step) endFailedAttempt(now time.Duration, i int, f Failure) {
 	s.tally.Failures++
-	s.holdLonger(now, i)
+	s.probeFailed(now, i)
 	s.endAttempt(i)
-	s.delay(now, i, delayed, f)
+	s.scheduleRetry(now, i, delayed, f)
 }
 
-// staleAttempt ends an attempt that an old version generated. The slot backs
-// off: an engine that reports a version before it serves it would be asked
-// again at once, and again.
-func (s *Step) staleAttempt(now time.Duration, i int) {
+// endStaleAttempt ends an attempt that was generated by too old a version. The slot
+// backs off because an engine can report a version before serving it. Without a
+// backoff the step would call such an engine again and again in a tight loop.
+func (s *Step) endStaleAttempt(now time.Duration, i int) {
 	s.tally.Stale++
-	s.holdLonger(now, i)
+	s.probeFailed(now, i)
 	s.endAttempt(i)
-	s.delay(now, i, delayed, Failure{})
+	s.scheduleRetry(now, i, delayed, Failure{})
 }
 
-func (s *Step) delay(now time.Duration, i int, to state, f Failure) {
+// scheduleRetry moves slot i to a delayed state until its backoff has expired.
+func (s *Step) scheduleRetry(now time.Duration, i int, to state, f Failure) {
 	sl := &s.slots[i]
 	sl.notBefore = now + max(s.backoff(sl.failures), f.RetryAfter)
 	if sl.failures < maxFailures {
@@ -137,63 +142,66 @@
 	s.setState(i, to)
 }
 
-// maxFailures keeps the shift in backoff small.
+// maxFailures limits the counts of consecutive failures, to keep the shifts in
+// backoff and probeDelay small.
 const maxFailures = 20
 
+// backoff returns the delay after a number of earlier consecutive failures.
 func (s *Step) backoff(failures uint8) time.Duration {
 	return min(s.options.BackoffBase<<failures, s.options.BackoffMax)
 }
 
-// final says that no other attempt can end better.
+// final reports whether a retry can't succeed.
 func (f Failure) final() bool { return f.Kind == Permanent || f.Kind == Poison }
 
-// failGroup gives a group up for good. A group without one of its samples is
-// of no use, and waiting for it would hold the step to the trainer's deadline.
+// failGroup marks a group as failed permanently. An incomplete group is useless to
+// the trainer, and retrying it would keep the step open until the trainer's deadline.
 func (s *Step) failGroup(rank int, f Failure) {
-	s.stopGroup(rank)
-	s.failed.Add(uint32(rank))
-	s.reasons[rank] = f.Reason
+	s.closeGroup(rank)
+	s.failedRanks.Add(uint32(rank))
+	s.failureReasons[rank] = f.Reason
 	s.tally.FailedGroups++
 }
 
-// stopGroup ends all work for a group and frees what was made.
-func (s *Step) stopGroup(rank int) {
+// closeGroup cancels all work for a group and discards its completions.
+func (s *Step) closeGroup(rank int) {
 	first := rank * s.spec.GroupSize
 	for i := first; i < first+s.spec.GroupSize; i++ {
-		s.stopAttempts(i)
-		s.setState(i, idle)
+		s.discardWork(i)
+		s.setState(i, closed)
 	}
 }
 
-// scoringSlot finds the slot of a scorer's answer; ok is false for a late one.
+// scoringSlot returns the slot to which a scorer's result belongs. ok is false if the
+// result is no longer expected.
 func (s *Step) scoringSlot(id SampleID, attempt uint32) (i int, ok bool) {
 	i, ok = s.slotOf(id)
-	if !ok || s.slots[i].state != scoring || s.slots[i].made.attempt != attempt {
+	if !ok || s.slots[i].state != scoring || s.slots[i].completion.attempt != attempt {
 		return 0, false
 	}
 	return i, true
 }
 
-func (s *Step) scored(e Scored) {
+func (s *Step) handleScored(e Scored) {
 	i, ok := s.scoringSlot(e.ID, e.Attempt)
 	if !ok {
 		return
 	}
 	s.slots[i].failures = 0
-	s.slots[i].made.reward = e.Reward
+	s.slots[i].completion.reward = e.Reward
 	s.setState(i, ready)
 }
 
-func (s *Step) scoreFailed(now time.Duration, e ScoreFailed) {
+func (s *Step) handleScoreFailed(now time.Duration, e ScoreFailed) {
 	i, ok := s.scoringSlot(e.ID, e.Attempt)
 	if !ok {
 		return
 	}
-	s.setState(i, scoreWaiting) // nothing runs that would have to be cancelled
+	s.setState(i, scoreWaiting) // scoring has ended; failGroup must not cancel it
 	if e.Failure.final() {
 		s.failGroup(i/s.spec.GroupSize, e.Failure)
 		return
 	}
 	s.tally.Failures++
-	s.delay(now, i, scoreDelayed, e.Failure)
+	s.scheduleRetry(now, i, scoreDelayed, e.Failure)
 }
--- a/internal/rollout/counts.go
+++ b/internal/rollout/counts.go
@@ -2,31 +2,31 @@
 
 import "github.com/dogwoodflow/dogwoodflow/internal/ident"
 
-// Tally counts what happened since the step began at this owner.
+// Tally holds counters of a step since it started at this owner.
 type Tally struct {
-	Attempts     int `json:"attempts"`
-	Failures     int `json:"failures"`
-	Stale        int `json:"stale"` // attempts and completions dropped as too old
-	Unlabelled   int `json:"unlabelled"`
-	FailedGroups int `json:"failed_groups"`
-	Offered      int `json:"offered"` // groups put into answers; one may be offered again
+	Attempts     int `json:"attempts"`      // started
+	Failures     int `json:"failures"`      // attempts at generating or scoring that failed and are retried, including Unlabelled
+	Stale        int `json:"stale"`         // attempts and completions discarded as too old
+	Unlabelled   int `json:"unlabelled"`    // completions discarded because a token had no version
+	FailedGroups int `json:"failed_groups"` // groups given up
+	Offered      int `json:"offered"`       // groups included in answers, counted again in each answer
 }
 
-// Counts is where a step stands.
+// Counts describes the current state of a step.
 type Counts struct {
-	Waiting     int           `json:"waiting"` // samples, with those in backoff
-	Generating  int           `json:"generating"`
-	Scoring     int           `json:"scoring"` // with those waiting for the scorer
-	Ready       int           `json:"ready"`
-	HeldGroups  int           `json:"held_groups"`
-	Deliverable int           `json:"deliverable_groups"`
-	Newest      ident.Version `json:"newest"`
-	Bytes       int           `json:"bytes"` // of completions kept
+	Waiting     int           `json:"waiting"`            // samples ready to start or in backoff
+	Generating  int           `json:"generating"`         // samples
+	Scoring     int           `json:"scoring"`            // samples being scored, or waiting to be
+	Ready       int           `json:"ready"`              // samples generated and scored
+	HeldGroups  int           `json:"held_groups"`        // groups in the trainer's cursor
+	Deliverable int           `json:"deliverable_groups"` // groups that a pull without limits would get now
+	Newest      ident.Version `json:"newest"`             // newest version known to the step
+	Bytes       int           `json:"bytes"`              // size of the completions kept
 	Cancelled   bool          `json:"cancelled"`
 	Tally       Tally         `json:"tally"`
 }
 
-// Counts returns where the step stands.
+// Counts returns the current state of the step.
 func (s *Step) Counts() Counts {
 	n := &s.index.counts
 	return Counts{
@@ -34,20 +34,20 @@
 		Generating:  n[generating],
 		Scoring:     n[scoreWaiting] + n[scoreDelayed] + n[scoring],
 		Ready:       n[ready],
-		HeldGroups:  int(s.held.GetCardinality()),
-		Deliverable: s.Deliverable(),
-		Newest:      s.newest,
-		Bytes:       s.bytes,
+		HeldGroups:  int(s.heldRanks.GetCardinality()),
+		Deliverable: s.DeliverableGroups(),
+		Newest:      s.newestVersion,
+		Bytes:       s.bufferedBytes,
 		Cancelled:   s.cancelled,
 		Tally:       s.tally,
 	}
 }
 
-// Spec returns what the step was made from; read only.
+// Spec returns the spec of the step, which the caller must not modify.
 func (s *Step) Spec() *Spec { return &s.spec }
 
-// Newest returns the newest version known to the step.
-func (s *Step) Newest() ident.Version { return s.newest }
+// NewestVersion returns the newest version known to the step.
+func (s *Step) NewestVersion() ident.Version { return s.newestVersion }
 
-// Held counts the groups that the trainer's cursor names.
-func (s *Step) Held() int { return int(s.held.GetCardinality()) }
+// HeldGroups returns the number of groups in the trainer's cursor.
+func (s *Step) HeldGroups() int { return int(s.heldRanks.GetCardinality()) }
--- a/internal/rollout/deliver.go
+++ b/internal/rollout/deliver.go
@@ -6,19 +6,20 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// observe moves the newest known version, which never falls.
-func (s *Step) observe(v ident.Version) {
-	if v <= s.newest {
+// observeVersion raises the newest known version to v. It never lowers it.
+func (s *Step) observeVersion(v ident.Version) {
+	if v <= s.newestVersion {
 		return
 	}
-	s.newest = v
+	s.newestVersion = v
 	s.dropStale()
 }
 
-// dropStale gives up every completion, and every attempt known to be on such a
-// version, that is older than the bound allows; their slots wait again. Samples
-// age while they are scored and while they wait for their pull, so this runs
-// whenever the newest version moves, and again before each answer.
+// dropStale discards the completions that contain a version older than the staleness
+// bound allows and cancels the attempts whose first token is from such a version.
+// Their slots are waiting again. Samples become stale while they are being scored and
+// while they wait for a pull, so this runs on every change of the newest version or
+// the bound, and again before each answer.
 func (s *Step) dropStale() {
 	for st := generating; st <= ready; st++ {
 		if s.index.counts[st] == 0 {
@@ -33,41 +34,41 @@
 func (s *Step) dropIfStale(i int) {
 	sl := &s.slots[i]
 	if !sl.state.hasCompletion() {
-		if sl.began != 0 && sl.began < s.oldestAllowed() {
+		if sl.firstVersion != 0 && sl.firstVersion < s.oldestAllowed() {
 			s.tally.Stale++
-			s.emit(CancelAttempt{ID: s.idOf(i), Attempt: sl.running})
+			s.emit(CancelAttempt{ID: s.sampleID(i), Attempt: sl.runningAttempt})
 			s.endAttempt(i)
 		}
 		return
 	}
-	if sl.made.oldest >= s.oldestAllowed() {
+	if sl.completion.oldestVersion >= s.oldestAllowed() {
 		return
 	}
 	s.tally.Stale++
-	s.stopAttempts(i)
+	s.discardWork(i)
 	s.setState(i, waiting)
 }
 
-// applyCursor makes the trainer's cursor ours. A group that it names is freed,
-// also when another owner delivered it. A group that it no longer names is made
-// again: the trainer lost it (it was restarted, say).
+// applyCursor adopts the trainer's cursor. The memory of a group in the cursor is
+// freed, even if another owner delivered the group. A group that is no longer in the
+// cursor is generated again, because the trainer lost it, for example in a restart.
 func (s *Step) applyCursor(have *roaring.Bitmap) {
-	for rank, group := range s.groupAt {
-		names := have != nil && have.Contains(uint32(group))
+	for rank, group := range s.groupByRank {
+		inCursor := have != nil && have.Contains(uint32(group))
 		switch {
-		case names && !s.held.Contains(uint32(rank)):
-			s.held.Add(uint32(rank))
-			s.stopGroup(rank)
-		case !names && s.held.Contains(uint32(rank)):
-			s.held.Remove(uint32(rank))
+		case inCursor && !s.heldRanks.Contains(uint32(rank)):
+			s.heldRanks.Add(uint32(rank))
+			s.closeGroup(rank)
+		case !inCursor && s.heldRanks.Contains(uint32(rank)):
+			s.heldRanks.Remove(uint32(rank))
 			s.reopenGroup(rank)
 		}
 	}
 }
 
-// reopenGroup lets a freed group be made again, unless it can't be.
+// reopenGroup makes the samples of a closed group waiting again, unless the group failed.
 func (s *Step) reopenGroup(rank int) {
-	if s.failed.Contains(uint32(rank)) {
+	if s.failedRanks.Contains(uint32(rank)) {
 		return
 	}
 	first := rank * s.spec.GroupSize
@@ -77,31 +78,31 @@
 	}
 }
 
-// Deliverable counts the groups that a pull would get now.
-func (s *Step) Deliverable() int {
-	failed := s.failed.GetCardinality() - s.failed.AndCardinality(s.held)
-	return int(s.complete.GetCardinality() + failed)
+// DeliverableGroups returns the number of groups that a pull without limits would get now.
+func (s *Step) DeliverableGroups() int {
+	failed := s.failedRanks.GetCardinality() - s.failedRanks.AndCardinality(s.heldRanks)
+	return int(s.readyRanks.GetCardinality() + failed)
 }
 
-// Whole says that every group is deliverable or held by the trainer.
+// Whole reports whether every group is deliverable or held by the trainer.
 func (s *Step) Whole() bool {
-	return s.Deliverable()+int(s.held.GetCardinality()) == len(s.groupAt)
+	return s.DeliverableGroups()+int(s.heldRanks.GetCardinality()) == len(s.groupByRank)
 }
 
-// deliver answers a pull. Nothing is marked as sent: an answer can be cut, and
-// only the next cursor tells.
-func (s *Step) deliver(p Pull) {
+// answerPull emits the answer to a pull. It doesn't mark the groups as delivered: the
+// answer may be cut off, and only the next cursor shows whether it arrived.
+func (s *Step) answerPull(p Pull) {
 	s.dropStale()
-	answer := Deliver{JudgedBy: s.newest}
+	answer := Deliver{JudgedBy: s.newestVersion}
 	bytes := 0
-	for rank := range s.groupAt {
+	for rank := range s.groupByRank {
 		if p.MaxGroups > 0 && len(answer.Groups) >= p.MaxGroups {
 			break
 		}
 		if p.MaxBytes > 0 && bytes >= p.MaxBytes {
 			break
 		}
-		group, ok := s.group(rank)
+		group, ok := s.deliverableGroup(rank)
 		if !ok {
 			continue
 		}
@@ -110,34 +111,35 @@
 			bytes += len(sample.Prompt) + len(sample.Completion)
 		}
 	}
-	answer.Remaining = len(s.groupAt) - int(s.held.GetCardinality()) - len(answer.Groups)
+	answer.Remaining = len(s.groupByRank) - int(s.heldRanks.GetCardinality()) - len(answer.Groups)
 	answer.Whole = answer.Remaining == 0
 	s.tally.Offered += len(answer.Groups)
 	s.emit(answer)
 }
 
-// group returns a group as the trainer gets it; ok is false when it isn't deliverable.
-func (s *Step) group(rank int) (group Group, ok bool) {
-	if s.held.Contains(uint32(rank)) {
+// deliverableGroup returns a group in the form sent to the trainer. ok is false if the
+// group isn't deliverable.
+func (s *Step) deliverableGroup(rank int) (group Group, ok bool) {
+	if s.heldRanks.Contains(uint32(rank)) {
 		return Group{}, false
 	}
-	number := s.groupAt[rank]
-	if s.failed.Contains(uint32(rank)) {
-		return Group{Number: number, Failed: true, Reason: s.reasons[rank]}, true
+	number := s.groupByRank[rank]
+	if s.failedRanks.Contains(uint32(rank)) {
+		return Group{Number: number, Failed: true, Reason: s.failureReasons[rank]}, true
 	}
-	if !s.complete.Contains(uint32(rank)) {
+	if !s.readyRanks.Contains(uint32(rank)) {
 		return Group{}, false
 	}
 	group = Group{Number: number, Samples: make([]Sample, s.spec.GroupSize)}
 	for index := range group.Samples {
-		made := s.slots[rank*s.spec.GroupSize+index].made
+		completion := s.slots[rank*s.spec.GroupSize+index].completion
 		group.Samples[index] = Sample{
 			Group:      number,
 			Index:      index,
 			Prompt:     s.spec.Prompts[number].Text,
-			Completion: made.text,
-			Reward:     made.reward,
-			Segments:   made.segments,
+			Completion: completion.text,
+			Reward:     completion.reward,
+			Segments:   completion.segments,
 		}
 	}
 	return group, true
--- a/internal/rollout/hold.go
+++ b/internal/rollout/hold.go
@@ -6,115 +6,122 @@
 	"time"
 )
 
-// hold keeps a step from asking for what is sure to be refused. When all engines
-// serve too old a version, say, each of a thousand attempts is refused at once,
-// and each slot's own backoff would have the step resume seconds after the engines
-// switched. So the first refusal holds the whole step: after a short wait one
-// attempt goes ahead as a probe, and the rest follows, all at once, as soon as a
-// probe gets its first token.
+// breaker is the circuit breaker of a step. It stops the step from starting
+// attempts that are sure to be refused, for example while every engine serves too
+// old a version. Without it, a thousand attempts would be refused immediately, and
+// with a separate backoff for each slot the step would resume only seconds after
+// the engines switched. With it, the first refusal opens the breaker for the whole
+// step. After a short delay a single attempt starts as a probe, and as soon as a
+// probe gets its first token the breaker closes and all other attempts may start.
 //
-// A probe that is neither refused nor begun waits in a queue of the dispatcher.
-// The step must hold its place among the other users of that queue, so each
-// HoldMax that it waits doubles the probes that may be out.
+// A probe that is neither refused nor generating is waiting in a queue of the
+// dispatcher. To keep the step's share among the other users of that queue, the
+// number of probes that may run doubles for every MaxProbeInterval of waiting.
 //
-// Invariant: out is the number of slots that generate with probe == round.
-type hold struct {
-	round    uint32 // number of the hold in force or the last one, from 1
-	active   bool
-	refusals uint8         // of probes, in a row
-	until    time.Duration // no probe starts before
-	out      int           // probes out
-	since    time.Duration // when the first of them started
+// Invariant: while the breaker is open, probes is the number of generating slots
+// whose probeTrip equals trip.
+type breaker struct {
+	trip         uint32        // number of the latest opening of the breaker, from 1; 0 before the first
+	open         bool          // attempts start only as probes
+	failedProbes uint8         // consecutive failed probes since the breaker opened, at most maxFailures
+	notBefore    time.Duration // earliest start of the next probe, since the step's start
+	probes       int           // probes running
+	firstProbeAt time.Duration // when the first of the running probes started, since the step's start
 }
 
-// allows says whether an attempt may start now.
-func (h *hold) allows(now, probeWait time.Duration) bool {
-	if !h.active {
+// allows reports whether an attempt may start now.
+func (b *breaker) allows(now, doublingInterval time.Duration) bool {
+	if !b.open {
 		return true
 	}
-	if now < h.until {
+	if now < b.notBefore {
 		return false
 	}
-	return h.out < h.limit(now, probeWait)
+	return b.probes < b.maxProbes(now, doublingInterval)
 }
 
-// limit is how many probes may be out.
-func (h *hold) limit(now, probeWait time.Duration) int {
-	if h.out == 0 {
+// maxProbes returns how many probes may run at the same time. The number doubles
+// with each doublingInterval since the first of them started.
+func (b *breaker) maxProbes(now, doublingInterval time.Duration) int {
+	if b.probes == 0 {
 		return 1
 	}
-	doublings := min((now-h.since)/probeWait, maxDoublings)
+	doublings := min((now-b.firstProbeAt)/doublingInterval, maxProbeDoublings)
 	return 1 << doublings
 }
 
-// maxDoublings lets more probes out than a step has samples.
-const maxDoublings = 20
+// maxProbeDoublings keeps the shift in maxProbes small. The resulting limit is
+// higher than the number of samples in any step.
+const maxProbeDoublings = 20
 
-// holdAfter takes the refusal of the attempt that a slot runs. Attempts that were sent
-// together are refused together: only the first of them counts.
-func (s *Step) holdAfter(now time.Duration, i int) {
-	if s.hold.active {
-		s.holdLonger(now, i)
+// tripBreaker records that the attempt of slot i was refused, and opens the breaker
+// if it is closed. Attempts that were sent together are refused together, so only
+// the first refusal opens it.
+func (s *Step) tripBreaker(now time.Duration, i int) {
+	if s.breaker.open {
+		s.probeFailed(now, i)
 		return
 	}
-	s.hold = hold{round: s.hold.round + 1, active: true}
-	s.hold.until = now + s.holdTime()
+	s.breaker = breaker{trip: s.breaker.trip + 1, open: true}
+	s.breaker.notBefore = now + s.probeDelay()
 }
 
-// holdLonger has the next probe wait when the slot's attempt is one and failed
-// before its first token.
-func (s *Step) holdLonger(now time.Duration, i int) {
+// probeFailed delays the next probe if slot i runs a probe. It is called for
+// attempts that ended without a usable first token.
+func (s *Step) probeFailed(now time.Duration, i int) {
 	if !s.isProbe(i) {
 		return
 	}
-	if s.hold.refusals < maxFailures {
-		s.hold.refusals++
+	if s.breaker.failedProbes < maxFailures {
+		s.breaker.failedProbes++
 	}
-	s.hold.until = now + s.holdTime()
+	s.breaker.notBefore = now + s.probeDelay()
 }
 
-// startProbe counts an attempt that starts while the step is held.
-func (s *Step) startProbe(now time.Duration, i int) {
-	if !s.hold.active {
+// probeStarted counts the attempt that slot i starts as a probe if the breaker is open.
+func (s *Step) probeStarted(now time.Duration, i int) {
+	if !s.breaker.open {
 		return
 	}
-	if s.hold.out == 0 {
-		s.hold.since = now
+	if s.breaker.probes == 0 {
+		s.breaker.firstProbeAt = now
 	}
-	s.hold.out++
-	s.slots[i].probe = s.hold.round
+	s.breaker.probes++
+	s.slots[i].probeTrip = s.breaker.trip
 }
 
-// endProbe takes an attempt that ends, however it does, off the probes.
-func (s *Step) endProbe(i int) {
+// probeEnded stops counting the attempt of slot i as a probe, whatever its result.
+func (s *Step) probeEnded(i int) {
 	if s.isProbe(i) {
-		s.hold.out--
+		s.breaker.probes--
 	}
-	s.slots[i].probe = 0
+	s.slots[i].probeTrip = 0
 }
 
-// isProbe says whether the slot runs a probe of the hold in force.
+// isProbe reports whether slot i runs a probe for the current opening of the breaker.
 func (s *Step) isProbe(i int) bool {
-	return s.hold.active && s.slots[i].probe == s.hold.round
+	return s.breaker.open && s.slots[i].probeTrip == s.breaker.trip
 }
 
-// probeBegan lifts the hold: an engine generates for this step.
-func (s *Step) probeBegan(i int) {
+// probeSucceeded closes the breaker if slot i runs a probe: an engine generates for
+// this step.
+func (s *Step) probeSucceeded(i int) {
 	if s.isProbe(i) {
-		s.hold.active = false
+		s.breaker.open = false
 	}
 }
 
-func (s *Step) holdTime() time.Duration {
-	return holdTime(&s.options, &s.spec, s.hold.round, s.hold.refusals)
+func (s *Step) probeDelay() time.Duration {
+	return probeDelay(&s.options, &s.spec, s.breaker.trip, s.breaker.failedProbes)
 }
 
-// holdTime doubles from BackoffBase on to HoldMax, less up to a quarter that
-// differs from step to step and hold to hold: steps that were refused together
-// don't come back together.
-func holdTime(o *Options, spec *Spec, round uint32, refusals uint8) time.Duration {
-	d := min(o.BackoffBase<<refusals, o.HoldMax)
+// probeDelay returns how long to wait before the next probe. The delay doubles from
+// BackoffBase up to MaxProbeInterval, minus a jitter of up to a quarter. The jitter
+// is a hash of the step and of the number of openings and failed probes, so steps
+// that were refused together don't retry together.
+func probeDelay(o *Options, spec *Spec, trip uint32, failedProbes uint8) time.Duration {
+	d := min(o.BackoffBase<<failedProbes, o.MaxProbeInterval)
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%s/%s/%d/%d/%d", spec.Team, spec.Job, spec.Step, round, refusals) // never fails
+	_, _ = fmt.Fprintf(h, "%s/%s/%d/%d/%d", spec.Team, spec.Job, spec.Step, trip, failedProbes) // never fails
 	return d - d/4*time.Duration(h.Sum64()%1024)/1024
 }
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -8,144 +8,156 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// SampleID names a slot of a step: the sample Index of the prompt Group.
+// SampleID identifies a sample of a step: sample number Index of group number Group,
+// both from 0.
 type SampleID struct {
 	Group int
 	Index int
 }
 
-// Event is what a step is told. The concrete types below are all there are.
+// Event is an input of a step. The types below are the only implementations.
 type Event interface{ event() }
 
-// Tick lets time pass: failed attempts whose backoff is over start again.
+// Tick reports that time has passed. Slots whose backoff has expired start again.
 type Tick struct{}
 
-// Began says that an attempt got its first token, and by which version. It
-// lets the step give up an attempt that is already too old. Optional.
+// Began reports that an attempt got its first token and which version generated
+// it. This event is optional; it lets the step cancel an attempt early if that
+// version is already too old.
 type Began struct {
 	ID      SampleID
 	Attempt uint32
 	Version ident.Version
 }
 
-// Generated says that an attempt ended whole.
+// Generated reports that an attempt generated a complete text.
 type Generated struct {
 	ID      SampleID
 	Attempt uint32
 	Text    string
-	// Tokens is how many tokens Text holds; Segments must cover exactly them.
+	// Tokens is the number of tokens in Text. Segments must cover exactly these tokens.
 	Tokens   int
 	Segments []Segment
 }
 
-// GenerateFailed says that an attempt ended without a completion.
+// GenerateFailed reports that an attempt ended without a completion.
 type GenerateFailed struct {
 	ID      SampleID
 	Attempt uint32
 	Failure Failure
 }
 
-// Scored brings the reward of an attempt's completion.
+// Scored reports the reward of an attempt's completion.
 type Scored struct {
 	ID      SampleID
 	Attempt uint32
 	Reward  float64
 }
 
-// ScoreFailed says that the scorer gave no reward; the completion is kept and
-// scored again after a backoff.
+// ScoreFailed reports that the scorer returned no reward. The step keeps the
+// completion and scores it again after a backoff, unless the failure is final.
 type ScoreFailed struct {
 	ID      SampleID
 	Attempt uint32
 	Failure Failure
 }
 
-// NewestVersion says which version of the model is the newest published one.
+// NewestVersion reports the newest published version of the step's model.
 type NewestVersion struct{ Version ident.Version }
 
-// SetBound brings another staleness bound, in versions, from the configuration.
-type SetBound struct{ Bound int64 }
+// SetStalenessBound changes the staleness bound, in versions, after a change of the
+// configuration.
+type SetStalenessBound struct{ Bound int64 }
 
-// Pressure says whether memory is full, over all steps of the daemon.
-type Pressure struct{ Full bool }
+// MemoryPressure reports whether the memory for all steps of the daemon is full.
+type MemoryPressure struct{ Full bool }
 
-// Cursor is the arrival of a pull: which groups the trainer holds, and the
-// newest version it knows. Have isn't kept. Group numbers past the end are ignored.
+// Cursor reports the cursor of a pull on its arrival: the groups that the trainer
+// holds and the newest version that it knows. The step doesn't retain Have. Group
+// numbers beyond the last group are ignored.
 type Cursor struct {
 	Have           *roaring.Bitmap
 	TrainerVersion ident.Version
 }
 
-// Pull asks for an answer now: staleness is judged at this event. It implies a Cursor.
+// Pull requests an answer with the groups that are deliverable now. Staleness is
+// checked as of this event. A Pull has the effect of a Cursor as well.
 type Pull struct {
-	Have           *roaring.Bitmap
-	TrainerVersion ident.Version
-	MaxGroups      int // 0: no limit
-	MaxBytes       int // of completions and prompts, 0: no limit; one group is always given
+	Have           *roaring.Bitmap // groups that the trainer holds
+	TrainerVersion ident.Version   // newest version that the trainer knows
+	MaxGroups      int             // maximum number of groups in the answer, 0 for no limit
+	// MaxBytes limits the completions and prompts in the answer, 0 for no limit. No
+	// group is added once the limit is reached, so the first one is always included.
+	MaxBytes int
 }
 
-// Cancel ends the step; every attempt is cancelled and nothing is delivered any more.
+// Cancel ends the step. All attempts are cancelled and nothing is delivered any more.
 type Cancel struct{}
 
-func (Tick) event()           {}
-func (Began) event()          {}
-func (Generated) event()      {}
-func (GenerateFailed) event() {}
-func (Scored) event()         {}
-func (ScoreFailed) event()    {}
-func (NewestVersion) event()  {}
-func (SetBound) event()       {}
-func (Pressure) event()       {}
-func (Cursor) event()         {}
-func (Pull) event()           {}
-func (Cancel) event()         {}
-
-// FailureKind sorts failures by what a step does about them.
+func (Tick) event()              {}
+func (Began) event()             {}
+func (Generated) event()         {}
+func (GenerateFailed) event()    {}
+func (Scored) event()            {}
+func (ScoreFailed) event()       {}
+func (NewestVersion) event()     {}
+func (SetStalenessBound) event() {}
+func (MemoryPressure) event()    {}
+func (Cursor) event()            {}
+func (Pull) event()              {}
+func (Cancel) event()            {}
+
+// FailureKind classifies failures by how a step handles them.
 type FailureKind int
 
 const (
-	// Transient: the attempt may have run and has no whole answer; tried again.
+	// Transient: the attempt may have run but returned no complete result. It is
+	// retried after a backoff.
 	Transient FailureKind = iota
-	// NotRun: refused, or no upstream; tried again.
+	// NotRun: the attempt was refused, or there was no upstream for it. It is retried
+	// when the circuit breaker allows it.
 	NotRun
-	// Permanent: no other attempt can end better (bad input); the group fails.
+	// Permanent: a retry can't succeed, for example because the input is invalid. The
+	// group fails.
 	Permanent
-	// Poison: the request was convicted of crashing upstreams; the group fails.
+	// Poison: the request was found to crash upstreams. The group fails.
 	Poison
 )
 
-// Failure is how an attempt failed.
+// Failure describes why an attempt failed.
 type Failure struct {
 	Kind       FailureKind
-	RetryAfter time.Duration // at least this long until the next attempt
-	Reason     string        // told to the trainer when the group fails
+	RetryAfter time.Duration // minimum delay before the next attempt
+	Reason     string        // reported to the trainer if the group fails
 }
 
-// Action is what a step asks its runtime for. The concrete types below are all there are.
+// Action is an output of a step, to be run by its caller. The types below are the
+// only implementations.
 type Action interface{ action() }
 
-// Generate starts an attempt at a sample.
+// Generate starts an attempt at generating a sample.
 type Generate struct {
 	ID             SampleID
 	Attempt        uint32
-	MinVersion     ident.Version // oldest version that may generate it, 0: any
-	ExpectedTokens int
-	// Straggler: the sample is one of the last outstanding, so the step's end
-	// hangs on it. Send it to the fastest upstream.
+	MinVersion     ident.Version // oldest version that may generate the sample, 0 for any
+	ExpectedTokens int           // expected length of the completion, 0 if unknown
+	// Straggler marks one of the last unfinished samples. The end of the step depends
+	// on it, so it should go to the fastest upstream.
 	Straggler bool
-	// Prefer is the oldest version that leaves the sample time to age. Where such an
-	// engine has room it goes there; it isn't worth a wait. Never below MinVersion.
+	// Prefer is the oldest version that leaves the sample some time before it becomes
+	// stale. An engine that serves this version or a newer one is preferred if it has
+	// capacity, but isn't worth waiting for. Prefer is never below MinVersion.
 	Prefer ident.Version
 }
 
-// Score asks for the reward of a completion.
+// Score requests the reward of a completion.
 type Score struct {
 	ID         SampleID
 	Attempt    uint32
 	Completion string
 }
 
-// CancelAttempt ends an attempt, be it generating or being scored.
+// CancelAttempt cancels an attempt that is generating or being scored.
 type CancelAttempt struct {
 	ID      SampleID
 	Attempt uint32
@@ -154,9 +166,9 @@
 // Deliver is the answer to a Pull.
 type Deliver struct {
 	Groups    []Group
-	JudgedBy  ident.Version
-	Whole     bool
-	Remaining int
+	JudgedBy  ident.Version // newest version known when staleness was checked
+	Whole     bool          // with these groups the trainer holds every group of the step
+	Remaining int           // groups that neither the cursor nor the answer contains
 }
 
 func (Generate) action()      {}
--- a/internal/rollout/naive_test.go
+++ b/internal/rollout/naive_test.go
@@ -9,63 +9,65 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// owner is what a session talks to: a Step, or the naive one.
-type owner interface {
-	Step(now time.Time, e Event) []Action
+// eventHandler is the interface of Step that a session drives. reference implements it
+// as well.
+type eventHandler interface {
+	Handle(now time.Time, e Event) []Action
 }
 
-// naive follows the same rules as Step with a map of samples and full scans,
-// without a memory limit. Two faults can be switched on; each is what
-// a first version would do.
-type naive struct {
-	spec    Spec
-	options Options
-	samples map[SampleID]*naiveSample
-	order   []SampleID
-	held    map[int]bool
-	failed  map[int]string
-	newest  ident.Version
-	bound   int64
-	out     []Action
+// reference is a simple model of Step that the sessions compare it with. It follows the
+// same rules but keeps the samples in a map, scans all of them for each decision and
+// has no memory limit. Two faults can be enabled, each a likely mistake of a naive
+// implementation.
+type reference struct {
+	spec           Spec
+	options        Options
+	samples        map[SampleID]*referenceSample
+	order          []SampleID // in which samples start
+	heldGroups     map[int]bool
+	failedGroups   map[int]string // reasons
+	newestVersion  ident.Version
+	stalenessBound int64
+	actions        []Action // for the event being handled
 
-	holding  bool
-	round    uint32
-	refusals uint8
-	until    time.Time
-	since    time.Time
+	breakerOpen  bool
+	trip         uint32
+	failedProbes uint8
+	nextProbeAt  time.Time
+	firstProbeAt time.Time
 
-	sentMeansDelivered bool // fault: a group is the trainer's once it was sent
-	judgesWhenMade     bool // fault: staleness is looked at when the text is made
+	treatsSentAsDelivered     bool // fault: considers a group held by the trainer once it was sent
+	skipsLaterStalenessChecks bool // fault: checks staleness only when the text is generated
 }
 
-type naiveSample struct {
-	state    string // waiting, delayed, generating, toscore, scoredelayed, scoring, ready, idle
-	attempt  uint32
-	failures int
-	until    time.Time
-	began    ident.Version
-	probe    bool // while the step was held
-	text     string
-	segments []Segment
-	reward   float64
+type referenceSample struct {
+	state        string // waiting, delayed, generating, score waiting, score delayed, scoring, ready, idle (closed in Step)
+	attempt      uint32
+	failures     int
+	notBefore    time.Time
+	firstVersion ident.Version
+	probe        bool // the attempt started while the breaker was open
+	text         string
+	segments     []Segment
+	reward       float64
 }
 
-func newNaive(spec Spec, options Options) *naive {
-	n := &naive{spec: spec, options: options.withDefaults(), samples: map[SampleID]*naiveSample{}, held: map[int]bool{}, failed: map[int]string{}, newest: spec.TrainerVersion, bound: spec.Bound}
+func newReference(spec Spec, options Options) *reference {
+	r := &reference{spec: spec, options: options.withDefaults(), samples: map[SampleID]*referenceSample{}, heldGroups: map[int]bool{}, failedGroups: map[int]string{}, newestVersion: spec.TrainerVersion, stalenessBound: spec.StalenessBound}
 	for g := range spec.Prompts {
 		for i := range spec.GroupSize {
-			n.samples[SampleID{g, i}] = &naiveSample{state: "waiting"}
-			n.order = append(n.order, SampleID{g, i})
+			r.samples[SampleID{g, i}] = &referenceSample{state: "waiting"}
+			r.order = append(r.order, SampleID{g, i})
 		}
 	}
-	sort.SliceStable(n.order, func(a, b int) bool {
-		return spec.Prompts[n.order[a].Group].ExpectedTokens > spec.Prompts[n.order[b].Group].ExpectedTokens
+	sort.SliceStable(r.order, func(a, b int) bool {
+		return spec.Prompts[r.order[a].Group].ExpectedTokens > spec.Prompts[r.order[b].Group].ExpectedTokens
 	})
-	return n
+	return r
 }
 
-func (n *naive) count(state string) (c int) {
-	for _, s := range n.samples {
+func (r *reference) count(state string) (c int) {
+	for _, s := range r.samples {
 		if s.state == state {
 			c++
 		}
@@ -73,270 +75,272 @@
 	return c
 }
 
-func (n *naive) oldestAllowed() ident.Version { return n.newest - ident.Version(n.bound) }
+func (r *reference) oldestAllowed() ident.Version {
+	return r.newestVersion - ident.Version(r.stalenessBound)
+}
 
-func (n *naive) Step(now time.Time, e Event) []Action {
-	n.out = nil
+func (r *reference) Handle(now time.Time, e Event) []Action {
+	r.actions = nil
 	switch e := e.(type) {
 	case Tick:
-		for _, s := range n.samples {
-			if s.state == "delayed" && !s.until.After(now) {
+		for _, s := range r.samples {
+			if s.state == "delayed" && !s.notBefore.After(now) {
 				s.state = "waiting"
 			}
-			if s.state == "scoredelayed" && !s.until.After(now) {
-				s.state = "toscore"
+			if s.state == "score delayed" && !s.notBefore.After(now) {
+				s.state = "score waiting"
 			}
 		}
 	case Began:
-		if s := n.running(e.ID, e.Attempt, "generating"); s != nil {
-			s.began = e.Version
-			if e.Version < n.oldestAllowed() {
-				n.out = append(n.out, CancelAttempt{e.ID, e.Attempt})
-				n.holdLonger(s, now)
-				n.delay(s, now, "delayed", Failure{})
+		if s := r.running(e.ID, e.Attempt, "generating"); s != nil {
+			s.firstVersion = e.Version
+			if e.Version < r.oldestAllowed() {
+				r.actions = append(r.actions, CancelAttempt{e.ID, e.Attempt})
+				r.probeFailed(s, now)
+				r.scheduleRetry(s, now, "delayed", Failure{})
 			} else {
-				n.lift(s)
+				r.probeSucceeded(s)
 			}
 		}
 	case Generated:
-		n.generated(now, e)
+		r.handleGenerated(now, e)
 	case GenerateFailed:
-		if s := n.running(e.ID, e.Attempt, "generating"); s != nil {
+		if s := r.running(e.ID, e.Attempt, "generating"); s != nil {
 			s.state = "waiting"
-			n.generateFailed(s, now, e)
+			r.handleGenerateFailed(s, now, e)
 		}
 	case Scored:
-		if s := n.running(e.ID, e.Attempt, "scoring"); s != nil {
+		if s := r.running(e.ID, e.Attempt, "scoring"); s != nil {
 			s.state, s.reward, s.failures = "ready", e.Reward, 0
 		}
 	case ScoreFailed:
-		if s := n.running(e.ID, e.Attempt, "scoring"); s != nil {
-			s.state = "toscore"
-			n.fail(s, now, e.ID, "scoredelayed", e.Failure)
+		if s := r.running(e.ID, e.Attempt, "scoring"); s != nil {
+			s.state = "score waiting"
+			r.retryOrFailGroup(s, now, e.ID, "score delayed", e.Failure)
 		}
 	case NewestVersion:
-		n.observe(e.Version)
-	case SetBound:
-		n.bound = e.Bound
-		n.dropStale()
+		r.observeVersion(e.Version)
+	case SetStalenessBound:
+		r.stalenessBound = e.Bound
+		r.dropStale()
 	case Cursor:
-		n.observe(e.TrainerVersion)
-		n.cursor(e.Have)
+		r.observeVersion(e.TrainerVersion)
+		r.applyCursor(e.Have)
 	case Pull:
-		n.observe(e.TrainerVersion)
-		n.cursor(e.Have)
-		n.deliver(e)
+		r.observeVersion(e.TrainerVersion)
+		r.applyCursor(e.Have)
+		r.answerPull(e)
 	}
-	n.start(now)
-	return n.out
+	r.startWork(now)
+	return r.actions
 }
 
-func (n *naive) running(id SampleID, attempt uint32, state string) *naiveSample {
-	if s := n.samples[id]; s != nil && s.state == state && s.attempt == attempt {
+func (r *reference) running(id SampleID, attempt uint32, state string) *referenceSample {
+	if s := r.samples[id]; s != nil && s.state == state && s.attempt == attempt {
 		return s
 	}
 	return nil
 }
 
-func (n *naive) delay(s *naiveSample, now time.Time, state string, f Failure) {
-	wait := n.options.BackoffMax
+func (r *reference) scheduleRetry(s *referenceSample, now time.Time, state string, f Failure) {
+	wait := r.options.BackoffMax
 	if s.failures < 10 {
-		wait = min(wait, n.options.BackoffBase<<s.failures)
+		wait = min(wait, r.options.BackoffBase<<s.failures)
 	}
 	s.failures++
-	s.state, s.until = state, now.Add(max(wait, f.RetryAfter))
+	s.state, s.notBefore = state, now.Add(max(wait, f.RetryAfter))
 }
 
-func (n *naive) fail(s *naiveSample, now time.Time, id SampleID, state string, f Failure) {
+func (r *reference) retryOrFailGroup(s *referenceSample, now time.Time, id SampleID, state string, f Failure) {
 	if f.Kind == Transient || f.Kind == NotRun {
-		n.delay(s, now, state, f)
+		r.scheduleRetry(s, now, state, f)
 		return
 	}
 	s.state = "idle"
-	n.stopGroup(id.Group)
-	n.failed[id.Group] = f.Reason
+	r.closeGroup(id.Group)
+	r.failedGroups[id.Group] = f.Reason
 }
 
-func (n *naive) generateFailed(s *naiveSample, now time.Time, e GenerateFailed) {
+func (r *reference) handleGenerateFailed(s *referenceSample, now time.Time, e GenerateFailed) {
 	switch {
 	case e.Failure.Kind == Transient:
-		n.holdLonger(s, now)
-	case e.Failure.Kind == NotRun && n.holding:
-		n.holdLonger(s, now)
+		r.probeFailed(s, now)
+	case e.Failure.Kind == NotRun && r.breakerOpen:
+		r.probeFailed(s, now)
 	case e.Failure.Kind == NotRun:
-		for _, other := range n.samples {
+		for _, other := range r.samples {
 			other.probe = false
 		}
-		n.holding, n.refusals = true, 0
-		n.round++
-		n.until = now.Add(holdTime(&n.options, &n.spec, n.round, 0))
+		r.breakerOpen, r.failedProbes = true, 0
+		r.trip++
+		r.nextProbeAt = now.Add(probeDelay(&r.options, &r.spec, r.trip, 0))
 	}
 	if e.Failure.Kind != NotRun {
-		n.fail(s, now, e.ID, "delayed", e.Failure)
+		r.retryOrFailGroup(s, now, e.ID, "delayed", e.Failure)
 	} else if e.Failure.RetryAfter > 0 {
-		s.state, s.until = "delayed", now.Add(e.Failure.RetryAfter)
+		s.state, s.notBefore = "delayed", now.Add(e.Failure.RetryAfter)
 	}
 }
 
-func (n *naive) holdLonger(s *naiveSample, now time.Time) {
-	if n.holding && s.probe {
-		n.refusals = min(n.refusals+1, maxFailures)
-		n.until = now.Add(holdTime(&n.options, &n.spec, n.round, n.refusals))
+func (r *reference) probeFailed(s *referenceSample, now time.Time) {
+	if r.breakerOpen && s.probe {
+		r.failedProbes = min(r.failedProbes+1, maxFailures)
+		r.nextProbeAt = now.Add(probeDelay(&r.options, &r.spec, r.trip, r.failedProbes))
 	}
 }
 
-func (n *naive) lift(s *naiveSample) { n.holding = n.holding && !s.probe }
+func (r *reference) probeSucceeded(s *referenceSample) { r.breakerOpen = r.breakerOpen && !s.probe }
 
-func (n *naive) mayStart(now time.Time) bool {
+func (r *reference) canStart(now time.Time) bool {
 	probes := 0
-	for _, s := range n.samples {
+	for _, s := range r.samples {
 		if s.state == "generating" && s.probe {
 			probes++
 		}
 	}
-	if !n.holding {
+	if !r.breakerOpen {
 		return true
 	}
 	if probes == 0 {
-		n.since = now
+		r.firstProbeAt = now
 	}
 	allowed := 1
-	for t := n.since; !t.Add(n.options.HoldMax).After(now) && allowed < 1000; t = t.Add(n.options.HoldMax) {
+	for t := r.firstProbeAt; !t.Add(r.options.MaxProbeInterval).After(now) && allowed < 1000; t = t.Add(r.options.MaxProbeInterval) {
 		allowed *= 2
 	}
-	return !now.Before(n.until) && probes < allowed
+	return !now.Before(r.nextProbeAt) && probes < allowed
 }
 
-func (n *naive) stop(id SampleID, to string) {
-	s := n.samples[id]
+func (r *reference) setState(id SampleID, to string) {
+	s := r.samples[id]
 	if s.state == "generating" || s.state == "scoring" {
-		n.out = append(n.out, CancelAttempt{id, s.attempt})
+		r.actions = append(r.actions, CancelAttempt{id, s.attempt})
 	}
 	s.state = to
 }
 
-func (n *naive) stopGroup(g int) {
-	for i := range n.spec.GroupSize {
-		n.stop(SampleID{g, i}, "idle")
+func (r *reference) closeGroup(g int) {
+	for i := range r.spec.GroupSize {
+		r.setState(SampleID{g, i}, "idle")
 	}
 }
 
-func (n *naive) generated(now time.Time, e Generated) {
-	s := n.running(e.ID, e.Attempt, "generating")
+func (r *reference) handleGenerated(now time.Time, e Generated) {
+	s := r.running(e.ID, e.Attempt, "generating")
 	if s == nil {
 		return
 	}
-	labelled := make([]ident.Version, e.Tokens)
-	for _, g := range e.Segments {
-		for t := g.From; t < g.To; t++ {
-			labelled[t] = g.Version
+	versions := make([]ident.Version, e.Tokens)
+	for _, segment := range e.Segments {
+		for token := segment.From; token < segment.To; token++ {
+			versions[token] = segment.Version
 		}
 	}
 	s.segments = nil
-	for _, v := range labelled {
-		if v == 0 || v < n.oldestAllowed() {
-			n.holdLonger(s, now)
-			n.delay(s, now, "delayed", Failure{})
+	for _, v := range versions {
+		if v == 0 || v < r.oldestAllowed() {
+			r.probeFailed(s, now)
+			r.scheduleRetry(s, now, "delayed", Failure{})
 			return
 		}
 		s.segments = AppendTokens(s.segments, v, 1)
 	}
-	n.lift(s)
-	s.state, s.text, s.failures = "toscore", e.Text, 0
+	r.probeSucceeded(s)
+	s.state, s.text, s.failures = "score waiting", e.Text, 0
 }
 
-func (n *naive) observe(v ident.Version) {
-	if v > n.newest {
-		n.newest = v
-		n.dropStale()
+func (r *reference) observeVersion(v ident.Version) {
+	if v > r.newestVersion {
+		r.newestVersion = v
+		r.dropStale()
 	}
 }
 
-func (n *naive) dropStale() {
-	for id, s := range n.samples {
-		if n.judgesWhenMade {
+func (r *reference) dropStale() {
+	for id, s := range r.samples {
+		if r.skipsLaterStalenessChecks {
 			return
 		}
 		switch s.state {
 		case "generating":
-			if s.began != 0 && s.began < n.oldestAllowed() {
-				n.stop(id, "waiting")
+			if s.firstVersion != 0 && s.firstVersion < r.oldestAllowed() {
+				r.setState(id, "waiting")
 			}
-		case "toscore", "scoredelayed", "scoring", "ready":
-			if oldestVersion(s.segments) < n.oldestAllowed() {
-				n.stop(id, "waiting")
+		case "score waiting", "score delayed", "scoring", "ready":
+			if oldestVersion(s.segments) < r.oldestAllowed() {
+				r.setState(id, "waiting")
 			}
 		}
 	}
 }
 
-func (n *naive) cursor(have *roaring.Bitmap) {
-	if n.sentMeansDelivered {
+func (r *reference) applyCursor(have *roaring.Bitmap) {
+	if r.treatsSentAsDelivered {
 		return
 	}
-	for g := range n.spec.Prompts {
-		names := have.Contains(uint32(g))
-		if names && !n.held[g] {
-			n.stopGroup(g)
+	for g := range r.spec.Prompts {
+		inCursor := have.Contains(uint32(g))
+		if inCursor && !r.heldGroups[g] {
+			r.closeGroup(g)
 		}
-		if _, failed := n.failed[g]; !names && n.held[g] && !failed {
-			for i := range n.spec.GroupSize {
-				s := n.samples[SampleID{g, i}]
+		if _, failed := r.failedGroups[g]; !inCursor && r.heldGroups[g] && !failed {
+			for i := range r.spec.GroupSize {
+				s := r.samples[SampleID{g, i}]
 				s.state, s.failures = "waiting", 0
 			}
 		}
-		n.held[g] = names
+		r.heldGroups[g] = inCursor
 	}
 }
 
-func (n *naive) deliver(p Pull) {
-	d := Deliver{JudgedBy: n.newest}
+func (r *reference) answerPull(p Pull) {
+	answer := Deliver{JudgedBy: r.newestVersion}
 	held := 0
-	for at := 0; at < len(n.order); at += n.spec.GroupSize {
-		g := n.order[at].Group
-		if n.held[g] {
+	for first := 0; first < len(r.order); first += r.spec.GroupSize {
+		g := r.order[first].Group
+		if r.heldGroups[g] {
 			held++
 			continue
 		}
 		group := Group{Number: g}
-		if reason, ok := n.failed[g]; ok {
+		if reason, ok := r.failedGroups[g]; ok {
 			group.Failed, group.Reason = true, reason
 		} else {
-			for i := range n.spec.GroupSize {
-				if s := n.samples[SampleID{g, i}]; s.state == "ready" {
-					group.Samples = append(group.Samples, Sample{g, i, n.spec.Prompts[g].Text, s.text, s.reward, s.segments})
+			for i := range r.spec.GroupSize {
+				if s := r.samples[SampleID{g, i}]; s.state == "ready" {
+					group.Samples = append(group.Samples, Sample{g, i, r.spec.Prompts[g].Text, s.text, s.reward, s.segments})
 				}
 			}
 		}
-		full := p.MaxGroups > 0 && len(d.Groups) >= p.MaxGroups
-		if full || !group.Failed && len(group.Samples) < n.spec.GroupSize {
+		full := p.MaxGroups > 0 && len(answer.Groups) >= p.MaxGroups
+		if full || !group.Failed && len(group.Samples) < r.spec.GroupSize {
 			continue
 		}
-		d.Groups = append(d.Groups, group)
-		n.held[g] = n.sentMeansDelivered
+		answer.Groups = append(answer.Groups, group)
+		r.heldGroups[g] = r.treatsSentAsDelivered
 	}
-	d.Remaining = len(n.spec.Prompts) - held - len(d.Groups)
-	d.Whole = d.Remaining == 0
-	n.out = append(n.out, d)
+	answer.Remaining = len(r.spec.Prompts) - held - len(answer.Groups)
+	answer.Whole = answer.Remaining == 0
+	r.actions = append(r.actions, answer)
 }
 
-func (n *naive) start(now time.Time) {
-	minVersion := max(0, n.oldestAllowed()) // the sessions' staleness weight is 0
-	for _, id := range n.order {
-		s := n.samples[id]
-		if s.state == "waiting" && n.count("generating") < n.options.Window && n.mayStart(now) {
-			open := len(n.samples) - n.count("ready") - n.count("idle")
-			straggler := open <= max(2, int(n.options.StragglerShare*float64(len(n.samples))))
+func (r *reference) startWork(now time.Time) {
+	minVersion := max(0, r.oldestAllowed()) // the staleness weight is 0 in all sessions
+	for _, id := range r.order {
+		s := r.samples[id]
+		if s.state == "waiting" && r.count("generating") < r.options.Window && r.canStart(now) {
+			unfinished := len(r.samples) - r.count("ready") - r.count("idle")
+			straggler := unfinished <= max(2, int(r.options.StragglerShare*float64(len(r.samples))))
 			s.attempt++
-			s.state, s.began, s.probe = "generating", 0, n.holding
-			n.out = append(n.out, Generate{id, s.attempt, minVersion, n.spec.Prompts[id.Group].ExpectedTokens, straggler, minVersion})
+			s.state, s.firstVersion, s.probe = "generating", 0, r.breakerOpen
+			r.actions = append(r.actions, Generate{id, s.attempt, minVersion, r.spec.Prompts[id.Group].ExpectedTokens, straggler, minVersion})
 		}
 	}
-	for _, id := range n.order {
-		s := n.samples[id]
-		if s.state == "toscore" && n.count("scoring") < n.options.ScoreWindow {
+	for _, id := range r.order {
+		s := r.samples[id]
+		if s.state == "score waiting" && r.count("scoring") < r.options.MaxScoring {
 			s.state = "scoring"
-			n.out = append(n.out, Score{id, s.attempt, s.text})
+			r.actions = append(r.actions, Score{id, s.attempt, s.text})
 		}
 	}
 }
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -7,98 +7,107 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// startWork fills the windows, in slot order.
+// startWork starts attempts and scoring, in slot order, up to the configured
+// concurrency.
 func (s *Step) startWork(now time.Duration) {
-	for s.mayGenerate(now) {
+	for s.canGenerate(now) {
 		i, ok := s.index.first(waiting)
 		if !ok {
 			break
 		}
-		s.startAttempt(now, i)
+		s.startGenerate(now, i)
 	}
-	for s.index.counts[scoring] < s.options.ScoreWindow {
+	for s.index.counts[scoring] < s.options.MaxScoring {
 		i, ok := s.index.first(scoreWaiting)
 		if !ok {
 			return
 		}
 		s.setState(i, scoring)
-		made := s.slots[i].made
-		s.emit(Score{ID: s.idOf(i), Attempt: made.attempt, Completion: made.text})
+		completion := s.slots[i].completion
+		s.emit(Score{ID: s.sampleID(i), Attempt: completion.attempt, Completion: completion.text})
 	}
 }
 
-// mayGenerate bounds what runs and what is kept. Memory holds a step back only
-// while the trainer can free some by a pull: else parts of many groups could
-// fill it and none would ever be whole.
-func (s *Step) mayGenerate(now time.Duration) bool {
-	if s.index.counts[generating] >= s.options.Window || !s.hold.allows(now, s.options.HoldMax) {
+// canGenerate reports whether another attempt may start, given the limits on
+// concurrency and memory and the circuit breaker. The memory limits apply only
+// while a pull could free memory. Otherwise incomplete groups could fill the memory
+// and no group would ever be completed.
+func (s *Step) canGenerate(now time.Duration) bool {
+	if s.index.counts[generating] >= s.options.Window || !s.breaker.allows(now, s.options.MaxProbeInterval) {
 		return false
 	}
-	full := s.pressed || s.bytes >= s.options.MaxBytes
-	return !full || s.Deliverable() == 0
+	full := s.memoryFull || s.bufferedBytes >= s.options.MaxBufferedBytes
+	return !full || s.DeliverableGroups() == 0
 }
 
-func (s *Step) startAttempt(now time.Duration, i int) {
+func (s *Step) startGenerate(now time.Duration, i int) {
 	sl := &s.slots[i]
-	straggler := s.stragglersOnly()
+	straggler := s.onlyStragglersLeft()
 	s.setState(i, generating)
-	sl.last++
-	sl.running = sl.last
-	sl.began = 0
-	s.startProbe(now, i)
+	sl.lastAttempt++
+	sl.runningAttempt = sl.lastAttempt
+	sl.firstVersion = 0
+	s.probeStarted(now, i)
 	s.tally.Attempts++
-	id := s.idOf(i)
+	id := s.sampleID(i)
 	s.emit(Generate{
 		ID:             id,
-		Attempt:        sl.running,
+		Attempt:        sl.runningAttempt,
 		MinVersion:     s.minVersion(),
 		ExpectedTokens: s.spec.Prompts[id.Group].ExpectedTokens,
 		Straggler:      straggler,
-		Prefer:         s.preferred(),
+		Prefer:         s.preferredVersion(),
 	})
 }
 
-// oldestAllowed is the oldest version that may be delivered now.
-func (s *Step) oldestAllowed() ident.Version { return s.newest - ident.Version(s.bound) }
+// oldestAllowed returns the oldest version whose tokens may be delivered now. It
+// may be negative.
+func (s *Step) oldestAllowed() ident.Version {
+	return s.newestVersion - ident.Version(s.stalenessBound)
+}
 
-// minVersion is the oldest version that an attempt may start on: what the bound
-// demands and no more. Any margin may be newer than all that engines serve, and
-// the step would stand still while samples made now were fresh on arrival.
+// minVersion returns the oldest version that may generate a new attempt. It is
+// exactly what the staleness bound requires. With a margin added, the minimum could
+// be newer than every version that the engines serve, and the step would stall
+// although samples generated now would be fresh enough on delivery.
 func (s *Step) minVersion() ident.Version { return max(0, s.oldestAllowed()) }
 
-// preferred is the oldest version worth preferring. A sample at the edge of the
-// bound is thrown away if one more version comes before its pull, so the team's
-// weight of staleness moves the edge up, by the whole bound at most less one:
-// while engines switch, the version before the newest must still do.
-func (s *Step) preferred() ident.Version {
-	margin := int64(math.Round(s.spec.StalenessWeight * float64(s.bound)))
-	margin = max(0, min(margin, s.bound-1))
+// preferredVersion returns the oldest version that new attempts should prefer. A
+// sample right at the staleness bound is discarded if one more version is published
+// before its pull. The preferred version is therefore newer than the minimum by the
+// team's staleness weight times the bound, but by at most the bound minus one: while
+// engines switch versions, the version before the newest must still be acceptable.
+func (s *Step) preferredVersion() ident.Version {
+	margin := int64(math.Round(s.spec.StalenessWeight * float64(s.stalenessBound)))
+	margin = max(0, min(margin, s.stalenessBound-1))
 	return max(0, s.oldestAllowed()+ident.Version(margin))
 }
 
-// open counts the samples that aren't finished.
-func (s *Step) open() int {
-	return len(s.slots) - s.index.counts[ready] - s.index.counts[idle]
+// unfinished returns the number of samples that are still to be generated or scored.
+func (s *Step) unfinished() int {
+	return len(s.slots) - s.index.counts[ready] - s.index.counts[closed]
 }
 
-// stragglersOnly says that only the last few samples are outstanding.
-func (s *Step) stragglersOnly() bool {
+// onlyStragglersLeft reports whether so few samples are unfinished that each one
+// started now is a straggler.
+func (s *Step) onlyStragglersLeft() bool {
 	if s.options.StragglerShare < 0 {
 		return false
 	}
-	return s.open() <= max(minStragglers, int(s.options.StragglerShare*float64(len(s.slots))))
+	return s.unfinished() <= max(minStragglers, int(s.options.StragglerShare*float64(len(s.slots))))
 }
 
-// minStragglers is how many stragglers a small step has.
+// minStragglers is how many of the last samples of a small step are stragglers.
 const minStragglers = 2
 
-// wakeDelayed lets slots whose backoff is over start again.
-func (s *Step) wakeDelayed(now time.Duration) {
-	s.wake(now, delayed, waiting)
-	s.wake(now, scoreDelayed, scoreWaiting)
+// endBackoffs makes the slots whose backoff has expired eligible to start again.
+func (s *Step) endBackoffs(now time.Duration) {
+	s.endBackoff(now, delayed, waiting)
+	s.endBackoff(now, scoreDelayed, scoreWaiting)
 }
 
-func (s *Step) wake(now time.Duration, from, to state) {
+// endBackoff moves the slots whose backoff has expired from one state to another.
+func (s *Step) endBackoff(now time.Duration, from, to state) {
 	if s.index.counts[from] == 0 {
 		return
 	}
--- a/internal/rollout/session_test.go
+++ b/internal/rollout/session_test.go
@@ -15,86 +15,91 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// session is a random world: two daemons that may both own the step, engines and
-// scorers that fail, versions published at any moment, and a trainer that keeps
-// to the protocol. It counts at the trainer what must hold.
+// session is a randomized simulation of one step: two daemons that may own the step at
+// the same time, engines and scorers that fail, versions published at any time, and a
+// trainer that follows the protocol. It checks the package's guarantees at the trainer.
 type session struct {
-	rng       *rand.Rand
-	spec      Spec
-	make      func(Spec) owner
-	now       time.Time
-	owners    [2]owner // nil: crashed or never submitted to
-	work      [2][]Action
-	published ident.Version
+	rng              *rand.Rand
+	spec             Spec
+	newOwner         func(Spec) eventHandler
+	now              time.Time
+	owners           [2]eventHandler // nil for a daemon that crashed or never got the step
+	work             [2][]Action     // Generate and Score actions in progress at each owner
+	publishedVersion ident.Version
 
-	accepted map[int]Group
-	known    ident.Version // by the trainer
-	late     []Deliver     // answers of frozen owners, not yet arrived
-	faults   bool
+	accepted       map[int]Group // groups that the trainer holds
+	trainerVersion ident.Version // newest version known to the trainer
+	delayedAnswers []Deliver     // answers that frozen owners never sent; discarded at a later pull
+	injectFaults   bool
 }
 
-func newSession(seed uint64, make func(Spec) owner) *session {
-	w := &session{rng: rand.New(rand.NewPCG(seed, 7)), make: make, now: epoch, published: 5, known: 5, accepted: map[int]Group{}, faults: true}
+func newSession(seed uint64, newOwner func(Spec) eventHandler) *session {
+	w := &session{rng: rand.New(rand.NewPCG(seed, 7)), newOwner: newOwner, now: epoch, publishedVersion: 5, trainerVersion: 5, accepted: map[int]Group{}, injectFaults: true}
 	w.spec = testSpec(2+w.rng.IntN(6), 1+w.rng.IntN(4))
 	return w
 }
 
-// chance is true once in n, and never in the calm end of a session.
-func (w *session) chance(n int) bool { return w.faults && w.rng.IntN(n) == 0 }
+// oneIn returns true with probability 1/n while faults are injected, otherwise false.
+func (w *session) oneIn(n int) bool { return w.injectFaults && w.rng.IntN(n) == 0 }
 
-// run plays a stormy part and a calm end; the error says what the trainer saw go wrong.
+// run simulates 300 rounds with faults, then up to 400 rounds without, in which the
+// trainer must get every group. The error describes the first violation that the
+// trainer observed.
 func (w *session) run() error {
 	for range 300 {
-		if err := w.turn(); err != nil {
+		if err := w.advance(); err != nil {
 			return err
 		}
 	}
-	w.faults = false
+	w.injectFaults = false
 	for range 400 {
-		if err := w.turn(); err != nil {
+		if err := w.advance(); err != nil {
 			return err
 		}
 		if len(w.accepted) == len(w.spec.Prompts) {
 			return nil
 		}
 	}
-	return fmt.Errorf("missing: %d of %d groups arrived", len(w.accepted), len(w.spec.Prompts))
+	return fmt.Errorf("missing: only %d of %d groups arrived", len(w.accepted), len(w.spec.Prompts))
 }
 
-func (w *session) turn() error {
+// advance simulates one round of up to 150 ms.
+func (w *session) advance() error {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(150)) * time.Millisecond)
-	if w.chance(25) {
-		w.published++
+	if w.oneIn(25) {
+		w.publishedVersion++
 	}
-	if w.chance(8) {
-		w.known = max(w.known, w.published)
+	if w.oneIn(8) {
+		w.trainerVersion = max(w.trainerVersion, w.publishedVersion)
 	}
-	if w.chance(120) {
-		w.accepted = map[int]Group{} // the trainer is restarted and starts over
+	if w.oneIn(120) {
+		w.accepted = map[int]Group{} // the trainer restarts and has lost all groups
 	}
 	for o := range w.owners {
-		if w.chance(60) {
+		if w.oneIn(60) {
 			w.owners[o], w.work[o] = nil, nil
 		}
 		if w.owners[o] == nil {
 			continue
 		}
-		w.tell(o, Tick{})
-		if !w.chance(3) {
-			w.tell(o, NewestVersion{w.published})
+		w.handle(o, Tick{})
+		if !w.oneIn(3) {
+			w.handle(o, NewestVersion{w.publishedVersion})
 		}
 		for range 1 + w.rng.IntN(6) {
-			w.finishOne(o)
+			w.completeOne(o)
 		}
 	}
 	if w.rng.IntN(3) == 0 {
-		return w.pull()
+		return w.simulateTrainerPull()
 	}
 	return nil
 }
 
-func (w *session) tell(o int, e Event) (answer Deliver) {
-	for _, a := range w.owners[o].Step(w.now, e) {
+// handle passes an event to an owner and queues the work that it starts. It returns the
+// answer if the event is a pull.
+func (w *session) handle(o int, e Event) (answer Deliver) {
+	for _, a := range w.owners[o].Handle(w.now, e) {
 		switch a := a.(type) {
 		case Deliver:
 			answer = a
@@ -105,8 +110,9 @@
 	return answer
 }
 
-// finishOne ends one piece of work, cancelled or not: results may come late.
-func (w *session) finishOne(o int) {
+// completeOne ends one random piece of an owner's work. The work may have been cancelled
+// already, because results can arrive late.
+func (w *session) completeOne(o int) {
 	if len(w.work[o]) == 0 {
 		return
 	}
@@ -114,142 +120,148 @@
 	a := w.work[o][i]
 	w.work[o] = slices.Delete(w.work[o], i, i+1)
 	failure := Failure{Kind: FailureKind(w.rng.IntN(2)), RetryAfter: time.Duration(w.rng.IntN(300)) * time.Millisecond}
-	if w.chance(40) {
+	if w.oneIn(40) {
 		failure = Failure{Kind: Poison, Reason: "poison"}
 	}
 	switch a := a.(type) {
 	case Score:
-		if w.chance(6) {
-			w.tell(o, ScoreFailed{a.ID, a.Attempt, failure})
+		if w.oneIn(6) {
+			w.handle(o, ScoreFailed{a.ID, a.Attempt, failure})
 			return
 		}
-		w.tell(o, Scored{a.ID, a.Attempt, 1})
+		w.handle(o, Scored{a.ID, a.Attempt, 1})
 	case Generate:
-		if w.chance(5) {
-			w.tell(o, GenerateFailed{a.ID, a.Attempt, failure})
+		if w.oneIn(5) {
+			w.handle(o, GenerateFailed{a.ID, a.Attempt, failure})
 			return
 		}
-		w.generate(o, a)
+		w.simulateEngine(o, a)
 	}
 }
 
-// generate plays an engine, which may serve an older version than was asked
-// for, and swap in mid-stream. The text says which version made each token.
-func (w *session) generate(o int, a Generate) {
-	v := w.published
-	if w.faults {
-		v = max(1, w.published-ident.Version(w.rng.IntN(4)))
+// simulateEngine completes an attempt as an engine does that may serve an older version
+// than requested and may switch versions in mid-stream. The text contains the version of
+// each token.
+func (w *session) simulateEngine(o int, a Generate) {
+	v := w.publishedVersion
+	if w.injectFaults {
+		v = max(1, w.publishedVersion-ident.Version(w.rng.IntN(4)))
 	}
 	if w.rng.IntN(2) == 0 {
-		w.tell(o, Began{a.ID, a.Attempt, v})
+		w.handle(o, Began{a.ID, a.Attempt, v})
 	}
 	var segments []Segment
 	text := ""
 	tokens := 1 + w.rng.IntN(8)
 	for range tokens {
-		if w.chance(10) {
+		if w.oneIn(10) {
 			v++
 		}
 		text += fmt.Sprintf("%d,", v)
 		segments = AppendTokens(segments, v, 1)
 	}
-	if w.chance(12) {
+	if w.oneIn(12) {
 		segments[0].Version = 0
 	}
-	w.tell(o, Generated{a.ID, a.Attempt, text, tokens, segments})
+	w.handle(o, Generated{a.ID, a.Attempt, text, tokens, segments})
 }
 
-// pull plays the trainer. A balancer picks the daemon.
-func (w *session) pull() error {
+// simulateTrainerPull sends a pull to one of the owners at random, as a load balancer
+// would, or submits the step again if that daemon doesn't know it.
+func (w *session) simulateTrainerPull() error {
 	o := w.rng.IntN(len(w.owners))
 	have := roaring.New()
 	for g := range w.accepted {
 		have.Add(uint32(g))
 	}
-	if w.owners[o] == nil { // "step unknown, submit it again"
-		w.owners[o] = w.make(w.spec)
-		w.tell(o, Cursor{have, w.known})
+	if w.owners[o] == nil { // the daemon answers that the step is unknown
+		w.owners[o] = w.newOwner(w.spec)
+		w.handle(o, Cursor{have, w.trainerVersion})
 		return nil
 	}
-	answer := w.tell(o, Pull{Have: have, TrainerVersion: w.known, MaxGroups: w.rng.IntN(4)})
+	answer := w.handle(o, Pull{Have: have, TrainerVersion: w.trainerVersion, MaxGroups: w.rng.IntN(4)})
 	switch {
-	case w.chance(5): // the connection is cut within the answer
+	case w.oneIn(5): // the connection breaks in the middle of the answer
 		return nil
-	case w.chance(5): // the owner freezes before the answer is out
-		w.late = append(w.late, answer)
+	case w.oneIn(5): // the owner freezes before it has sent the answer
+		w.delayedAnswers = append(w.delayedAnswers, answer)
 		return nil
-	case w.chance(6): // the trainer learns of a version while the answer is under way
-		w.known = max(w.known, w.published)
+	case w.oneIn(6): // the trainer learns of a new version before the answer arrives
+		w.trainerVersion = max(w.trainerVersion, w.publishedVersion)
 	}
-	// Answers of frozen owners arrive on connections that nobody reads any more.
-	w.late = nil
-	if answer.JudgedBy < w.known {
+	// Answers from frozen owners arrive on connections that the trainer no longer reads.
+	w.delayedAnswers = nil
+	if answer.JudgedBy < w.trainerVersion {
 		return nil
 	}
 	return w.accept(answer)
 }
 
-func (w *session) accept(d Deliver) error {
-	for _, g := range d.Groups {
-		if _, twice := w.accepted[g.Number]; twice {
-			return fmt.Errorf("group %d came twice", g.Number)
+// accept checks an answer and takes its groups as the trainer does.
+func (w *session) accept(answer Deliver) error {
+	for _, group := range answer.Groups {
+		if _, accepted := w.accepted[group.Number]; accepted {
+			return fmt.Errorf("group %d was delivered twice", group.Number)
 		}
-		if err := w.check(g); err != nil {
+		if err := w.checkGroup(group); err != nil {
 			return err
 		}
-		w.accepted[g.Number] = g
+		w.accepted[group.Number] = group
 	}
-	all := len(w.accepted) == len(w.spec.Prompts)
-	if d.Whole && !all {
-		return fmt.Errorf("missing: the step is called whole with %d of %d groups", len(w.accepted), len(w.spec.Prompts))
+	complete := len(w.accepted) == len(w.spec.Prompts)
+	if answer.Whole && !complete {
+		return fmt.Errorf("missing: the answer is marked whole with only %d of %d groups", len(w.accepted), len(w.spec.Prompts))
 	}
-	if all && !d.Whole {
-		return errors.New("the step is whole and isn't called so")
+	if complete && !answer.Whole {
+		return errors.New("every group was delivered but the answer isn't marked whole")
 	}
 	return nil
 }
 
-func (w *session) check(g Group) error {
-	if g.Failed {
+// checkGroup checks the completeness, the staleness and the token versions of a group.
+func (w *session) checkGroup(group Group) error {
+	if group.Failed {
 		return nil
 	}
-	if len(g.Samples) != w.spec.GroupSize {
-		return errors.New("part of a group delivered")
+	if len(group.Samples) != w.spec.GroupSize {
+		return errors.New("an incomplete group was delivered")
 	}
-	for i, s := range g.Samples {
-		if s.Index != i || s.Group != g.Number {
-			return errors.New("a sample in another's place")
+	for i, sample := range group.Samples {
+		if sample.Index != i || sample.Group != group.Number {
+			return errors.New("a sample has the wrong group or index")
 		}
-		if s.Oldest() < w.known-ident.Version(w.spec.Bound) {
-			return fmt.Errorf("stale: version %d at %d", s.Oldest(), w.known)
+		if sample.Oldest() < w.trainerVersion-ident.Version(w.spec.StalenessBound) {
+			return fmt.Errorf("stale: version %d was delivered when the trainer knew version %d", sample.Oldest(), w.trainerVersion)
 		}
 		var text strings.Builder
-		for _, segment := range s.Segments {
+		for _, segment := range sample.Segments {
 			text.WriteString(strings.Repeat(fmt.Sprintf("%d,", segment.Version), segment.To-segment.From))
 		}
-		if text.String() != s.Completion {
-			return fmt.Errorf("label %v on tokens of %s", s.Segments, s.Completion)
+		if text.String() != sample.Completion {
+			return fmt.Errorf("segments %v don't match the text %s", sample.Segments, sample.Completion)
 		}
 	}
 	return nil
 }
 
-// pair gives every event to two owners and keeps the first difference.
-type pair struct {
-	a, b owner
-	diff error
+// comparison passes every event to two handlers and records the first difference
+// between their actions.
+type comparison struct {
+	a, b            eventHandler
+	firstDifference error
 }
 
-func (p *pair) Step(now time.Time, e Event) []Action {
-	left, right := p.a.Step(now, e), p.b.Step(now, e)
-	if l, r := render(left), render(right); !slices.Equal(l, r) && p.diff == nil {
-		p.diff = fmt.Errorf("%T %+v:\n%v\n%v", e, e, l, r)
+func (p *comparison) Handle(now time.Time, e Event) []Action {
+	left, right := p.a.Handle(now, e), p.b.Handle(now, e)
+	if l, r := sortedActions(left), sortedActions(right); !slices.Equal(l, r) && p.firstDifference == nil {
+		p.firstDifference = fmt.Errorf("%T %+v:\n%v\n%v", e, e, l, r)
 	}
 	return left
 }
 
-// render sorts, since the naive owner's cancellations follow the order of a map.
-func render(actions []Action) []string {
+// sortedActions formats actions and sorts them. The order of the reference's
+// cancellations is random because it iterates over a map.
+func sortedActions(actions []Action) []string {
 	var lines []string
 	for _, a := range actions {
 		lines = append(lines, fmt.Sprintf("%T%+v", a, a))
@@ -258,17 +270,17 @@
 	return lines
 }
 
-const sessions = 200
+const sessionCount = 200
 
-var plainOptions = Options{Window: 5, ScoreWindow: 2, StragglerShare: 0.3}
+var referenceOptions = Options{Window: 5, MaxScoring: 2, StragglerShare: 0.3}
 
 var _ = Describe("random sessions", func() {
-	It("hold every promise to the trainer", func() {
+	It("uphold every guarantee to the trainer", func() {
 		options := Options{Window: 5, StragglerShare: 0.3}
 		attempts := 0
-		for seed := range uint64(sessions) {
+		for seed := range uint64(sessionCount) {
 			var steps []*Step
-			w := newSession(seed, func(spec Spec) owner {
+			w := newSession(seed, func(spec Spec) eventHandler {
 				s, _ := New(spec, options, epoch)
 				steps = append(steps, s)
 				return s
@@ -276,75 +288,76 @@
 			Expect(w.run()).To(Succeed(), "seed %d", seed)
 			for _, s := range steps {
 				attempts += s.tally.Attempts
-				Expect(s.invariants()).To(Succeed(), "seed %d", seed)
+				Expect(s.checkInvariants()).To(Succeed(), "seed %d", seed)
 			}
 		}
-		Expect(attempts).To(BeNumerically(">", sessions*10))
+		Expect(attempts).To(BeNumerically(">", sessionCount*10))
 	})
 
-	It("make the same decisions as the naive owner", func() {
-		for seed := range uint64(sessions) {
-			var pairs []*pair
-			w := newSession(seed, func(spec Spec) owner {
-				s, _ := New(spec, plainOptions, epoch)
-				pairs = append(pairs, &pair{a: s, b: newNaive(spec, plainOptions)})
-				return pairs[len(pairs)-1]
+	It("lead to the same decisions as the reference model", func() {
+		for seed := range uint64(sessionCount) {
+			var comparisons []*comparison
+			w := newSession(seed, func(spec Spec) eventHandler {
+				s, _ := New(spec, referenceOptions, epoch)
+				comparisons = append(comparisons, &comparison{a: s, b: newReference(spec, referenceOptions)})
+				return comparisons[len(comparisons)-1]
 			})
 			Expect(w.run()).To(Succeed(), "seed %d", seed)
-			for _, p := range pairs {
-				Expect(p.diff).NotTo(HaveOccurred(), "seed %d", seed)
+			for _, p := range comparisons {
+				Expect(p.firstDifference).NotTo(HaveOccurred(), "seed %d", seed)
 			}
 		}
 	})
 
-	// The red stays alive: the same check must find what a first version gets wrong.
-	DescribeTable("catch a naive owner", func(fault func(*naive), messages ...string) {
-		found := map[string]int{}
-		for seed := range uint64(sessions) {
-			w := newSession(seed, func(spec Spec) owner {
-				n := newNaive(spec, plainOptions)
-				fault(n)
-				return n
+	// The checks of a session must be able to fail: they must detect the mistakes of a
+	// naive implementation.
+	DescribeTable("detect a faulty model", func(fault func(*reference), firstWords ...string) {
+		found := map[string]int{} // sessions by the first word of their error
+		for seed := range uint64(sessionCount) {
+			w := newSession(seed, func(spec Spec) eventHandler {
+				r := newReference(spec, referenceOptions)
+				fault(r)
+				return r
 			})
 			if err := w.run(); err != nil {
 				found[strings.Fields(err.Error())[0]]++
 			}
 		}
 		GinkgoWriter.Println(found)
-		for _, m := range messages {
-			Expect(found).To(HaveKey(m))
+		for _, word := range firstWords {
+			Expect(found).To(HaveKey(word))
 		}
 	},
-		Entry("that takes sent for delivered", func(n *naive) { n.sentMeansDelivered = true }, "missing:", "group"),
-		Entry("that judges staleness when the text is made", func(n *naive) { n.judgesWhenMade = true }, "stale:"),
+		Entry("that treats sent groups as delivered", func(r *reference) { r.treatsSentAsDelivered = true }, "missing:", "group"),
+		Entry("that checks staleness only when the text is generated", func(r *reference) { r.skipsLaterStalenessChecks = true }, "stale:"),
 	)
 })
 
-// invariants checks the step's bookkeeping against a full scan.
-func (s *Step) invariants() error {
+// checkInvariants compares the step's sets and counters with a full scan of its slots.
+func (s *Step) checkInvariants() error {
 	bytes, probes := 0, 0
 	var counts [stateCount]int
 	for i := range s.slots {
 		sl := &s.slots[i]
 		counts[sl.state]++
 		if !s.index.sets[sl.state].Contains(uint32(i)) {
-			return fmt.Errorf("slot %d isn't in the set of its state", i)
+			return fmt.Errorf("slot %d isn't in the set for its state", i)
 		}
-		if (sl.made != nil) != sl.state.hasCompletion() || (sl.running != 0) != (sl.state == generating) {
+		if (sl.completion != nil) != sl.state.hasCompletion() || (sl.runningAttempt != 0) != (sl.state == generating) {
 			return fmt.Errorf("slot %d: %+v", i, *sl)
 		}
 		if s.isProbe(i) {
 			probes++
 		}
-		if sl.made != nil {
-			bytes += len(sl.made.text)
+		if sl.completion != nil {
+			bytes += len(sl.completion.text)
 		}
 	}
-	if s.hold.active && probes != s.hold.out {
-		return fmt.Errorf("%d probes out, counted %d", probes, s.hold.out)
+	if s.breaker.open && probes != s.breaker.probes {
+		return fmt.Errorf("%d probes are running, but the breaker counts %d", probes, s.breaker.probes)
 	}
-	if counts != s.index.counts || bytes != s.bytes {
-		return fmt.Errorf("counts %v %d, kept %v %d", counts, bytes, s.index.counts, s.bytes)
+	if counts != s.index.counts || bytes != s.bufferedBytes {
+		return fmt.Errorf("the slots have counts %v and %d bytes, but the step has %v and %d", counts, bytes, s.index.counts, s.bufferedBytes)
 	}
 	return nil
 }
--- a/internal/rollout/slot.go
+++ b/internal/rollout/slot.go
@@ -8,54 +8,54 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// state is where a slot stands. A slot of a group that the trainer holds, or
-// that failed, is idle.
+// state is the state of a slot. The order matters to hasCompletion and dropStale.
 type state uint8
 
 const (
-	idle         state = iota
-	waiting            // may start
-	delayed            // failed, starts again at notBefore
-	generating         // one attempt runs, or two when hedged
-	scoreWaiting       // generated, may be scored
-	scoreDelayed       // scoring failed, tried again at notBefore
-	scoring            // at the scorer
-	ready              // finished
+	closed       state = iota // needs no work: the trainer holds the group, or the group failed
+	waiting                   // ready to start
+	delayed                   // the last attempt failed; starts again at notBefore
+	generating                // one attempt runs; dispatch may hedge it with a second copy
+	scoreWaiting              // generated, ready to be scored
+	scoreDelayed              // scoring failed; retried at notBefore
+	scoring                   // being scored
+	ready                     // generated and scored
 	stateCount
 )
 
-// slot is what is known of one sample. A step of 16,384 samples keeps 16,384 of
-// these, some 80 bytes each, in one slice.
+// slot tracks one sample of the step. A step of 16,384 samples keeps 16,384 slots
+// of about 80 bytes each in one slice.
 type slot struct {
-	state     state
-	failures  uint8 // in a row
-	last      uint32
-	running   uint32        // live attempt, 0 none
-	began     ident.Version // first token's version of the running attempt, 0 unknown
-	probe     uint32        // round of the hold that the running attempt is a probe of, see hold
-	notBefore time.Duration // when delayed, since the step's start
-	made      *completion
+	state          state
+	failures       uint8         // consecutive failures, at most maxFailures
+	lastAttempt    uint32        // number of the latest attempt; attempts are numbered from 1
+	runningAttempt uint32        // attempt that is generating, 0 if none
+	firstVersion   ident.Version // version of the running attempt's first token, 0 if unknown
+	probeTrip      uint32        // breaker.trip for which the running attempt is a probe, 0 if it isn't one
+	notBefore      time.Duration // when the backoff ends, since the step's start; valid in a delayed state
+	completion     *completion   // nil unless state.hasCompletion
 }
 
-// completion is a whole generated text, until its group is held by the trainer.
+// completion is a generated text. It is kept until the trainer holds its group.
 type completion struct {
-	attempt  uint32
-	text     string
-	segments []Segment
-	oldest   ident.Version
-	reward   float64
+	attempt       uint32
+	text          string
+	segments      []Segment
+	oldestVersion ident.Version // oldest version that generated a token
+	reward        float64       // valid once the slot is ready
 }
 
-// live says whether results of the attempt are still wanted.
-func (sl *slot) live(attempt uint32) bool {
-	return attempt != 0 && attempt == sl.running
+// isRunning reports whether the attempt is the one that the slot is generating.
+// Results of any other attempt are ignored.
+func (sl *slot) isRunning(attempt uint32) bool {
+	return attempt != 0 && attempt == sl.runningAttempt
 }
 
-// hasCompletion says whether the slot's state keeps a completion.
+// hasCompletion reports whether a slot in this state keeps a completion.
 func (st state) hasCompletion() bool { return st >= scoreWaiting }
 
-// slotIndex maps states to slots. Slots are numbered in the order in which they
-// should start, so the smallest of a set is the next one.
+// slotIndex maps states to the slots in them. Slots are numbered in the order in
+// which they should start, so the smallest number in a set is the next slot to start.
 type slotIndex struct {
 	sets   [stateCount]*roaring.Bitmap
 	counts [stateCount]int
@@ -80,7 +80,7 @@
 	x.add(i, to)
 }
 
-// first returns the smallest slot in a state; ok is false when there is none.
+// first returns the lowest slot number in a state. ok is false if there is none.
 func (x *slotIndex) first(st state) (i int, ok bool) {
 	if x.counts[st] == 0 {
 		return 0, false
@@ -88,5 +88,6 @@
 	return int(x.sets[st].Minimum()), true
 }
 
-// list returns a copy, so that the caller may move slots while it iterates.
+// list returns a copy of a state's slot numbers, so the caller may move slots while
+// iterating over it.
 func (x *slotIndex) list(st state) []uint32 { return x.sets[st].ToArray() }
--- a/internal/rollout/step.go
+++ b/internal/rollout/step.go
@@ -9,60 +9,61 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Step is the state of one training step at its owner.
+// Step is the state of one training step at the daemon that owns it.
 type Step struct {
-	spec    Spec
-	options Options
-	start   time.Time
-
-	groupAt []int // group number by rank; rank 0 starts first
-	rankOf  []int // its inverse
-
-	slots   []slot // by rank*GroupSize + index
-	index   slotIndex
-	readyIn []int // ready slots by rank
-
-	complete *roaring.Bitmap // ranks whose slots are all ready
-	held     *roaring.Bitmap // ranks that the trainer's cursor names
-	failed   *roaring.Bitmap // ranks that can't be made
-	reasons  map[int]string  // of failed ranks
-
-	newest    ident.Version // newest version known from anywhere
-	bound     int64
-	bytes     int // of completions kept
-	pressed   bool
-	hold      hold
-	cancelled bool
-	tally     Tally
-
-	out []Action
+	spec      Spec
+	options   Options
+	startTime time.Time
+
+	// Groups are ranked by the order in which they start, from rank 0.
+	groupByRank []int // group number for each rank
+	rankByGroup []int // rank for each group number
+
+	slots      []slot // at rank*GroupSize + index of the sample
+	index      slotIndex
+	readyCount []int // number of ready slots for each rank
+
+	readyRanks     *roaring.Bitmap // ranks whose slots are all ready
+	heldRanks      *roaring.Bitmap // ranks of the groups in the trainer's latest cursor
+	failedRanks    *roaring.Bitmap // ranks of the groups that can't be generated
+	failureReasons map[int]string  // for each failed rank
+
+	newestVersion  ident.Version // newest version known from any source
+	stalenessBound int64         // in versions
+	bufferedBytes  int           // size of the completions kept
+	memoryFull     bool          // the memory for all steps of the daemon is full
+	breaker        breaker
+	cancelled      bool
+	tally          Tally
+
+	pendingActions []Action // emitted for the event being handled
 }
 
-// New returns a step with every sample waiting. It starts with the first event.
-// Error: ErrSpec.
+// New returns a step in which every sample is waiting. The first event starts its
+// attempts. If the spec is invalid, the error is ErrInvalidSpec.
 func New(spec Spec, options Options, now time.Time) (*Step, error) {
-	if err := spec.check(); err != nil {
+	if err := spec.validate(); err != nil {
 		return nil, err
 	}
 	groups := len(spec.Prompts)
 	s := &Step{
-		spec:     spec,
-		options:  options.withDefaults(),
-		start:    now,
-		groupAt:  longestFirst(spec.Prompts),
-		rankOf:   make([]int, groups),
-		slots:    make([]slot, spec.Samples()),
-		index:    newSlotIndex(),
-		readyIn:  make([]int, groups),
-		complete: roaring.New(),
-		held:     roaring.New(),
-		failed:   roaring.New(),
-		reasons:  map[int]string{},
-		newest:   spec.TrainerVersion,
-		bound:    spec.Bound,
+		spec:           spec,
+		options:        options.withDefaults(),
+		startTime:      now,
+		groupByRank:    longestFirst(spec.Prompts),
+		rankByGroup:    make([]int, groups),
+		slots:          make([]slot, spec.Samples()),
+		index:          newSlotIndex(),
+		readyCount:     make([]int, groups),
+		readyRanks:     roaring.New(),
+		heldRanks:      roaring.New(),
+		failedRanks:    roaring.New(),
+		failureReasons: map[int]string{},
+		newestVersion:  spec.TrainerVersion,
+		stalenessBound: spec.StalenessBound,
 	}
-	for rank, group := range s.groupAt {
-		s.rankOf[group] = rank
+	for rank, group := range s.groupByRank {
+		s.rankByGroup[group] = rank
 	}
 	for i := range s.slots {
 		s.slots[i].state = waiting
@@ -71,9 +72,10 @@
 	return s, nil
 }
 
-// longestFirst returns the group numbers by falling expected length (LPT, the
-// longest processing time rule): what takes longest must start first, or the
-// step's end waits for it alone. Groups without an expectation come last.
+// longestFirst returns the group numbers in descending order of expected length
+// (longest processing time first, LPT). If the longest groups started late, the end
+// of the step would have to wait for them alone. Groups without an expected length
+// come last.
 func longestFirst(prompts []Prompt) []int {
 	order := make([]int, len(prompts))
 	for i := range order {
@@ -85,78 +87,83 @@
 	return order
 }
 
-// Step takes an event in and returns what is to be done, in order. After
-// Cancel it returns nothing.
-func (s *Step) Step(now time.Time, event Event) []Action {
+// Handle processes an event and returns the actions to run, in order. After Cancel
+// it returns no actions.
+func (s *Step) Handle(now time.Time, event Event) []Action {
 	if s.cancelled {
 		return nil
 	}
-	s.out = nil
-	elapsed := now.Sub(s.start)
+	s.pendingActions = nil
+	elapsed := now.Sub(s.startTime)
 	s.apply(elapsed, event)
 	if !s.cancelled {
 		s.startWork(elapsed)
 	}
-	actions := s.out
-	s.out = nil
+	actions := s.pendingActions
+	s.pendingActions = nil
 	return actions
 }
 
+// apply changes the state according to an event. Here and in every method that Handle
+// calls, now is the time since the step's start.
 func (s *Step) apply(now time.Duration, event Event) {
 	switch e := event.(type) {
 	case Tick:
-		s.wakeDelayed(now)
+		s.endBackoffs(now)
 	case Began:
-		s.began(now, e)
+		s.handleBegan(now, e)
 	case Generated:
-		s.generated(now, e)
+		s.handleGenerated(now, e)
 	case GenerateFailed:
-		s.generateFailed(now, e)
+		s.handleGenerateFailed(now, e)
 	case Scored:
-		s.scored(e)
+		s.handleScored(e)
 	case ScoreFailed:
-		s.scoreFailed(now, e)
+		s.handleScoreFailed(now, e)
 	case NewestVersion:
-		s.observe(e.Version)
-	case SetBound:
-		s.bound = e.Bound
+		s.observeVersion(e.Version)
+	case SetStalenessBound:
+		s.stalenessBound = e.Bound
 		s.dropStale()
-	case Pressure:
-		s.pressed = e.Full
+	case MemoryPressure:
+		s.memoryFull = e.Full
 	case Cursor:
-		s.observe(e.TrainerVersion)
+		s.observeVersion(e.TrainerVersion)
 		s.applyCursor(e.Have)
 	case Pull:
-		s.observe(e.TrainerVersion)
+		s.observeVersion(e.TrainerVersion)
 		s.applyCursor(e.Have)
-		s.deliver(e)
+		s.answerPull(e)
 	case Cancel:
 		s.cancel()
 	}
 }
 
 func (s *Step) cancel() {
-	for rank := range s.groupAt {
-		s.stopGroup(rank)
+	for rank := range s.groupByRank {
+		s.closeGroup(rank)
 	}
 	s.cancelled = true
 }
 
-func (s *Step) emit(a Action) { s.out = append(s.out, a) }
+func (s *Step) emit(a Action) { s.pendingActions = append(s.pendingActions, a) }
 
+// slotOf returns the slot number of a sample, or false if the step has no such sample.
 func (s *Step) slotOf(id SampleID) (int, bool) {
-	inRange := id.Group >= 0 && id.Group < len(s.rankOf) && id.Index >= 0 && id.Index < s.spec.GroupSize
+	inRange := id.Group >= 0 && id.Group < len(s.rankByGroup) && id.Index >= 0 && id.Index < s.spec.GroupSize
 	if !inRange {
 		return 0, false
 	}
-	return s.rankOf[id.Group]*s.spec.GroupSize + id.Index, true
+	return s.rankByGroup[id.Group]*s.spec.GroupSize + id.Index, true
 }
 
-func (s *Step) idOf(i int) SampleID {
-	return SampleID{Group: s.groupAt[i/s.spec.GroupSize], Index: i % s.spec.GroupSize}
+// sampleID returns which sample slot i belongs to.
+func (s *Step) sampleID(i int) SampleID {
+	return SampleID{Group: s.groupByRank[i/s.spec.GroupSize], Index: i % s.spec.GroupSize}
 }
 
-// setState is the only place where a slot's state changes.
+// setState changes the state of slot i and keeps the index and the counts up to date.
+// Nothing else may change a slot's state.
 func (s *Step) setState(i int, to state) {
 	from := s.slots[i].state
 	if from == to {
@@ -166,13 +173,13 @@
 	s.index.move(i, from, to)
 	rank := i / s.spec.GroupSize
 	if from == ready {
-		s.readyIn[rank]--
-		s.complete.Remove(uint32(rank))
+		s.readyCount[rank]--
+		s.readyRanks.Remove(uint32(rank))
 	}
 	if to == ready {
-		s.readyIn[rank]++
-		if s.readyIn[rank] == s.spec.GroupSize {
-			s.complete.Add(uint32(rank))
+		s.readyCount[rank]++
+		if s.readyCount[rank] == s.spec.GroupSize {
+			s.readyRanks.Add(uint32(rank))
 		}
 	}
 }
--- a/internal/rollouts/record.go
+++ b/internal/rollouts/record.go
@@ -40,11 +40,11 @@
 		oldest := rollout.Sample{Segments: e.Segments}.Oldest()
 		r.recordSample(SampleGenerated, e.ID, e.Attempt, oldest, fmt.Sprintf("%d tokens of %d versions", e.Tokens, len(e.Segments)))
 	case rollout.GenerateFailed:
-		r.recordSample(SampleFailed, e.ID, e.Attempt, r.step.Newest(), e.Failure.Reason)
+		r.recordSample(SampleFailed, e.ID, e.Attempt, r.step.NewestVersion(), e.Failure.Reason)
 	case rollout.Scored:
-		r.recordSample(SampleScored, e.ID, e.Attempt, r.step.Newest(), "")
+		r.recordSample(SampleScored, e.ID, e.Attempt, r.step.NewestVersion(), "")
 	case rollout.ScoreFailed:
-		r.recordSample(SampleFailed, e.ID, e.Attempt, r.step.Newest(), e.Failure.Reason)
+		r.recordSample(SampleFailed, e.ID, e.Attempt, r.step.NewestVersion(), e.Failure.Reason)
 	}
 }
 
--- a/internal/rollouts/runner.go
+++ b/internal/rollouts/runner.go
@@ -76,7 +76,7 @@
 		done:        make(chan struct{}),
 		step:        step,
 		attempts:    map[attemptKey]context.CancelFunc{},
-		bound:       step.Spec().Bound,
+		bound:       step.Spec().StalenessBound,
 	}
 }
 
@@ -101,7 +101,7 @@
 	defer stopWork()
 	r.work = work
 	r.lastPull = time.Now()
-	r.record(StepTaken, r.step.Newest(), fmt.Sprintf("%d groups of %d", len(r.spec.Prompts), r.groupSize))
+	r.record(StepTaken, r.step.NewestVersion(), fmt.Sprintf("%d groups of %d", len(r.spec.Prompts), r.groupSize))
 	r.why = r.loop(first)
 	r.feed(rollout.Cancel{})
 	r.count()
@@ -111,7 +111,7 @@
 		r.waiting.reply <- pullReply{err: r.why}
 	}
 	close(r.done)
-	r.record(StepEnded, r.step.Newest(), r.why.Error())
+	r.record(StepEnded, r.step.NewestVersion(), r.why.Error())
 	r.manager.options.Log.Info().Stringer("step", r.key).Str("why", r.why.Error()).Msg("step ended")
 }
 
@@ -156,7 +156,7 @@
 			return draining()
 		}
 		r.answerIfDue()
-		if r.draining && r.step.Deliverable() == 0 {
+		if r.draining && r.step.DeliverableGroups() == 0 {
 			return r.giveUp()
 		}
 	}
@@ -179,7 +179,7 @@
 	r.count()
 	if full := r.manager.full(0); full != r.pressed {
 		r.pressed = full
-		r.feed(rollout.Pressure{Full: full})
+		r.feed(rollout.MemoryPressure{Full: full})
 	}
 	if r.waiting == nil && time.Since(r.lastPull) > r.idleTimeout() {
 		stepsIdle.Add(1)
@@ -190,7 +190,7 @@
 
 func (r *runner) idleTimeout() time.Duration {
 	options := &r.manager.options
-	if r.step.Held() == len(r.spec.Prompts) {
+	if r.step.HeldGroups() == len(r.spec.Prompts) {
 		return options.FinishedTimeout
 	}
 	if _, self := options.Peers.Owner(r.key.ownerKey()); !self {
@@ -211,7 +211,7 @@
 	}
 	if settings.Bound != r.bound {
 		r.bound = settings.Bound
-		r.feed(rollout.SetBound{Bound: settings.Bound})
+		r.feed(rollout.SetStalenessBound{Bound: settings.Bound})
 	}
 	return nil
 }
@@ -219,7 +219,7 @@
 // observe tells the step of the newest published version, or the other way round.
 func (r *runner) observe() {
 	versions := r.manager.options.Versions
-	v, known := versions.NewestPublished(r.spec.Model), r.step.Newest()
+	v, known := versions.NewestPublished(r.spec.Model), r.step.NewestVersion()
 	if v > known {
 		r.feed(rollout.NewestVersion{Version: v})
 	}
--- a/internal/rollouts/runner_pull.go
+++ b/internal/rollouts/runner_pull.go
@@ -52,7 +52,7 @@
 		return
 	}
 	r.observe()
-	due := r.step.Deliverable() > 0 || r.step.Whole() || r.draining || !time.Now().Before(p.deadline)
+	due := r.step.DeliverableGroups() > 0 || r.step.Whole() || r.draining || !time.Now().Before(p.deadline)
 	if !due {
 		return
 	}
--- a/internal/rollouts/runner_work.go
+++ b/internal/rollouts/runner_work.go
@@ -14,14 +14,14 @@
 
 // feed gives the step an event and runs its actions.
 func (r *runner) feed(e rollout.Event) {
-	for _, action := range r.step.Step(time.Now(), e) {
+	for _, action := range r.step.Handle(time.Now(), e) {
 		switch a := action.(type) {
 		case rollout.Generate:
 			r.startGenerate(a)
 		case rollout.Score:
 			r.startScore(a)
 		case rollout.CancelAttempt:
-			r.recordSample(SampleCancelled, a.ID, a.Attempt, r.step.Newest(), "")
+			r.recordSample(SampleCancelled, a.ID, a.Attempt, r.step.NewestVersion(), "")
 			r.cancelAttempt(attemptKey{a.ID, a.Attempt})
 		case rollout.Deliver:
 			r.answer = a
--- a/internal/rollouts/submit.go
+++ b/internal/rollouts/submit.go
@@ -138,14 +138,14 @@
 		Model:           settings.Model,
 		Prompts:         req.Prompts,
 		GroupSize:       settings.GroupSize,
-		Bound:           settings.Bound,
+		StalenessBound:  settings.Bound,
 		MaxTokens:       settings.MaxTokens,
 		Scorer:          settings.Scorer,
 		TrainerVersion:  req.TrainerVersion,
 		StalenessWeight: settings.StalenessWeight,
 	}
 	options := m.options.Step
-	options.MaxBytes = MaxStepBytes
+	options.MaxBufferedBytes = MaxStepBytes
 	step, err := rollout.New(spec, options, time.Now())
 	if err != nil {
 		return nil, err
