--- a/internal/rollout/sample.go
+++ b/internal/rollout/sample.go
@@ -41,8 +41,8 @@
 	return append(segments, Segment{Version: version, From: last.To, To: last.To + tokens})
 }
 
-// checkSegments returns ErrUnlabelled unless the segments are contiguous, each
-// names a version, and together they cover exactly the tokens.
+// checkSegments returns ErrUnlabelled unless the segments are contiguous, each has a
+// version, and together they cover exactly the given number of tokens.
 func checkSegments(segments []Segment, tokens int) error {
 	next := 0
 	for _, segment := range segments {
--- a/internal/rollouts/api.go
+++ b/internal/rollouts/api.go
@@ -11,18 +11,18 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// Limits of the trainer's API.
+// Limits of the API for trainers.
 const (
-	// MaxPrompts is the largest number of prompts in one step.
+	// MaxPrompts is the maximum number of prompts in a step.
 	MaxPrompts = 20_000
-	// MaxStepBytes bounds the prompts' bytes of one step, and what its finished
-	// samples may hold in memory before they are pulled.
+	// MaxStepBytes limits the total size of the prompts of a step, and the memory for
+	// its completions that haven't been pulled.
 	MaxStepBytes = 64 << 20
-	// MaxWaitMillis is the longest wait of one pull.
+	// MaxWaitMillis is the longest time that a pull may wait for groups.
 	MaxWaitMillis = 60_000
-	// DefaultMaxGroups is how many groups an answer holds when the pull names no limit.
+	// DefaultMaxGroups limits the groups in an answer if the pull specifies no limit.
 	DefaultMaxGroups = 256
-	// maxHaveBytes bounds an encoded cursor. MaxPrompts bits need 2.5 KB at most.
+	// maxHaveBytes limits the size of an encoded cursor. MaxPrompts bits take up to 2.5 KB.
 	maxHaveBytes = 16 << 10
 )
 
@@ -30,51 +30,51 @@
 type SubmitRequest struct {
 	Prompts        []rollout.Prompt `json:"prompts"`
 	TrainerVersion ident.Version    `json:"trainer_version"`
-	// Have is the trainer's cursor as in PullRequest. A trainer that submits a
-	// step again sets it, so that groups it holds aren't made again. It isn't
-	// part of the content that makes a submission the same or a conflict.
+	// Have is the trainer's cursor, as in PullRequest. A trainer sets it when it submits
+	// a step again, so the groups that it holds aren't generated again. It doesn't count
+	// when two submissions of a step are compared.
 	Have string `json:"have,omitempty"`
 }
 
-// SubmitResponse answers a submission.
+// SubmitResponse is the response to a SubmitRequest.
 type SubmitResponse struct {
 	Job       ident.Job  `json:"job"`
 	Step      ident.Step `json:"step"`
 	Groups    int        `json:"groups"`
 	GroupSize int        `json:"group_size"`
-	// Created is false when the same content was submitted before.
+	// Created is false if the same content was submitted before.
 	Created bool `json:"created"`
 }
 
-// PullRequest is the body of POST /v1/jobs/{job}/steps/{step}/pull. A trainer
-// has one pull outstanding for a step.
+// PullRequest is the body of POST /v1/jobs/{job}/steps/{step}/pull. A trainer has at
+// most one pull outstanding for a step.
 type PullRequest struct {
-	// Have names the groups that the trainer holds; see EncodeHave.
+	// Have is the cursor: the groups that the trainer holds, as encoded by EncodeHave.
 	Have string `json:"have"`
-	// TrainerVersion is the newest version that the trainer knows of.
+	// TrainerVersion is the newest version that the trainer knows.
 	TrainerVersion ident.Version `json:"trainer_version"`
 	WaitMillis     int64         `json:"wait_ms"`
 	MaxGroups      int           `json:"max_groups,omitempty"`
 }
 
-// PullResponse answers a pull. The trainer takes it as a whole, and only if it
-// parses to its end, End is true, it is the answer to its newest pull, and
-// JudgedBy isn't below the newest version it knows at receipt.
+// PullResponse is the answer to a pull. The trainer accepts it as a whole, and only if
+// it parses to its end, End is true, it is the answer to the trainer's newest pull, and
+// JudgedBy isn't below the newest version that the trainer knows on receipt.
 type PullResponse struct {
 	Job  ident.Job  `json:"job"`
 	Step ident.Step `json:"step"`
-	// JudgedBy is the newest version that staleness was judged against.
+	// JudgedBy is the newest version known when staleness was checked.
 	JudgedBy ident.Version   `json:"judged_by"`
 	Groups   []rollout.Group `json:"groups"`
-	// Whole says that with this answer the trainer holds every group.
+	// Whole is true if the trainer holds every group with this answer.
 	Whole bool `json:"whole"`
-	// Remaining counts groups neither in the cursor nor in this answer.
+	// Remaining is the number of groups that are in neither the cursor nor the answer.
 	Remaining int `json:"remaining"`
-	// End is the last field and always true.
+	// End is the last field and always true, so the trainer can detect a truncated answer.
 	End bool `json:"end"`
 }
 
-// StatusResponse answers GET /v1/jobs/{job}/steps/{step}.
+// StatusResponse is the response to GET /v1/jobs/{job}/steps/{step}.
 type StatusResponse struct {
 	Team      ident.Team     `json:"team"`
 	Job       ident.Job      `json:"job"`
@@ -85,11 +85,11 @@
 	Counts    rollout.Counts `json:"counts"`
 }
 
-// ErrBadCursor says that a cursor isn't a base64 roaring bitmap.
-var ErrBadCursor = errors.New("rollouts: cursor isn't a base64 roaring bitmap")
+// ErrInvalidCursor is returned for a cursor that isn't a base64 roaring bitmap.
+var ErrInvalidCursor = errors.New("rollouts: cursor isn't a base64 roaring bitmap")
 
-// EncodeHave returns the cursor's form in a request: the bitmap of the group
-// numbers held, in roaring's portable format, as standard base64.
+// EncodeHave encodes a cursor for a request: the bitmap of the numbers of the groups
+// held, in roaring's portable format, as standard base64.
 func EncodeHave(have *roaring.Bitmap) (string, error) {
 	data, err := have.ToBytes()
 	if err != nil {
@@ -98,30 +98,32 @@
 	return base64.StdEncoding.EncodeToString(data), nil
 }
 
-// DecodeHave reads a cursor; the empty string is the empty cursor. Error: ErrBadCursor.
+// DecodeHave decodes a cursor. The empty string is the empty cursor. If s is invalid,
+// the error is ErrInvalidCursor.
 func DecodeHave(s string) (have *roaring.Bitmap, err error) {
 	have = roaring.New()
 	if s == "" {
 		return have, nil
 	}
 	if len(s) > maxHaveBytes {
-		return nil, ErrBadCursor
+		return nil, ErrInvalidCursor
 	}
 	data, err := base64.StdEncoding.DecodeString(s)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrBadCursor, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidCursor, err)
 	}
-	// The library's reader can index past a hostile header; the bytes come from outside.
+	// The data is untrusted, and the library can panic with an index out of range on a
+	// malicious header.
 	defer func() {
 		if r := recover(); r != nil {
-			have, err = nil, ErrBadCursor
+			have, err = nil, ErrInvalidCursor
 		}
 	}()
 	if err := have.UnmarshalBinary(data); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrBadCursor, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidCursor, err)
 	}
 	if err := have.Validate(); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrBadCursor, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidCursor, err)
 	}
 	return have, nil
 }
--- a/internal/rollouts/doc.go
+++ b/internal/rollouts/doc.go
@@ -1,36 +1,38 @@
-// Package rollouts owns training steps at run time: it takes them from
-// trainers, drives a rollout.Step for each through a Generator and a Scorer,
-// and answers the trainers' pulls.
+// Package rollouts runs training steps. It accepts steps from trainers, drives a
+// rollout.Step for each of them with a Generator and a Scorer, and answers the
+// trainers' pulls.
 //
-// A job's steps belong to the daemon that Peers names as its owner, and other
-// daemons forward to it. That is an optimisation, never a matter of safety: the
-// trainer's cursor says what it holds, so any daemon, or two at once, may answer.
-// A daemon that can't reach the owner takes the step itself, and a daemon asked
-// for a step it doesn't know answers UnknownStep: the trainer, which waits for
-// the step anyway and has its prompts, submits it again.
+// The steps of a job belong to the daemon that Peers returns as the job's owner, and
+// the other daemons forward requests to it. This is an optimisation and isn't needed
+// for correctness: the trainer's cursor says what the trainer holds, so any daemon, or
+// two at the same time, can answer. A daemon that can't reach the owner accepts the step
+// itself. A daemon that is asked for a step it doesn't know answers UnknownStep, and
+// the trainer submits the step again, since it has the prompts and waits for the step
+// anyway.
 //
-// What a crash, a handover or a drain loses is work: samples that were being
-// made or hadn't been pulled. It never loses a group that the trainer accepted,
-// since that is in its cursor, and never brings one twice.
+// A crash, a change of owner or a drain loses work: samples that were being generated
+// or hadn't been pulled. It never loses a group that the trainer accepted and never
+// delivers one twice, because the trainer's cursor contains the group.
 //
-// # The trainer's part
+// # Protocol for trainers
 //
-// A trainer that keeps to these rules holds each sample once, whatever fails:
+// A trainer that follows these rules gets each sample exactly once, whatever fails:
 //
-//   - It submits a step (PUT), then pulls until it holds every group. One pull
-//     is outstanding at a time, on a connection of its own.
-//   - Each pull carries its cursor, the groups it holds. It takes an answer as a
-//     whole and only when it parses to its end with "end":true, is the answer to
-//     its newest pull, and judged_by isn't below the newest version that it
-//     knows at receipt. Anything else it drops, and pulls again.
-//   - It stays with the daemon that took the submission until a call to that
-//     one fails, and only then takes another from the balancer. While daemons
-//     don't agree on a job's owner (in their first seconds, or parted), going
-//     round them would find one after another that doesn't know the step.
-//   - Told 404 (step unknown) it submits again with its cursor, to the same
-//     daemon, after a random pause that doubles from some 20 ms to a second and
-//     starts over with the next whole answer. Other refusals name their pause in
+//   - It submits a step (PUT), then pulls until it holds every group. It has one pull
+//     outstanding at a time, on a dedicated connection.
+//   - Each pull contains the trainer's cursor, which is the set of groups that it holds.
+//     The trainer accepts an answer only as a whole, and only if it parses to its end
+//     with "end":true, is the answer to the trainer's newest pull, and has a judged_by
+//     that isn't below the newest version that the trainer knows on receipt. It discards
+//     any other answer and pulls again.
+//   - It keeps using the daemon that accepted the submission until a call to it fails,
+//     and only then gets another one from the load balancer. While the daemons disagree
+//     about a job's owner (in their first seconds, or during a network partition),
+//     trying each daemon in turn would find one after another that doesn't know the step.
+//   - After a 404 (step unknown) it submits the step again with its cursor, to the same
+//     daemon, after a random delay. The delay doubles from about 20 ms up to a second and
+//     is reset by the next complete answer. Other refusals specify their delay in
 //     Retry-After.
-//   - Restarted, it submits again with the cursor that it saved along with the
-//     samples, or with none and takes everything anew.
+//   - After a restart it submits the step again, either with the cursor that it saved
+//     together with the samples, or without a cursor to get every group again.
 package rollouts
--- a/internal/rollouts/errors.go
+++ b/internal/rollouts/errors.go
@@ -7,19 +7,19 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Kind sorts the errors that a trainer can get.
+// Kind classifies the errors that a trainer can get.
 type Kind int
 
-// The kinds of Error.
+// Kinds of Error.
 const (
-	Unavailable Kind = iota // try again after RetryAfter
+	Unavailable Kind = iota // retry after RetryAfter
 	UnknownJob
-	UnknownStep // submit it again
-	Conflict    // the step was submitted with other content
+	UnknownStep // submit the step again
+	Conflict    // the step was submitted with different content
 	Forbidden
-	Draining   // this daemon stops; another one takes the call
-	BadRequest // the request itself is wrong
-	TooLarge   // over a limit of the API
+	Draining   // this daemon is stopping; send the call to another one
+	BadRequest // the request is invalid
+	TooLarge   // the request exceeds a limit of the API
 	Cancelled  // the job or the step was cancelled
 )
 
@@ -28,7 +28,7 @@
 	"forbidden", "draining", "bad request", "too large", "cancelled",
 }
 
-// String returns the kind's name as in a problem document's title.
+// String returns the name of the kind, as used in the title of a problem document.
 func (k Kind) String() string {
 	if k < 0 || int(k) >= len(kindNames) {
 		return "unknown kind"
@@ -36,11 +36,11 @@
 	return kindNames[k]
 }
 
-// Error is what every method of Manager fails with. None of the calls that fail
-// with it began a step, so to its trainer each one is "not run".
+// Error is the error type of all methods of Manager. A call that fails with it has not
+// started a step, so for the trainer its outcome is "not run".
 type Error struct {
 	Kind       Kind
-	RetryAfter time.Duration // 0: don't wait
+	RetryAfter time.Duration // delay before a retry, 0 for none
 	Reason     string
 	Err        error // cause, may be nil
 }
@@ -60,15 +60,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// retryDelay is what a trainer is told to wait where nothing better is known.
-const retryDelay = time.Second
+// defaultRetryAfter is the RetryAfter of errors for which no better value is known.
+const defaultRetryAfter = time.Second
 
-func unknownStep(k stepKey) *Error {
+func unknownStepError(k stepKey) *Error {
 	return &Error{Kind: UnknownStep, Reason: fmt.Sprintf("job %s step %d isn't held here", k.job, k.step)}
 }
 
-func unknownJob(job ident.Job) *Error {
+func unknownJobError(job ident.Job) *Error {
 	return &Error{Kind: UnknownJob, Reason: string(job)}
 }
 
-func draining() *Error { return &Error{Kind: Draining, RetryAfter: retryDelay} }
+func drainingError() *Error { return &Error{Kind: Draining, RetryAfter: defaultRetryAfter} }
--- a/internal/rollouts/interfaces.go
+++ b/internal/rollouts/interfaces.go
@@ -8,50 +8,51 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// GenerateRequest is one attempt at a sample.
+// GenerateRequest describes one attempt at generating a sample.
 type GenerateRequest struct {
-	ID             ident.RequestID // differs for each attempt at each owner
+	ID             ident.RequestID // unique for each attempt and each owner
 	Team           ident.Team
 	Model          ident.Model
 	Prompt         string
 	MaxTokens      int
 	Seed           int64 // the same for all attempts at a sample
 	Deadline       time.Time
-	ExpectedTokens int
-	MinVersion     ident.Version
-	Straggler      bool          // one of the step's last samples
-	Prefer         ident.Version // an engine that serves it, if one has room
+	ExpectedTokens int           // expected length of the completion, 0 if unknown
+	MinVersion     ident.Version // oldest version that may generate the sample, 0 for any
+	Straggler      bool          // one of the last samples of the step
+	Prefer         ident.Version // prefer an engine that serves this version or a newer one, if one has capacity
 }
 
-// Generated is a whole completion. Segments cover exactly its Tokens.
+// Generated is a complete completion. Segments cover exactly its Tokens.
 type Generated struct {
 	Text     string
-	Tokens   int
+	Tokens   int // number of tokens in Text
 	Segments []rollout.Segment
 }
 
-// Generator runs attempts. began, when not nil, is called at most once, with
-// the version of the first token. Errors: *WorkError, others count as transient.
+// Generator runs attempts. It calls began, if not nil, at most once, with the version
+// of the first token. Its errors are *WorkError; any other error counts as transient.
 type Generator interface {
 	Generate(ctx context.Context, r GenerateRequest, began func(ident.Version)) (Generated, error)
 }
 
-// ScoreRequest asks for the reward of one completion.
+// ScoreRequest requests the reward of one completion.
 type ScoreRequest struct {
 	ID         ident.RequestID
 	Team       ident.Team
-	Group      string // of scorers
+	Group      string // name of the scorer group
 	Prompt     string
 	Completion string
 	Deadline   time.Time
 }
 
-// Scorer scores completions. Errors: *WorkError, others count as transient.
+// Scorer scores completions. Its errors are *WorkError; any other error counts as
+// transient.
 type Scorer interface {
 	Score(ctx context.Context, r ScoreRequest) (float64, error)
 }
 
-// WorkError says how an attempt failed.
+// WorkError is a failure to generate or score a sample.
 type WorkError struct {
 	Failure rollout.Failure
 	Err     error
@@ -63,36 +64,37 @@
 // Unwrap returns the cause.
 func (e *WorkError) Unwrap() error { return e.Err }
 
-// Versions knows the newest published version of a model, from the weight store
-// or from peers; 0 if none is known.
+// Versions provides the newest published version of a model, as known from the weight
+// store or from peers, or 0 if none is known.
 type Versions interface {
 	NewestPublished(model ident.Model) ident.Version
-	// Expect tells of a version that a trainer knows and NewestPublished doesn't yet.
-	// The trainer's word isn't enough to order it; the store is asked again soon.
+	// Expect reports a version that a trainer knows but NewestPublished doesn't return
+	// yet. It causes the weight store to be checked again soon. The trainer's claim alone
+	// isn't a reason to have engines load the version.
 	Expect(model ident.Model, v ident.Version)
 }
 
-// JobSettings is what the configuration says of a job.
+// JobSettings are the settings of a job in the configuration.
 type JobSettings struct {
 	Model           ident.Model
-	Scorer          string
-	GroupSize       int
-	Bound           int64 // staleness bound in versions, the job's or its model's
-	MaxTokens       int
-	StalenessWeight float64
+	Scorer          string  // name of the scorer group
+	GroupSize       int     // samples per prompt
+	Bound           int64   // staleness bound in versions, from the job or else its model
+	MaxTokens       int     // limit on the length of a completion, in tokens
+	StalenessWeight float64 // trade-off from 0 (only minimize idle time) to 1 (only minimize staleness)
 	Cancelled       bool
 }
 
-// Jobs looks jobs up in the configuration in force.
+// Jobs looks up jobs in the configuration in force.
 type Jobs interface {
 	Job(team ident.Team, job ident.Job) (JobSettings, bool)
 }
 
-// Peers finds a job's owner and forwards to it. An error of a Forward method is
-// an *Error when the owner answered; any other error means that it couldn't be
-// reached or didn't answer in the context's time.
+// Peers finds the owner of a job and forwards requests to it. The Forward methods
+// return an *Error if the owner answered with it. Any other error means that the owner
+// couldn't be reached or didn't answer before the context ended.
 type Peers interface {
-	// Owner returns the VM that owns a key, and whether that is this one.
+	// Owner returns the VM that owns a key and whether it is this VM.
 	Owner(key string) (vm ident.VM, self bool)
 	ForwardSubmit(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step, r SubmitRequest) (SubmitResponse, error)
 	ForwardPull(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step, r PullRequest) (*PullResponse, error)
@@ -100,33 +102,33 @@
 	ForwardCancel(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step) error
 }
 
-// Kinds of StepEvent. A step's own have no sample.
+// Kinds of StepEvent. The events of a step as a whole have no sample.
 const (
 	StepTaken       = "step-taken"
 	PullAnswered    = "pull-answered"
 	StepEnded       = "step-ended"
-	SampleStarted   = "sample-started"   // Version: the oldest that may generate it
-	SampleGenerated = "sample-generated" // Version: the oldest that did
+	SampleStarted   = "sample-started"   // Version is the oldest one that may generate the sample
+	SampleGenerated = "sample-generated" // Version is the oldest one that generated a token
 	SampleScored    = "sample-scored"
-	SampleFailed    = "sample-failed"    // the attempt, at generating or scoring
-	SampleCancelled = "sample-cancelled" // too old, or not wanted any more
-	SampleOffered   = "sample-offered"   // sent; that it arrived shows in a cursor only
+	SampleFailed    = "sample-failed"    // an attempt failed to be generated or scored
+	SampleCancelled = "sample-cancelled" // too old, or no longer needed
+	SampleOffered   = "sample-offered"   // sent; only a later cursor shows that it arrived
 )
 
-// StepEvent is a step's or a sample's entry in the time line. It holds no
-// prompt and no completion.
+// StepEvent is an entry in the time line for a step or a sample. It contains no prompt
+// and no completion.
 type StepEvent struct {
 	Kind    string
 	Team    ident.Team
 	Job     ident.Job
 	Step    ident.Step
-	Sample  *rollout.SampleID // nil: the whole step
+	Sample  *rollout.SampleID // nil for the step as a whole
 	Request ident.RequestID   // of the attempt
-	Version ident.Version     // newest known to the step, if the kind names no other
+	Version ident.Version     // newest version known to the step, unless the kind defines another meaning
 	Detail  string
 }
 
-// Recorder takes events for the time line.
+// Recorder records events in the time line.
 type Recorder interface {
 	RecordStep(e StepEvent)
 }
--- a/internal/rollouts/manager.go
+++ b/internal/rollouts/manager.go
@@ -13,20 +13,21 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/metrics"
 )
 
-// stepKey names a step.
+// stepKey identifies a step.
 type stepKey struct {
 	team ident.Team
 	job  ident.Job
 	step ident.Step
 }
 
-// ownerKey is the key by which a job's owner is found.
+// ownerKey returns the key that Peers maps to the owner of the step's job.
 func (k stepKey) ownerKey() string { return string(k.team) + "/" + string(k.job) }
 
-// String returns the key as it stands in logs.
+// String returns the key in the form used in logs, request IDs and seeds.
 func (k stepKey) String() string { return k.ownerKey() + "/" + strconv.FormatInt(int64(k.step), 10) }
 
-// shardCount spreads the steps over locks. A lock is held for map accesses only.
+// shardCount is the number of locks among which the steps are divided. A lock is only
+// held for accesses to the map.
 const shardCount = 16
 
 type shard struct {
@@ -34,38 +35,38 @@
 	steps map[stepKey]*runner
 }
 
-// Manager holds the steps of this daemon and forwards to their owners elsewhere.
-// It is safe for concurrent use.
+// Manager holds the steps of this daemon and forwards requests for other steps to their
+// owners. It is safe for concurrent use.
 type Manager struct {
-	options  Options
-	shards   [shardCount]shard
-	held     atomic.Int64 // steps, over all shards
-	bytes    atomic.Int64 // of prompts and completions, over all steps
-	draining chan struct{}
-	drain    sync.Once
-	base     context.Context // of all work
-	stop     context.CancelFunc
-	runners  sync.WaitGroup
+	options    Options
+	shards     [shardCount]shard
+	heldSteps  atomic.Int64    // number of steps in all shards
+	heldBytes  atomic.Int64    // size of the prompts and completions of all steps
+	draining   chan struct{}   // closed when a drain starts
+	drainOnce  sync.Once       // closes draining
+	baseCtx    context.Context // parent context of all work
+	cancelWork context.CancelFunc
+	runners    sync.WaitGroup
 }
 
 var (
-	stepsHeld       = metrics.Gauge("rollout_steps_held")
-	bytesHeld       = metrics.Gauge("rollout_bytes_held")
-	stepsCreated    = metrics.Counter("rollout_steps_created")
-	stepsIdle       = metrics.Counter("rollout_steps_dropped_idle")
-	stepsCancelled  = metrics.Counter("rollout_steps_cancelled")
-	stepsGivenUp    = metrics.Counter("rollout_steps_given_up_draining")
-	pullsAnswered   = metrics.Counter("rollout_pulls_answered")
-	pullsUnknown    = metrics.Counter("rollout_pulls_of_unknown_steps")
-	pullsSuperseded = metrics.Counter("rollout_pulls_superseded")
-	forwards        = metrics.Counter("rollout_forwards")
-	forwardsFailed  = metrics.Counter("rollout_forwards_failed")
-	attemptsStarted = metrics.Counter("rollout_attempts")
-	attemptsFailed  = metrics.Counter("rollout_attempts_failed")
-	samplesStale    = metrics.Counter("rollout_samples_stale")
-	unlabelled      = metrics.Counter("rollout_samples_unlabelled")
-	groupsFailed    = metrics.Counter("rollout_groups_failed")
-	groupsOffered   = metrics.Counter("rollout_groups_offered")
+	stepsHeldGauge       = metrics.Gauge("rollout_steps_held")
+	bytesHeldGauge       = metrics.Gauge("rollout_bytes_held")
+	stepsCreated         = metrics.Counter("rollout_steps_created")
+	stepsDroppedIdle     = metrics.Counter("rollout_steps_dropped_idle")
+	stepsCancelled       = metrics.Counter("rollout_steps_cancelled")
+	stepsGivenUpDraining = metrics.Counter("rollout_steps_given_up_draining")
+	pullsAnswered        = metrics.Counter("rollout_pulls_answered")
+	pullsOfUnknownSteps  = metrics.Counter("rollout_pulls_of_unknown_steps")
+	pullsSuperseded      = metrics.Counter("rollout_pulls_superseded")
+	forwards             = metrics.Counter("rollout_forwards")
+	forwardsFailed       = metrics.Counter("rollout_forwards_failed")
+	attemptsStarted      = metrics.Counter("rollout_attempts")
+	attemptsFailed       = metrics.Counter("rollout_attempts_failed")
+	samplesStale         = metrics.Counter("rollout_samples_stale")
+	samplesUnlabelled    = metrics.Counter("rollout_samples_unlabelled")
+	groupsFailed         = metrics.Counter("rollout_groups_failed")
+	groupsOffered        = metrics.Counter("rollout_groups_offered")
 )
 
 // New returns a Manager without steps.
@@ -74,7 +75,7 @@
 		options:  options.withDefaults(),
 		draining: make(chan struct{}),
 	}
-	m.base, m.stop = context.WithCancel(context.Background())
+	m.baseCtx, m.cancelWork = context.WithCancel(context.Background())
 	for i := range m.shards {
 		m.shards[i].steps = map[stepKey]*runner{}
 	}
@@ -87,14 +88,14 @@
 	return &m.shards[h.Sum32()%shardCount]
 }
 
-// full says that with more bytes the steps would hold more than they may. Each
-// step's own bound isn't enough: many steps at once would sum up to more memory
-// than the VM has, and the daemon be killed with all of them.
-func (m *Manager) full(more int64) bool {
-	return m.bytes.Load()+more > m.options.MaxHeldBytes
+// exceedsMemory reports whether the steps would hold more than MaxHeldBytes with another
+// number of bytes. The limit for each step isn't enough: many steps together could
+// exceed the memory of the VM, and the daemon would be killed with all of them.
+func (m *Manager) exceedsMemory(additional int64) bool {
+	return m.heldBytes.Load()+additional > m.options.MaxHeldBytes
 }
 
-// lookup returns the runner of a step held here, nil if there is none.
+// lookup returns the runner of a step held here, or nil if the step isn't held here.
 func (m *Manager) lookup(k stepKey) *runner {
 	s := m.shardOf(k)
 	s.mu.Lock()
@@ -102,7 +103,7 @@
 	return s.steps[k]
 }
 
-// remove takes a runner out of its shard, unless another one took its place.
+// remove removes a runner from its shard, unless another runner has replaced it.
 func (m *Manager) remove(r *runner) {
 	s := m.shardOf(r.key)
 	s.mu.Lock()
@@ -111,10 +112,10 @@
 		return
 	}
 	delete(s.steps, r.key)
-	stepsHeld.Set(m.held.Add(-1))
+	stepsHeldGauge.Set(m.heldSteps.Add(-1))
 }
 
-// isDraining says whether Drain was called.
+// isDraining reports whether a drain has started.
 func (m *Manager) isDraining() bool {
 	select {
 	case <-m.draining:
@@ -124,15 +125,15 @@
 	}
 }
 
-// Drain hands everything over. From now on no step is taken, a waiting pull is
-// answered at once with what is finished, and a step is given up as soon as
-// nothing finished is left for its trainer, after DrainGrace at the latest; its
-// trainer then submits it to another daemon. Samples that were being made are
-// lost work. Drain returns when no step is left or, with its error, when ctx ends.
+// Drain hands all steps over to other daemons. From now on no step is accepted and
+// waiting pulls are answered immediately with the finished groups. A step ends as soon
+// as the trainer holds all its finished groups, and after DrainGrace at the latest. Its
+// trainer then submits it to another daemon. Samples that were still being generated are
+// lost. Drain returns nil when no step is left, or the context's error if ctx ends first.
 func (m *Manager) Drain(ctx context.Context) error {
-	m.drain.Do(func() {
-		m.options.Log.Info().Int64("steps", m.held.Load()).Msg("rollouts draining")
-		m.closeIntake()
+	m.drainOnce.Do(func() {
+		m.options.Log.Info().Int64("steps", m.heldSteps.Load()).Msg("draining training steps")
+		m.stopAccepting()
 	})
 	ended := make(chan struct{})
 	go func() {
@@ -143,41 +144,41 @@
 	case <-ended:
 		return nil
 	case <-ctx.Done():
-		m.stop()
+		m.cancelWork()
 		return ctx.Err()
 	}
 }
 
-// closeIntake lets no more step in. Passing each shard's lock waits for
-// submissions that had already looked.
-func (m *Manager) closeIntake() {
+// stopAccepting makes the manager reject new steps. It acquires the lock of each shard
+// once, to wait for submissions that checked isDraining before.
+func (m *Manager) stopAccepting() {
 	close(m.draining)
 	for i := range m.shards {
 		m.shards[i].list()
 	}
 }
 
-// Close ends all work at once and waits until it has ended. Waiting pulls fail.
+// Close cancels all work immediately and waits until it has ended. Waiting pulls fail.
 func (m *Manager) Close() {
-	m.drain.Do(m.closeIntake)
-	m.stop()
+	m.drainOnce.Do(m.stopAccepting)
+	m.cancelWork()
 	m.runners.Wait()
 }
 
 // List returns the steps held here.
 func (m *Manager) List(ctx context.Context) []StatusResponse {
-	var all []StatusResponse
+	var statuses []StatusResponse
 	for i := range m.shards {
 		for _, r := range m.shards[i].list() {
 			if status, err := r.status(ctx); err == nil {
-				all = append(all, status)
+				statuses = append(statuses, status)
 			}
 		}
 	}
-	return all
+	return statuses
 }
 
-// ListLocal returns a team's steps held here, by job and step.
+// ListLocal returns the steps of a team held here, sorted by job and step.
 func (m *Manager) ListLocal(ctx context.Context, team ident.Team) ([]StatusResponse, error) {
 	steps := slices.DeleteFunc(m.List(ctx), func(s StatusResponse) bool { return s.Team != team })
 	slices.SortFunc(steps, func(a, b StatusResponse) int {
--- a/internal/rollouts/manager_test.go
+++ b/internal/rollouts/manager_test.go
@@ -22,118 +22,122 @@
 	job  = ident.Job("drafts")
 )
 
-// world holds the daemons of a test and what they share. Time is synctest's.
-type world struct {
-	t        *testing.T
-	mu       sync.Mutex
-	settings JobSettings
-	known    bool // the job is in the configuration
-	version  ident.Version
-	took     time.Duration // of an attempt
-	poison   string        // prompt that can't be made
-	owner    ident.VM
-	cut      map[ident.VM]error // what forwarding to a VM fails with; errFrozen never answers
-	managers map[ident.VM]*Manager
-	running  int
-	expected []ident.Version
+// cluster holds the daemons of a test and fakes what they share: engines, a scorer, the
+// configuration and the weight store. Time is synctest's fake clock.
+type cluster struct {
+	t                *testing.T
+	mu               sync.Mutex
+	settings         JobSettings
+	jobExists        bool // in the configuration
+	publishedVersion ident.Version
+	generateTime     time.Duration // of each attempt
+	poisonPrompt     string        // text of a prompt that can't be generated
+	owner            ident.VM
+	forwardErrors    map[ident.VM]error // returned when forwarding to a VM; for errFrozen the call never returns
+	managers         map[ident.VM]*Manager
+	runningAttempts  int
+	expectedVersions []ident.Version // passed to Expect
 }
 
 var (
-	errCut    = errors.New("connection refused")
-	errFrozen = errors.New("frozen")
+	errRefused = errors.New("connection refused")
+	errFrozen  = errors.New("frozen")
 )
 
-func run(t *testing.T, body func(*world, Gomega)) {
+// runCluster runs body with a cluster of two daemons, "a" (the owner) and "b".
+func runCluster(t *testing.T, body func(*cluster, Gomega)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
-			t:        t,
-			settings: JobSettings{Model: "clerk", Scorer: "rolls", GroupSize: 2, Bound: 2},
-			known:    true,
-			version:  5,
-			took:     time.Second,
-			owner:    "a",
-			cut:      map[ident.VM]error{},
-			managers: map[ident.VM]*Manager{},
+		w := &cluster{
+			t:                t,
+			settings:         JobSettings{Model: "clerk", Scorer: "rolls", GroupSize: 2, Bound: 2},
+			jobExists:        true,
+			publishedVersion: 5,
+			generateTime:     time.Second,
+			owner:            "a",
+			forwardErrors:    map[ident.VM]error{},
+			managers:         map[ident.VM]*Manager{},
 		}
-		w.start("a")
-		w.start("b")
+		w.startDaemon("a")
+		w.startDaemon("b")
 		defer w.close()
 		body(w, NewWithT(t))
 	})
 }
 
-func (w *world) start(vm ident.VM) *Manager {
-	w.managers[vm] = New(Options{Generator: w, Scorer: w, Versions: w, Jobs: w, Peers: view{w, vm}, Log: zerolog.Nop()})
+func (w *cluster) startDaemon(vm ident.VM) *Manager {
+	w.managers[vm] = New(Options{Generator: w, Scorer: w, Versions: w, Jobs: w, Peers: clusterPeers{w, vm}, Log: zerolog.Nop()})
 	return w.managers[vm]
 }
 
-// close ends the daemons, also after a failed expectation.
-func (w *world) close() {
+// close stops the daemons, even after a failed expectation.
+func (w *cluster) close() {
 	for _, m := range w.managers {
 		m.Close()
 	}
 	synctest.Wait()
-	if w.running != 0 {
-		w.t.Errorf("%d attempts left running", w.running)
+	if w.runningAttempts != 0 {
+		w.t.Errorf("%d attempts left running", w.runningAttempts)
 	}
 }
 
-func (w *world) set(change func()) {
+// update changes the cluster under its lock.
+func (w *cluster) update(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-func (w *world) NewestPublished(ident.Model) ident.Version {
+func (w *cluster) NewestPublished(ident.Model) ident.Version {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.version
+	return w.publishedVersion
 }
 
-func (w *world) Expect(_ ident.Model, v ident.Version) {
-	w.set(func() { w.expected = append(w.expected, v) })
+func (w *cluster) Expect(_ ident.Model, v ident.Version) {
+	w.update(func() { w.expectedVersions = append(w.expectedVersions, v) })
 }
 
-func (w *world) Job(ident.Team, ident.Job) (JobSettings, bool) {
+func (w *cluster) Job(ident.Team, ident.Job) (JobSettings, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.settings, w.known
+	return w.settings, w.jobExists
 }
 
-func (w *world) Generate(ctx context.Context, r GenerateRequest, began func(ident.Version)) (Generated, error) {
+func (w *cluster) Generate(ctx context.Context, r GenerateRequest, began func(ident.Version)) (Generated, error) {
 	v := w.NewestPublished(r.Model)
-	w.set(func() { w.running++ })
-	defer w.set(func() { w.running-- })
+	w.update(func() { w.runningAttempts++ })
+	defer w.update(func() { w.runningAttempts-- })
 	began(v)
 	select {
 	case <-ctx.Done():
 		return Generated{}, ctx.Err()
-	case <-time.After(w.took):
+	case <-time.After(w.generateTime):
 	}
-	if r.Prompt == w.poison {
-		return Generated{}, &WorkError{Failure: rollout.Failure{Kind: rollout.Poison, Reason: "poison"}, Err: errCut}
+	if r.Prompt == w.poisonPrompt {
+		return Generated{}, &WorkError{Failure: rollout.Failure{Kind: rollout.Poison, Reason: "poison"}, Err: errRefused}
 	}
 	return Generated{Text: string(r.ID), Tokens: 4, Segments: []rollout.Segment{{Version: v, To: 4}}}, nil
 }
 
-func (w *world) Score(context.Context, ScoreRequest) (float64, error) { return 0.5, nil }
+func (w *cluster) Score(context.Context, ScoreRequest) (float64, error) { return 0.5, nil }
 
-// view is one daemon's Peers.
-type view struct {
-	*world
+// clusterPeers implements Peers for one daemon.
+type clusterPeers struct {
+	*cluster
 	self ident.VM
 }
 
-func (v view) Owner(string) (ident.VM, bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.owner, v.owner == v.self
+func (p clusterPeers) Owner(string) (ident.VM, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.owner, p.owner == p.self
 }
 
-func (v view) reach(ctx context.Context, vm ident.VM) (*Manager, error) {
-	v.mu.Lock()
-	m, err := v.managers[vm], v.cut[vm]
-	v.mu.Unlock()
+// managerAt returns the manager of a VM, or the error with which forwarding to it fails.
+func (p clusterPeers) managerAt(ctx context.Context, vm ident.VM) (*Manager, error) {
+	p.mu.Lock()
+	m, err := p.managers[vm], p.forwardErrors[vm]
+	p.mu.Unlock()
 	if errors.Is(err, errFrozen) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -141,39 +145,40 @@
 	return m, err
 }
 
-func (v view) ForwardSubmit(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step, r SubmitRequest) (SubmitResponse, error) {
-	m, err := v.reach(ctx, vm)
+func (p clusterPeers) ForwardSubmit(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step, r SubmitRequest) (SubmitResponse, error) {
+	m, err := p.managerAt(ctx, vm)
 	if err != nil {
 		return SubmitResponse{}, err
 	}
 	return m.SubmitLocal(ctx, team, job, step, r)
 }
 
-func (v view) ForwardPull(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step, r PullRequest) (*PullResponse, error) {
-	m, err := v.reach(ctx, vm)
+func (p clusterPeers) ForwardPull(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step, r PullRequest) (*PullResponse, error) {
+	m, err := p.managerAt(ctx, vm)
 	if err != nil {
 		return nil, err
 	}
 	return m.PullLocal(ctx, team, job, step, r)
 }
 
-func (v view) ForwardStatus(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step) (StatusResponse, error) {
-	m, err := v.reach(ctx, vm)
+func (p clusterPeers) ForwardStatus(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step) (StatusResponse, error) {
+	m, err := p.managerAt(ctx, vm)
 	if err != nil {
 		return StatusResponse{}, err
 	}
 	return m.StatusLocal(ctx, team, job, step)
 }
 
-func (v view) ForwardCancel(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step) error {
-	m, err := v.reach(ctx, vm)
+func (p clusterPeers) ForwardCancel(ctx context.Context, vm ident.VM, team ident.Team, job ident.Job, step ident.Step) error {
+	m, err := p.managerAt(ctx, vm)
 	if err != nil {
 		return err
 	}
 	return m.CancelLocal(ctx, team, job, step)
 }
 
-func prompts(n int) SubmitRequest {
+// newSubmitRequest returns a submission with n prompts.
+func newSubmitRequest(n int) SubmitRequest {
 	r := SubmitRequest{TrainerVersion: 5}
 	for g := range n {
 		r.Prompts = append(r.Prompts, rollout.Prompt{Text: fmt.Sprintf("prompt %d", g)})
@@ -181,16 +186,19 @@
 	return r
 }
 
-func (w *world) submit(vm ident.VM, r SubmitRequest) (SubmitResponse, error) {
+// submit submits step 1 to a daemon.
+func (w *cluster) submit(vm ident.VM, r SubmitRequest) (SubmitResponse, error) {
 	return w.managers[vm].Submit(w.t.Context(), team, job, 1, r)
 }
 
-func (w *world) pull(vm ident.VM, v ident.Version, have ...uint32) (*PullResponse, error) {
+// pull pulls step 1 from a daemon with a wait time of 2 s.
+func (w *cluster) pull(vm ident.VM, trainerVersion ident.Version, have ...uint32) (*PullResponse, error) {
 	cursor, _ := EncodeHave(roaring.BitmapOf(have...))
-	return w.managers[vm].Pull(w.t.Context(), team, job, 1, PullRequest{Have: cursor, TrainerVersion: v, WaitMillis: 2000})
+	return w.managers[vm].Pull(w.t.Context(), team, job, 1, PullRequest{Have: cursor, TrainerVersion: trainerVersion, WaitMillis: 2000})
 }
 
-func kind(err error) Kind {
+// errorKind returns the kind of an *Error, or -1 for other errors.
+func errorKind(err error) Kind {
 	var e *Error
 	if !errors.As(err, &e) {
 		return -1
@@ -198,16 +206,16 @@
 	return e.Kind
 }
 
-func TestStepIsMadeAndPulledThroughAnyDaemon(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		r, err := w.submit("b", prompts(3))
+func TestSubmitAndPullThroughAnyDaemon(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		r, err := w.submit("b", newSubmitRequest(3))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r).To(Equal(SubmitResponse{Job: job, Step: 1, Groups: 3, GroupSize: 2, Created: true}))
-		r, err = w.submit("a", prompts(3))
+		r, err = w.submit("a", newSubmitRequest(3))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.Created).To(BeFalse())
-		_, err = w.submit("b", prompts(2))
-		g.Expect(kind(err)).To(Equal(Conflict))
+		_, err = w.submit("b", newSubmitRequest(2))
+		g.Expect(errorKind(err)).To(Equal(Conflict))
 		var have []uint32
 		for len(have) < 3 {
 			answer, err := w.pull("b", 5, have...)
@@ -220,7 +228,7 @@
 			}
 			g.Expect(answer.Whole).To(Equal(len(have) == 3))
 		}
-		_, err = w.pull("b", 5, have...) // only now the owner knows what arrived
+		_, err = w.pull("b", 5, have...) // this cursor tells the owner which groups arrived
 		g.Expect(err).NotTo(HaveOccurred())
 		status, err := w.managers["b"].Status(w.t.Context(), team, job, 1)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -229,23 +237,24 @@
 	})
 }
 
-// The owner is killed in mid-step, or stopped so that its connections stay open
-// and say nothing. The trainer sees "submit it again" within its wait and two
-// seconds, submits through the same daemon, and gets what it doesn't hold yet.
+// Failure: the owner crashes in the middle of a step, or freezes so that its connections
+// stay open without an answer. The trainer must get UnknownStep within its wait time plus
+// two seconds, submit the step again through the same daemon, and get the groups that it
+// doesn't hold yet.
 func TestOwnerLost(t *testing.T) {
-	for name, fault := range map[string]error{"killed": errCut, "frozen": errFrozen} {
+	for name, fault := range map[string]error{"killed": errRefused, "frozen": errFrozen} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(w *world, g Gomega) {
-				_, err := w.submit("b", prompts(4))
+			runCluster(t, func(w *cluster, g Gomega) {
+				_, err := w.submit("b", newSubmitRequest(4))
 				g.Expect(err).NotTo(HaveOccurred())
-				w.set(func() { w.cut["a"] = fault })
+				w.update(func() { w.forwardErrors["a"] = fault })
 				start := time.Now()
 				_, err = w.pull("b", 5)
-				g.Expect(kind(err)).To(Equal(UnknownStep))
+				g.Expect(errorKind(err)).To(Equal(UnknownStep))
 				g.Expect(time.Since(start)).To(BeNumerically("<=", 4*time.Second))
-				again := prompts(4)
-				again.Have, _ = EncodeHave(roaring.BitmapOf(0, 1, 2))
-				_, err = w.submit("b", again)
+				resubmit := newSubmitRequest(4)
+				resubmit.Have, _ = EncodeHave(roaring.BitmapOf(0, 1, 2))
+				_, err = w.submit("b", resubmit)
 				g.Expect(err).NotTo(HaveOccurred())
 				answer, err := w.pull("b", 5, 0, 1, 2)
 				g.Expect(err).NotTo(HaveOccurred())
@@ -257,25 +266,26 @@
 	}
 }
 
-// A daemon joins in mid-step and becomes the job's owner: two daemons hold the
-// step. The trainer still gets what the former one has finished, each group
-// once, and the former one stops its double work although pulls reach it.
+// Failure: a daemon joins in the middle of a step and becomes the job's owner, so two
+// daemons hold the step. The trainer must still get the groups that the previous owner has
+// finished, each once, and the previous owner must stop its duplicate work although it
+// still receives pulls.
 func TestTwoOwners(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(2))
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(2))
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(1500 * time.Millisecond)
-		w.set(func() { w.owner, w.took = "b", time.Hour })
+		w.update(func() { w.owner, w.generateTime = "b", time.Hour })
 		_, err = w.pull("b", 5)
-		g.Expect(kind(err)).To(Equal(UnknownStep))
-		_, err = w.submit("a", prompts(2))
+		g.Expect(errorKind(err)).To(Equal(UnknownStep))
+		_, err = w.submit("a", newSubmitRequest(2))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(w.managers["b"].List(w.t.Context())).To(HaveLen(1))
 		answer, err := w.pull("a", 5)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(answer.Groups).To(HaveLen(2))
 		for range 20 {
-			_, err = w.pull("a", 9, 0) // what a has left of the step is stale by now
+			_, err = w.pull("a", 9, 0) // the groups that a still holds are stale by now
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		g.Expect(w.managers["a"].List(w.t.Context())).To(BeEmpty())
@@ -285,14 +295,15 @@
 	})
 }
 
-// A step's samples are finished and wait. Two versions later the trainer pulls.
-// It must not see them; the pull goes on waiting and brings fresh ones.
-func TestSamplesThatAgedWhileBufferedAreMadeAgain(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(1))
+// Failure: finished samples wait for a pull while newer versions are published, and the
+// trainer gets samples beyond the staleness bound. The pull must keep waiting and return
+// samples of the new version.
+func TestStaleBufferedSamplesAreRegenerated(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(1))
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(1500 * time.Millisecond)
-		w.set(func() { w.version = 8 })
+		w.update(func() { w.publishedVersion = 8 })
 		answer, err := w.pull("a", 5)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(answer.JudgedBy).To(BeEquivalentTo(8))
@@ -303,11 +314,11 @@
 	})
 }
 
-// The trainer's connection is cut and it pulls again while its first pull still
-// waits here. The first one's old cursor must not undo the second one's.
-func TestNewerPullReplacesTheWaitingOne(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(1))
+// Failure: the trainer's connection breaks and it pulls again while its first pull still
+// waits here, and the older cursor of the first pull overrides that of the second.
+func TestNewerPullSupersedesWaitingPull(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(1))
 		g.Expect(err).NotTo(HaveOccurred())
 		first := make(chan error, 1)
 		go func() {
@@ -318,63 +329,64 @@
 		answer, err := w.pull("a", 5, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(answer.Whole).To(BeTrue())
-		g.Expect(kind(<-first)).To(Equal(Unavailable))
+		g.Expect(errorKind(<-first)).To(Equal(Unavailable))
 	})
 }
 
-// Many jobs submit at once. Without a bound over all steps the daemon grows until
-// the VM kills it, and all trainers lose their samples; with it the next one is
-// told to come back, and is taken once the first step has ended.
-func TestMemoryIsBoundedOverAllSteps(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
+// Failure: many jobs submit steps at the same time, the daemon grows until the VM kills
+// it, and all trainers lose their samples. With a limit for all steps together, the next
+// submission is refused with a RetryAfter and accepted once the first step has ended.
+func TestMemoryLimitForAllSteps(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
 		m := w.managers["a"]
-		m.options.MaxHeldBytes = 2 * promptBytes(prompts(3).Prompts)
-		_, err := w.submit("a", prompts(3))
+		m.options.MaxHeldBytes = 2 * promptBytes(newSubmitRequest(3).Prompts)
+		_, err := w.submit("a", newSubmitRequest(3))
 		g.Expect(err).NotTo(HaveOccurred())
-		time.Sleep(1500 * time.Millisecond) // its completions take the rest
-		_, err = m.Submit(w.t.Context(), team, job, 2, prompts(3))
-		g.Expect(kind(err)).To(Equal(Unavailable))
+		time.Sleep(1500 * time.Millisecond) // its completions use up the rest
+		_, err = m.Submit(w.t.Context(), team, job, 2, newSubmitRequest(3))
+		g.Expect(errorKind(err)).To(Equal(Unavailable))
 		g.Expect(err.(*Error).RetryAfter).To(BeNumerically(">", 0))
 		g.Expect(m.Cancel(w.t.Context(), team, job, 1)).To(Succeed())
-		g.Expect(m.bytes.Load()).To(BeZero())
-		_, err = m.Submit(w.t.Context(), team, job, 2, prompts(3))
+		g.Expect(m.heldBytes.Load()).To(BeZero())
+		_, err = m.Submit(w.t.Context(), team, job, 2, newSubmitRequest(3))
 		g.Expect(err).NotTo(HaveOccurred())
 	})
 }
 
-// A sample's way is asked for in the time line: each stage shows, with the
-// attempt's request, and nothing of its text.
-func TestSamplesShowInTheTimeLine(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
+// The time line must show each stage of a sample with the request ID of the attempt, but
+// no generated text.
+func TestTimeLineShowsSamples(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
 		var kinds []string
-		w.managers["a"].options.Recorder = recorder(func(e StepEvent) {
+		w.managers["a"].options.Recorder = recorderFunc(func(e StepEvent) {
 			if e.Sample != nil && *e.Sample == (rollout.SampleID{Group: 1, Index: 1}) {
 				kinds = append(kinds, e.Kind)
 				g.Expect(e.Request == "").To(Equal(e.Kind == SampleOffered))
 				g.Expect(e.Detail).NotTo(ContainSubstring("gen/"))
 			}
 		})
-		_, err := w.submit("a", prompts(2))
+		_, err := w.submit("a", newSubmitRequest(2))
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(500 * time.Millisecond)
-		w.set(func() { w.version = 8 }) // too old now: cancelled and started again
+		w.update(func() { w.publishedVersion = 8 }) // the attempt is too old now, so it is cancelled and started again
 		time.Sleep(2 * time.Second)
 		_, err = w.pull("a", 8)
 		g.Expect(err).NotTo(HaveOccurred())
-		synctest.Wait() // the step records an answer right after it has given it
+		synctest.Wait() // the runner records an answer just after sending it
 		g.Expect(kinds).To(Equal([]string{SampleStarted, SampleCancelled, SampleStarted, SampleGenerated, SampleScored, SampleOffered}))
 	})
 }
 
-type recorder func(StepEvent)
+type recorderFunc func(StepEvent)
 
-func (f recorder) RecordStep(e StepEvent) { f(e) }
+func (f recorderFunc) RecordStep(e StepEvent) { f(e) }
 
-// One prompt is poison. Its group comes as failed as soon as that is known.
-func TestPoisonGroupIsToldAtOnce(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		w.poison = "prompt 0"
-		_, err := w.submit("a", prompts(1))
+// Failure: a prompt is poison, and the trainer waits for its group. The group must be
+// returned as failed as soon as that is known.
+func TestPoisonGroupIsReportedImmediately(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		w.poisonPrompt = "prompt 0"
+		_, err := w.submit("a", newSubmitRequest(1))
 		g.Expect(err).NotTo(HaveOccurred())
 		answer, err := w.pull("a", 5)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -383,24 +395,24 @@
 }
 
 func TestJobCancelledInTheConfiguration(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(1))
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(1))
 		g.Expect(err).NotTo(HaveOccurred())
-		w.set(func() { w.settings.Cancelled = true })
+		w.update(func() { w.settings.Cancelled = true })
 		_, err = w.pull("a", 5)
-		g.Expect(kind(err)).To(Equal(Cancelled))
+		g.Expect(errorKind(err)).To(Equal(Cancelled))
 		g.Expect(w.managers["a"].List(w.t.Context())).To(BeEmpty())
 		synctest.Wait()
-		g.Expect(w.running).To(BeZero())
+		g.Expect(w.runningAttempts).To(BeZero())
 	})
 }
 
-// The owner gets SIGTERM with finished groups that weren't pulled yet. The next
-// pull gets them, the one that confirms them is answered, and from then on the
-// trainer is sent elsewhere. Nothing that was finished is lost.
+// Failure: the owner gets SIGTERM while it has finished groups that haven't been pulled,
+// and their samples are lost. The next pull must return them, the pull that confirms them
+// must be answered, and after that the trainer must be sent to another daemon.
 func TestDrain(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(2))
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(2))
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(1500 * time.Millisecond)
 		drained := make(chan error, 1)
@@ -414,17 +426,17 @@
 		g.Expect(answer.Whole).To(BeTrue())
 		g.Expect(<-drained).To(Succeed())
 		_, err = w.pull("b", 5)
-		g.Expect(kind(err)).To(Equal(UnknownStep))
-		r, err := w.submit("b", prompts(2)) // a refuses as draining, b takes it
+		g.Expect(errorKind(err)).To(Equal(UnknownStep))
+		r, err := w.submit("b", newSubmitRequest(2)) // a is draining and refuses the step, so b accepts it
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.Created).To(BeTrue())
 		g.Expect(w.managers["b"].List(w.t.Context())).To(HaveLen(1))
 	})
 }
 
-func TestDrainAnswersTheWaitingPullWhole(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(2))
+func TestDrainAnswersWaitingPull(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(2))
 		g.Expect(err).NotTo(HaveOccurred())
 		answers := make(chan *PullResponse, 1)
 		go func() {
@@ -437,59 +449,59 @@
 	})
 }
 
-func TestStepsThatNobodyPullsAreDropped(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(1))
+func TestIdleStepsAreDropped(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(1))
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(DefaultIdleTimeout - time.Second)
 		g.Expect(w.managers["a"].List(w.t.Context())).To(HaveLen(1))
 		time.Sleep(2 * time.Second)
 		g.Expect(w.managers["a"].List(w.t.Context())).To(BeEmpty())
-		_, err = w.submit("a", prompts(1))
+		_, err = w.submit("a", newSubmitRequest(1))
 		g.Expect(err).NotTo(HaveOccurred())
-		w.set(func() { w.owner = "b" })
-		time.Sleep(DefaultForeignTimeout + time.Second)
+		w.update(func() { w.owner = "b" })
+		time.Sleep(DefaultNonOwnerIdleTimeout + time.Second)
 		g.Expect(w.managers["a"].List(w.t.Context())).To(BeEmpty())
 	})
 }
 
-func TestBounds(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(MaxPrompts+1))
-		g.Expect(kind(err)).To(Equal(TooLarge))
+func TestLimits(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(MaxPrompts+1))
+		g.Expect(errorKind(err)).To(Equal(TooLarge))
 		_, err = w.submit("a", SubmitRequest{})
-		g.Expect(kind(err)).To(Equal(BadRequest))
+		g.Expect(errorKind(err)).To(Equal(BadRequest))
 		for step := range DefaultMaxSteps {
-			_, err = w.managers["a"].Submit(w.t.Context(), team, job, ident.Step(step+10), prompts(1))
+			_, err = w.managers["a"].Submit(w.t.Context(), team, job, ident.Step(step+10), newSubmitRequest(1))
 			g.Expect(err).NotTo(HaveOccurred())
 		}
-		_, err = w.submit("a", prompts(1))
-		g.Expect(kind(err)).To(Equal(Unavailable))
-		w.set(func() { w.known = false })
-		_, err = w.submit("a", prompts(1))
-		g.Expect(kind(err)).To(Equal(UnknownJob))
+		_, err = w.submit("a", newSubmitRequest(1))
+		g.Expect(errorKind(err)).To(Equal(Unavailable))
+		w.update(func() { w.jobExists = false })
+		_, err = w.submit("a", newSubmitRequest(1))
+		g.Expect(errorKind(err)).To(Equal(UnknownJob))
 	})
 }
 
-// A trainer publishes a version and submits its next step within the second. This
-// daemon's next look at the store would come too late for the step.
-func TestTellsOfVersionsThatOnlyTheTrainerKnows(t *testing.T) {
-	run(t, func(w *world, g Gomega) {
-		_, err := w.submit("a", prompts(1))
+// Failure: a trainer publishes a version and submits its next step within a second, and
+// the daemon's next regular check of the weight store is too late for the step.
+func TestExpectIsCalledForVersionsOnlyTheTrainerKnows(t *testing.T) {
+	runCluster(t, func(w *cluster, g Gomega) {
+		_, err := w.submit("a", newSubmitRequest(1))
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = w.pull("a", 5)
 		g.Expect(err).NotTo(HaveOccurred())
-		w.set(func() { g.Expect(w.expected).To(BeEmpty(), "5 is known") })
+		w.update(func() { g.Expect(w.expectedVersions).To(BeEmpty(), "version 5 is already known") })
 		_, err = w.pull("a", 6)
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(DefaultTickInterval)
-		w.set(func() { g.Expect(w.expected).To(ContainElement(ident.Version(6))) })
+		w.update(func() { g.Expect(w.expectedVersions).To(ContainElement(ident.Version(6))) })
 	})
 }
 
 func FuzzDecodeHave(f *testing.F) {
-	whole, _ := EncodeHave(roaring.BitmapOf(1, 2, 3, 70000))
-	f.Add(whole)
+	valid, _ := EncodeHave(roaring.BitmapOf(1, 2, 3, 70000))
+	f.Add(valid)
 	f.Add("OzAAAAEAAAEAAQAAAA==")
 	f.Fuzz(func(t *testing.T, s string) {
 		have, err := DecodeHave(s)
--- a/internal/rollouts/options.go
+++ b/internal/rollouts/options.go
@@ -9,51 +9,51 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// Options are what a Manager works with. The interfaces are required; zero
-// limits and times get the defaults below.
+// Options configure a Manager. The interfaces are required unless noted otherwise. Zero
+// limits and durations get the defaults below.
 type Options struct {
 	Generator Generator
 	Scorer    Scorer
 	Versions  Versions
 	Jobs      Jobs
 	Peers     Peers
-	Recorder  Recorder // of the time line, may be nil
+	Recorder  Recorder // may be nil
 	Log       zerolog.Logger
 	Step      rollout.Options
 
-	MaxSteps int // held at once
-	// MaxHeldBytes bounds the prompts and completions of all steps together:
-	// above it no step is taken, and those held start samples only while they
-	// have nothing that a pull would free.
+	MaxSteps int // maximum number of steps held at the same time
+	// MaxHeldBytes limits the prompts and completions of all steps together. Above it
+	// no step is accepted, and the steps held start attempts only while a pull couldn't
+	// free any of their memory.
 	MaxHeldBytes   int64
-	MaxAnswerBytes int           // of samples in one answer
-	TickInterval   time.Duration // how often a step looks at time, versions and its job
-	IdleTimeout    time.Duration // a step without a pull for so long is dropped
-	// ForeignTimeout replaces IdleTimeout on a daemon that isn't the job's owner:
-	// it took the step while the owner was out of reach, and the trainer is
-	// served elsewhere by now.
-	ForeignTimeout time.Duration
-	// FinishedTimeout replaces IdleTimeout once the trainer holds every group.
-	FinishedTimeout time.Duration
-	ForwardMargin   time.Duration // on top of a pull's wait, until its owner counts as out of reach
-	AttemptTimeout  time.Duration
-	ScoreTimeout    time.Duration
-	DrainGrace      time.Duration // how long finished groups wait for a last pull in a drain
+	MaxAnswerBytes int           // limit on the size of the samples in one answer
+	TickInterval   time.Duration // how often a step checks timeouts, versions and its job's settings
+	IdleTimeout    time.Duration // a step without a pull for this long is dropped
+	// NonOwnerIdleTimeout replaces IdleTimeout on a daemon that isn't the job's owner. It
+	// accepted the step while the owner was unreachable, and by now the trainer gets its
+	// answers elsewhere.
+	NonOwnerIdleTimeout time.Duration
+	// FinishedIdleTimeout replaces IdleTimeout once the trainer holds every group.
+	FinishedIdleTimeout time.Duration
+	ForwardMargin       time.Duration // added to a pull's wait time; after that the owner counts as unreachable
+	AttemptTimeout      time.Duration // for generating a sample
+	ScoreTimeout        time.Duration // for scoring a sample
+	DrainGrace          time.Duration // how long a drain waits for finished groups to be pulled
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
-	DefaultMaxSteps        = 64
-	DefaultMaxHeldBytes    = 512 << 20
-	DefaultMaxAnswerBytes  = 8 << 20
-	DefaultTickInterval    = 100 * time.Millisecond
-	DefaultIdleTimeout     = 10 * time.Minute
-	DefaultForeignTimeout  = 30 * time.Second
-	DefaultFinishedTimeout = 30 * time.Second
-	DefaultForwardMargin   = 2 * time.Second
-	DefaultAttemptTimeout  = 10 * time.Minute
-	DefaultScoreTimeout    = time.Minute
-	DefaultDrainGrace      = 3 * time.Second
+	DefaultMaxSteps            = 64
+	DefaultMaxHeldBytes        = 512 << 20
+	DefaultMaxAnswerBytes      = 8 << 20
+	DefaultTickInterval        = 100 * time.Millisecond
+	DefaultIdleTimeout         = 10 * time.Minute
+	DefaultNonOwnerIdleTimeout = 30 * time.Second
+	DefaultFinishedIdleTimeout = 30 * time.Second
+	DefaultForwardMargin       = 2 * time.Second
+	DefaultAttemptTimeout      = 10 * time.Minute
+	DefaultScoreTimeout        = time.Minute
+	DefaultDrainGrace          = 3 * time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -62,8 +62,8 @@
 	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, DefaultMaxAnswerBytes)
 	o.TickInterval = cmp.Or(o.TickInterval, DefaultTickInterval)
 	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultIdleTimeout)
-	o.ForeignTimeout = cmp.Or(o.ForeignTimeout, DefaultForeignTimeout)
-	o.FinishedTimeout = cmp.Or(o.FinishedTimeout, DefaultFinishedTimeout)
+	o.NonOwnerIdleTimeout = cmp.Or(o.NonOwnerIdleTimeout, DefaultNonOwnerIdleTimeout)
+	o.FinishedIdleTimeout = cmp.Or(o.FinishedIdleTimeout, DefaultFinishedIdleTimeout)
 	o.ForwardMargin = cmp.Or(o.ForwardMargin, DefaultForwardMargin)
 	o.AttemptTimeout = cmp.Or(o.AttemptTimeout, DefaultAttemptTimeout)
 	o.ScoreTimeout = cmp.Or(o.ScoreTimeout, DefaultScoreTimeout)
--- a/internal/rollouts/record.go
+++ b/internal/rollouts/record.go
@@ -7,17 +7,17 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// record adds an event of the whole step to the time line.
-func (r *runner) record(kind string, v ident.Version, detail string) {
+// recordStepEvent adds an event of the step as a whole to the time line.
+func (r *runner) recordStepEvent(kind string, v ident.Version, detail string) {
 	r.recordEvent(StepEvent{Kind: kind, Version: v, Detail: detail})
 }
 
-// recordSample adds an event of an attempt to the time line.
-func (r *runner) recordSample(kind string, id rollout.SampleID, attempt uint32, v ident.Version, detail string) {
+// recordSampleEvent adds an event of an attempt at a sample to the time line.
+func (r *runner) recordSampleEvent(kind string, id rollout.SampleID, attempt uint32, v ident.Version, detail string) {
 	if r.manager.options.Recorder == nil {
 		return
 	}
-	request := r.requestID(generating, id, attempt)
+	request := r.requestID(generatePrefix, id, attempt)
 	r.recordEvent(StepEvent{Kind: kind, Sample: &id, Request: request, Version: v, Detail: detail})
 }
 
@@ -30,31 +30,32 @@
 	recorder.RecordStep(e)
 }
 
-// recordResult records how work on a sample ended, unless it was given up before.
+// recordResult records the result of generating or scoring a sample, unless that was
+// cancelled before.
 func (r *runner) recordResult(e rollout.Event) {
-	if r.givenUp(e) {
+	if r.wasCancelled(e) {
 		return
 	}
 	switch e := e.(type) {
 	case rollout.Generated:
 		oldest := rollout.Sample{Segments: e.Segments}.Oldest()
-		r.recordSample(SampleGenerated, e.ID, e.Attempt, oldest, fmt.Sprintf("%d tokens of %d versions", e.Tokens, len(e.Segments)))
+		r.recordSampleEvent(SampleGenerated, e.ID, e.Attempt, oldest, fmt.Sprintf("%d tokens of %d versions", e.Tokens, len(e.Segments)))
 	case rollout.GenerateFailed:
-		r.recordSample(SampleFailed, e.ID, e.Attempt, r.step.NewestVersion(), e.Failure.Reason)
+		r.recordSampleEvent(SampleFailed, e.ID, e.Attempt, r.step.NewestVersion(), e.Failure.Reason)
 	case rollout.Scored:
-		r.recordSample(SampleScored, e.ID, e.Attempt, r.step.NewestVersion(), "")
+		r.recordSampleEvent(SampleScored, e.ID, e.Attempt, r.step.NewestVersion(), "")
 	case rollout.ScoreFailed:
-		r.recordSample(SampleFailed, e.ID, e.Attempt, r.step.NewestVersion(), e.Failure.Reason)
+		r.recordSampleEvent(SampleFailed, e.ID, e.Attempt, r.step.NewestVersion(), e.Failure.Reason)
 	}
 }
 
-// recordAnswer records a pull's answer and the samples in it.
+// recordAnswer records the answer to a pull and the samples in it.
 func (r *runner) recordAnswer() {
 	if r.manager.options.Recorder == nil {
 		return
 	}
-	a := r.answer
-	r.record(PullAnswered, a.JudgedBy, fmt.Sprintf("%d groups, %d remaining", len(a.Groups), a.Remaining))
+	a := r.lastAnswer
+	r.recordStepEvent(PullAnswered, a.JudgedBy, fmt.Sprintf("%d groups, %d remaining", len(a.Groups), a.Remaining))
 	for _, group := range a.Groups {
 		for _, sample := range group.Samples {
 			id := rollout.SampleID{Group: sample.Group, Index: sample.Index}
--- a/internal/rollouts/runner.go
+++ b/internal/rollouts/runner.go
@@ -13,70 +13,69 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// runner drives one step. Its fields below the line belong to its goroutine
-// alone; everybody else talks to it through the channels.
+// runner runs one step in its own goroutine.
 type runner struct {
-	manager   *Manager
-	key       stepKey
-	content   contentHash
-	groupSize int
-	nonce     string // makes request IDs differ from those of other owners
-	spec      *rollout.Spec
-	// promptBytes is the size of the step's prompts.
-	promptBytes int64
-
-	events  chan rollout.Event
-	pulls   chan *pull
-	queries chan chan StatusResponse
-	cancels chan struct{}
-	done    chan struct{} // closed when the goroutine ends
-	why     *Error        // why it ended; set before done is closed
-
-	// ---
-	step     *rollout.Step
-	work     context.Context
-	attempts map[attemptKey]context.CancelFunc // those running
-	waiting  *pull                             // the newest pull, nil when none waits
-	timer    *time.Timer                       // ends the waiting pull's wait
-	draining bool
-	answer   rollout.Deliver // the step's latest answer
-	lastPull time.Time
-	bound    int64         // as told to the step
-	pressed  bool          // as told to the step: memory of all steps is full
-	bytes    int64         // counted in the manager's so far
-	tally    rollout.Tally // counted in the metrics so far
+	manager     *Manager
+	key         stepKey
+	content     contentHash
+	groupSize   int
+	nonce       string // makes request IDs differ from those of other owners
+	spec        *rollout.Spec
+	promptBytes int64 // size of the step's prompts
+
+	// Other goroutines communicate with the runner only through these channels.
+	events         chan rollout.Event
+	pulls          chan *pull
+	statusRequests chan chan StatusResponse
+	cancelRequests chan struct{}
+	done           chan struct{} // closed when the goroutine ends
+	endErr         *Error        // why the step ended; set before done is closed
+
+	// The fields below are used only by the runner's goroutine.
+	step           *rollout.Step
+	workCtx        context.Context                   // parent context of the step's work
+	cancelFuncs    map[attemptKey]context.CancelFunc // for each running attempt
+	waitingPull    *pull                             // the newest pull, nil if none is waiting
+	pullTimer      *time.Timer                       // fires at the deadline of the waiting pull
+	draining       bool
+	lastAnswer     rollout.Deliver // the latest answer emitted by the step
+	lastPullAt     time.Time
+	stalenessBound int64         // last value passed to the step
+	memoryFull     bool          // last value passed to the step: the memory for all steps is full
+	reportedBytes  int64         // this step's current share of Manager.heldBytes
+	reportedTally  rollout.Tally // already added to the metrics
 }
 
-// attemptKey names a running attempt. Generating and scoring of one attempt
-// don't overlap.
+// attemptKey identifies an attempt that is generating or being scored. One attempt is
+// never both at the same time.
 type attemptKey struct {
 	id      rollout.SampleID
 	attempt uint32
 }
 
-// eventBuffer lets results queue up while the runner is busy.
-const eventBuffer = 64
+// eventBufferSize lets results queue up while the runner is busy.
+const eventBufferSize = 64
 
 func newRunner(m *Manager, k stepKey, step *rollout.Step, content contentHash) *runner {
 	prompts := promptBytes(step.Spec().Prompts)
-	m.bytes.Add(prompts)
+	m.heldBytes.Add(prompts)
 	return &runner{
-		promptBytes: prompts,
-		bytes:       prompts,
-		manager:     m,
-		key:         k,
-		content:     content,
-		groupSize:   step.Spec().GroupSize,
-		nonce:       newNonce(),
-		spec:        step.Spec(),
-		events:      make(chan rollout.Event, eventBuffer),
-		pulls:       make(chan *pull),
-		queries:     make(chan chan StatusResponse),
-		cancels:     make(chan struct{}),
-		done:        make(chan struct{}),
-		step:        step,
-		attempts:    map[attemptKey]context.CancelFunc{},
-		bound:       step.Spec().StalenessBound,
+		promptBytes:    prompts,
+		reportedBytes:  prompts,
+		manager:        m,
+		key:            k,
+		content:        content,
+		groupSize:      step.Spec().GroupSize,
+		nonce:          newNonce(),
+		spec:           step.Spec(),
+		events:         make(chan rollout.Event, eventBufferSize),
+		pulls:          make(chan *pull),
+		statusRequests: make(chan chan StatusResponse),
+		cancelRequests: make(chan struct{}),
+		done:           make(chan struct{}),
+		step:           step,
+		cancelFuncs:    map[attemptKey]context.CancelFunc{},
+		stalenessBound: step.Spec().StalenessBound,
 	}
 }
 
@@ -86,164 +85,168 @@
 	return hex.EncodeToString(b[:])
 }
 
-// launch starts the runner's goroutine. The cursor of a repeated submission
-// comes first, so that no group that the trainer holds is started.
-func (m *Manager) launch(r *runner, have *roaring.Bitmap, v ident.Version) {
-	m.options.Log.Info().Stringer("step", r.key).Int("groups", len(r.spec.Prompts)).Msg("step taken")
+// startRunner starts the runner's goroutine. Its first event is the cursor of the
+// submission, so no group is started that the trainer already holds.
+func (m *Manager) startRunner(r *runner, have *roaring.Bitmap, trainerVersion ident.Version) {
+	m.options.Log.Info().Stringer("step", r.key).Int("groups", len(r.spec.Prompts)).Msg("step accepted")
 	go func() {
 		defer m.runners.Done()
-		r.run(rollout.Cursor{Have: have, TrainerVersion: v})
+		r.run(rollout.Cursor{Have: have, TrainerVersion: trainerVersion})
 	}()
 }
 
+// run runs the step until it ends, then releases its resources and fails a waiting pull.
 func (r *runner) run(first rollout.Event) {
-	work, stopWork := context.WithCancel(r.manager.base)
+	workCtx, stopWork := context.WithCancel(r.manager.baseCtx)
 	defer stopWork()
-	r.work = work
-	r.lastPull = time.Now()
-	r.record(StepTaken, r.step.NewestVersion(), fmt.Sprintf("%d groups of %d", len(r.spec.Prompts), r.groupSize))
-	r.why = r.loop(first)
-	r.feed(rollout.Cancel{})
-	r.count()
-	r.holdBytes(0)
+	r.workCtx = workCtx
+	r.lastPullAt = time.Now()
+	r.recordStepEvent(StepTaken, r.step.NewestVersion(), fmt.Sprintf("%d groups of %d", len(r.spec.Prompts), r.groupSize))
+	r.endErr = r.loop(first)
+	r.handle(rollout.Cancel{})
+	r.reportMetrics()
+	r.reportBytes(0)
 	r.manager.remove(r)
-	if r.waiting != nil {
-		r.waiting.reply <- pullReply{err: r.why}
+	if r.waitingPull != nil {
+		r.waitingPull.reply <- pullReply{err: r.endErr}
 	}
 	close(r.done)
-	r.record(StepEnded, r.step.NewestVersion(), r.why.Error())
-	r.manager.options.Log.Info().Stringer("step", r.key).Str("why", r.why.Error()).Msg("step ended")
+	r.recordStepEvent(StepEnded, r.step.NewestVersion(), r.endErr.Error())
+	r.manager.options.Log.Info().Stringer("step", r.key).Str("why", r.endErr.Error()).Msg("step ended")
 }
 
-// loop runs until the step ends and says why it did.
+// loop handles events until the step ends. It returns why the step ended.
 func (r *runner) loop(first rollout.Event) *Error {
 	ticker := time.NewTicker(r.manager.options.TickInterval)
 	defer ticker.Stop()
-	r.timer = time.NewTimer(0)
-	defer r.timer.Stop()
-	if why := r.followSettings(); why != nil {
-		return why
+	r.pullTimer = time.NewTimer(0)
+	defer r.pullTimer.Stop()
+	if err := r.syncSettings(); err != nil {
+		return err
 	}
-	r.observe()
-	r.feed(first)
+	r.syncVersions()
+	r.handle(first)
 	drain := r.manager.draining
-	var graceOver <-chan time.Time
+	var graceExpired <-chan time.Time
 	for {
 		select {
 		case e := <-r.events:
 			r.recordResult(e)
-			r.forget(e)
-			r.feed(e)
+			r.removeAttempt(e)
+			r.handle(e)
 		case p := <-r.pulls:
-			r.arrive(p)
-		case q := <-r.queries:
-			q <- r.statusNow()
-		case <-r.cancels:
+			r.acceptPull(p)
+		case reply := <-r.statusRequests:
+			reply <- r.currentStatus()
+		case <-r.cancelRequests:
 			stepsCancelled.Add(1)
 			return &Error{Kind: Cancelled, Reason: "the step was cancelled"}
 		case <-ticker.C:
-			if why := r.tick(); why != nil {
-				return why
+			if err := r.tick(); err != nil {
+				return err
 			}
-		case <-r.timer.C:
+		case <-r.pullTimer.C:
 		case <-drain:
 			drain = nil
 			r.draining = true
-			graceOver = time.After(r.manager.options.DrainGrace)
-		case <-graceOver:
-			return r.giveUp()
-		case <-r.work.Done():
-			return draining()
+			graceExpired = time.After(r.manager.options.DrainGrace)
+		case <-graceExpired:
+			return r.giveUpDraining()
+		case <-r.workCtx.Done():
+			return drainingError()
 		}
 		r.answerIfDue()
 		if r.draining && r.step.DeliverableGroups() == 0 {
-			return r.giveUp()
+			return r.giveUpDraining()
 		}
 	}
 }
 
-// giveUp ends the step in a drain. UnknownStep has the trainer submit again.
-func (r *runner) giveUp() *Error {
-	stepsGivenUp.Add(1)
-	return unknownStep(r.key)
+// giveUpDraining ends the step because the daemon is draining. The error is UnknownStep,
+// so the trainer submits the step again.
+func (r *runner) giveUpDraining() *Error {
+	stepsGivenUpDraining.Add(1)
+	return unknownStepError(r.key)
 }
 
-// tick looks at everything that isn't told by an event.
+// tick checks everything that no event reports. It returns an error if the step ends.
 func (r *runner) tick() *Error {
-	if why := r.followSettings(); why != nil {
+	if err := r.syncSettings(); err != nil {
 		stepsCancelled.Add(1)
-		return why
+		return err
 	}
-	r.observe()
-	r.feed(rollout.Tick{})
-	r.count()
-	if full := r.manager.full(0); full != r.pressed {
-		r.pressed = full
-		r.feed(rollout.MemoryPressure{Full: full})
+	r.syncVersions()
+	r.handle(rollout.Tick{})
+	r.reportMetrics()
+	if full := r.manager.exceedsMemory(0); full != r.memoryFull {
+		r.memoryFull = full
+		r.handle(rollout.MemoryPressure{Full: full})
 	}
-	if r.waiting == nil && time.Since(r.lastPull) > r.idleTimeout() {
-		stepsIdle.Add(1)
-		return unknownStep(r.key)
+	if r.waitingPull == nil && time.Since(r.lastPullAt) > r.idleTimeout() {
+		stepsDroppedIdle.Add(1)
+		return unknownStepError(r.key)
 	}
 	return nil
 }
 
+// idleTimeout returns how long the step may go without a pull before it is dropped.
 func (r *runner) idleTimeout() time.Duration {
 	options := &r.manager.options
 	if r.step.HeldGroups() == len(r.spec.Prompts) {
-		return options.FinishedTimeout
+		return options.FinishedIdleTimeout
 	}
 	if _, self := options.Peers.Owner(r.key.ownerKey()); !self {
-		return options.ForeignTimeout
+		return options.NonOwnerIdleTimeout
 	}
 	return options.IdleTimeout
 }
 
-// followSettings ends a step whose job was cancelled or removed and takes over
-// another staleness bound.
-func (r *runner) followSettings() *Error {
+// syncSettings applies a changed staleness bound to the step. It returns an error if the
+// job was cancelled or removed, which ends the step.
+func (r *runner) syncSettings() *Error {
 	settings, ok := r.manager.options.Jobs.Job(r.key.team, r.key.job)
 	if !ok {
-		return unknownJob(r.key.job)
+		return unknownJobError(r.key.job)
 	}
 	if settings.Cancelled {
 		return &Error{Kind: Cancelled, Reason: "the job is cancelled in the configuration"}
 	}
-	if settings.Bound != r.bound {
-		r.bound = settings.Bound
-		r.feed(rollout.SetStalenessBound{Bound: settings.Bound})
+	if settings.Bound != r.stalenessBound {
+		r.stalenessBound = settings.Bound
+		r.handle(rollout.SetStalenessBound{Bound: settings.Bound})
 	}
 	return nil
 }
 
-// observe tells the step of the newest published version, or the other way round.
-func (r *runner) observe() {
+// syncVersions passes the newest published version to the step. If the step knows a newer
+// one, it reports that one to Versions instead.
+func (r *runner) syncVersions() {
 	versions := r.manager.options.Versions
-	v, known := versions.NewestPublished(r.spec.Model), r.step.NewestVersion()
-	if v > known {
-		r.feed(rollout.NewestVersion{Version: v})
+	published, known := versions.NewestPublished(r.spec.Model), r.step.NewestVersion()
+	if published > known {
+		r.handle(rollout.NewestVersion{Version: published})
 	}
-	if v < known {
+	if published < known {
 		versions.Expect(r.spec.Model, known)
 	}
 }
 
-// holdBytes makes n this step's share of the bytes held by all steps.
-func (r *runner) holdBytes(n int64) {
-	bytesHeld.Set(r.manager.bytes.Add(n - r.bytes))
-	r.bytes = n
+// reportBytes changes this step's share of the bytes held by all steps to n.
+func (r *runner) reportBytes(n int64) {
+	bytesHeldGauge.Set(r.manager.heldBytes.Add(n - r.reportedBytes))
+	r.reportedBytes = n
 }
 
-// count adds what the step tallied since the last time to the metrics.
-func (r *runner) count() {
+// reportMetrics adds the changes of the step's counters since the last call to the metrics.
+func (r *runner) reportMetrics() {
 	counts := r.step.Counts()
-	r.holdBytes(r.promptBytes + int64(counts.Bytes))
-	now := counts.Tally
-	attemptsStarted.Add(int64(now.Attempts - r.tally.Attempts))
-	attemptsFailed.Add(int64(now.Failures - r.tally.Failures))
-	samplesStale.Add(int64(now.Stale - r.tally.Stale))
-	unlabelled.Add(int64(now.Unlabelled - r.tally.Unlabelled))
-	groupsFailed.Add(int64(now.FailedGroups - r.tally.FailedGroups))
-	groupsOffered.Add(int64(now.Offered - r.tally.Offered))
-	r.tally = now
+	r.reportBytes(r.promptBytes + int64(counts.Bytes))
+	tally := counts.Tally
+	attemptsStarted.Add(int64(tally.Attempts - r.reportedTally.Attempts))
+	attemptsFailed.Add(int64(tally.Failures - r.reportedTally.Failures))
+	samplesStale.Add(int64(tally.Stale - r.reportedTally.Stale))
+	samplesUnlabelled.Add(int64(tally.Unlabelled - r.reportedTally.Unlabelled))
+	groupsFailed.Add(int64(tally.FailedGroups - r.reportedTally.FailedGroups))
+	groupsOffered.Add(int64(tally.Offered - r.reportedTally.Offered))
+	r.reportedTally = tally
 }
--- a/internal/rollouts/runner_pull.go
+++ b/internal/rollouts/runner_pull.go
@@ -7,12 +7,12 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// pull hands p to the runner and waits for its answer.
+// pull passes p to the runner and waits for its answer.
 func (r *runner) pull(ctx context.Context, p *pull) (*PullResponse, error) {
 	select {
 	case r.pulls <- p:
 	case <-r.done:
-		return nil, r.why
+		return nil, r.endErr
 	case <-ctx.Done():
 		return nil, &Error{Kind: Unavailable, Err: ctx.Err()}
 	}
@@ -24,55 +24,57 @@
 	}
 }
 
-// arrive makes p the pull that waits. A trainer has one pull outstanding, so it
-// no longer reads the answer to an earlier one, whose older cursor would have
-// groups made again that it holds by now.
-func (r *runner) arrive(p *pull) {
-	if r.waiting != nil {
+// acceptPull makes p the waiting pull. A trainer has one pull outstanding, so it no longer
+// reads the answer to an earlier one. The earlier pull's older cursor must not be used
+// any more, because it would make the step generate groups again that the trainer
+// already holds.
+func (r *runner) acceptPull(p *pull) {
+	if r.waitingPull != nil {
 		pullsSuperseded.Add(1)
-		r.waiting.reply <- pullReply{err: &Error{Kind: Unavailable, Reason: "a newer pull of the step came"}}
+		r.waitingPull.reply <- pullReply{err: &Error{Kind: Unavailable, Reason: "superseded by a newer pull for the step"}}
 	}
-	r.waiting = p
-	r.keepAlive(p)
-	r.timer.Reset(time.Until(p.deadline))
-	r.feed(rollout.Cursor{Have: p.have, TrainerVersion: p.request.TrainerVersion})
+	r.waitingPull = p
+	r.resetIdleTimeout(p)
+	r.pullTimer.Reset(time.Until(p.deadline))
+	r.handle(rollout.Cursor{Have: p.have, TrainerVersion: p.request.TrainerVersion})
 }
 
-// answerIfDue answers the waiting pull if there is something to answer with or
-// its wait is over. The newest version is asked for right here: samples that
-// were fresh when they were finished may be too old by now, above all in a
-// process that was stopped in between.
+// answerIfDue answers the waiting pull if there is something to return or its wait time
+// has ended. It reads the newest version right before the answer: samples that were fresh
+// when they were finished may be stale by now, in particular if the process was suspended
+// in between.
 func (r *runner) answerIfDue() {
-	p := r.waiting
+	p := r.waitingPull
 	if p == nil {
 		return
 	}
 	if p.ctx.Err() != nil {
-		r.waiting = nil
+		r.waitingPull = nil
 		return
 	}
-	r.observe()
+	r.syncVersions()
 	due := r.step.DeliverableGroups() > 0 || r.step.Whole() || r.draining || !time.Now().Before(p.deadline)
 	if !due {
 		return
 	}
-	r.feed(rollout.Pull{
+	r.handle(rollout.Pull{
 		Have:           p.have,
 		TrainerVersion: p.request.TrainerVersion,
 		MaxGroups:      maxGroups(p.request),
 		MaxBytes:       r.manager.options.MaxAnswerBytes,
 	})
-	p.reply <- pullReply{answer: r.response()}
-	r.waiting = nil
-	r.keepAlive(p)
+	p.reply <- pullReply{answer: r.pullResponse()}
+	r.waitingPull = nil
+	r.resetIdleTimeout(p)
 	pullsAnswered.Add(1)
 	r.recordAnswer()
-	r.answer = rollout.Deliver{}
+	r.lastAnswer = rollout.Deliver{}
 }
 
-func (r *runner) keepAlive(p *pull) {
+// resetIdleTimeout restarts the step's idle timeout if the pull has keepAlive.
+func (r *runner) resetIdleTimeout(p *pull) {
 	if p.keepAlive {
-		r.lastPull = time.Now()
+		r.lastPullAt = time.Now()
 	}
 }
 
@@ -83,8 +85,9 @@
 	return req.MaxGroups
 }
 
-func (r *runner) response() *PullResponse {
-	answer := r.answer
+// pullResponse returns the step's latest answer as the response to a pull.
+func (r *runner) pullResponse() *PullResponse {
+	answer := r.lastAnswer
 	groups := answer.Groups
 	if groups == nil {
 		groups = []rollout.Group{}
@@ -100,20 +103,20 @@
 	}
 }
 
-// status asks the runner where its step stands.
+// status asks the runner for the status of its step.
 func (r *runner) status(ctx context.Context) (StatusResponse, error) {
-	answer := make(chan StatusResponse, 1)
+	reply := make(chan StatusResponse, 1)
 	select {
-	case r.queries <- answer:
-		return <-answer, nil
+	case r.statusRequests <- reply:
+		return <-reply, nil
 	case <-r.done:
-		return StatusResponse{}, r.why
+		return StatusResponse{}, r.endErr
 	case <-ctx.Done():
 		return StatusResponse{}, &Error{Kind: Unavailable, Err: ctx.Err()}
 	}
 }
 
-func (r *runner) statusNow() StatusResponse {
+func (r *runner) currentStatus() StatusResponse {
 	return StatusResponse{
 		Team:      r.key.team,
 		Job:       r.key.job,
@@ -128,7 +131,7 @@
 // cancel ends the step and waits until it has ended.
 func (r *runner) cancel(ctx context.Context) error {
 	select {
-	case r.cancels <- struct{}{}:
+	case r.cancelRequests <- struct{}{}:
 	case <-r.done:
 		return nil
 	case <-ctx.Done():
--- a/internal/rollouts/runner_work.go
+++ b/internal/rollouts/runner_work.go
@@ -12,8 +12,8 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// feed gives the step an event and runs its actions.
-func (r *runner) feed(e rollout.Event) {
+// handle passes an event to the step and runs the resulting actions.
+func (r *runner) handle(e rollout.Event) {
 	for _, action := range r.step.Handle(time.Now(), e) {
 		switch a := action.(type) {
 		case rollout.Generate:
@@ -21,16 +21,16 @@
 		case rollout.Score:
 			r.startScore(a)
 		case rollout.CancelAttempt:
-			r.recordSample(SampleCancelled, a.ID, a.Attempt, r.step.NewestVersion(), "")
+			r.recordSampleEvent(SampleCancelled, a.ID, a.Attempt, r.step.NewestVersion(), "")
 			r.cancelAttempt(attemptKey{a.ID, a.Attempt})
 		case rollout.Deliver:
-			r.answer = a
+			r.lastAnswer = a
 		}
 	}
 }
 
-// attemptOf names the attempt that an event ends; ok is false for other events.
-func attemptOf(e rollout.Event) (k attemptKey, ok bool) {
+// attemptKeyOf returns the attempt that an event ends. ok is false for other events.
+func attemptKeyOf(e rollout.Event) (k attemptKey, ok bool) {
 	switch e := e.(type) {
 	case rollout.Generated:
 		return attemptKey{e.ID, e.Attempt}, true
@@ -44,39 +44,40 @@
 	return attemptKey{}, false
 }
 
-// forget drops the cancel function of work that ended by itself.
-func (r *runner) forget(e rollout.Event) {
-	if k, ok := attemptOf(e); ok {
-		delete(r.attempts, k)
+// removeAttempt drops the cancel function of an attempt that ended by itself.
+func (r *runner) removeAttempt(e rollout.Event) {
+	if k, ok := attemptKeyOf(e); ok {
+		delete(r.cancelFuncs, k)
 	}
 }
 
-// givenUp says that the event ends work that was cancelled before.
-func (r *runner) givenUp(e rollout.Event) bool {
-	k, ok := attemptOf(e)
-	_, running := r.attempts[k]
+// wasCancelled reports whether the event ends an attempt that was cancelled before.
+func (r *runner) wasCancelled(e rollout.Event) bool {
+	k, ok := attemptKeyOf(e)
+	_, running := r.cancelFuncs[k]
 	return ok && !running
 }
 
 func (r *runner) cancelAttempt(k attemptKey) {
-	if cancel, ok := r.attempts[k]; ok {
+	if cancel, ok := r.cancelFuncs[k]; ok {
 		cancel()
-		delete(r.attempts, k)
+		delete(r.cancelFuncs, k)
 	}
 }
 
-// spawn runs work under a context of its own and sends its result.
-func (r *runner) spawn(k attemptKey, timeout time.Duration, work func(context.Context) rollout.Event) {
-	ctx, cancel := context.WithTimeout(r.work, timeout)
-	r.attempts[k] = cancel
+// startAttempt runs work in a new goroutine, with its own context and a timeout, and sends
+// the resulting event to the runner.
+func (r *runner) startAttempt(k attemptKey, timeout time.Duration, work func(context.Context) rollout.Event) {
+	ctx, cancel := context.WithTimeout(r.workCtx, timeout)
+	r.cancelFuncs[k] = cancel
 	go func() {
 		defer cancel()
-		r.send(work(ctx))
+		r.sendEvent(work(ctx))
 	}()
 }
 
-// send gives an event to the runner's goroutine, or drops it when that has ended.
-func (r *runner) send(e rollout.Event) {
+// sendEvent sends an event to the runner's goroutine, or drops it if the goroutine has ended.
+func (r *runner) sendEvent(e rollout.Event) {
 	select {
 	case r.events <- e:
 	case <-r.done:
@@ -85,9 +86,9 @@
 
 func (r *runner) startGenerate(a rollout.Generate) {
 	timeout := r.manager.options.AttemptTimeout
-	r.recordSample(SampleStarted, a.ID, a.Attempt, a.MinVersion, "")
+	r.recordSampleEvent(SampleStarted, a.ID, a.Attempt, a.MinVersion, "")
 	req := GenerateRequest{
-		ID:             r.requestID(generating, a.ID, a.Attempt),
+		ID:             r.requestID(generatePrefix, a.ID, a.Attempt),
 		Team:           r.key.team,
 		Model:          r.spec.Model,
 		Prompt:         r.spec.Prompts[a.ID.Group].Text,
@@ -100,12 +101,12 @@
 		Prefer:         a.Prefer,
 	}
 	began := func(v ident.Version) {
-		r.send(rollout.Began{ID: a.ID, Attempt: a.Attempt, Version: v})
+		r.sendEvent(rollout.Began{ID: a.ID, Attempt: a.Attempt, Version: v})
 	}
-	r.spawn(attemptKey{a.ID, a.Attempt}, timeout, func(ctx context.Context) rollout.Event {
+	r.startAttempt(attemptKey{a.ID, a.Attempt}, timeout, func(ctx context.Context) rollout.Event {
 		g, err := r.manager.options.Generator.Generate(ctx, req, began)
 		if err != nil {
-			return rollout.GenerateFailed{ID: a.ID, Attempt: a.Attempt, Failure: failureOf(err)}
+			return rollout.GenerateFailed{ID: a.ID, Attempt: a.Attempt, Failure: failureFrom(err)}
 		}
 		return rollout.Generated{ID: a.ID, Attempt: a.Attempt, Text: g.Text, Tokens: g.Tokens, Segments: g.Segments}
 	})
@@ -114,23 +115,24 @@
 func (r *runner) startScore(a rollout.Score) {
 	timeout := r.manager.options.ScoreTimeout
 	req := ScoreRequest{
-		ID:         r.requestID(scoring, a.ID, a.Attempt),
+		ID:         r.requestID(scorePrefix, a.ID, a.Attempt),
 		Team:       r.key.team,
 		Group:      r.spec.Scorer,
 		Prompt:     r.spec.Prompts[a.ID.Group].Text,
 		Completion: a.Completion,
 		Deadline:   time.Now().Add(timeout),
 	}
-	r.spawn(attemptKey{a.ID, a.Attempt}, timeout, func(ctx context.Context) rollout.Event {
+	r.startAttempt(attemptKey{a.ID, a.Attempt}, timeout, func(ctx context.Context) rollout.Event {
 		reward, err := r.manager.options.Scorer.Score(ctx, req)
 		if err != nil {
-			return rollout.ScoreFailed{ID: a.ID, Attempt: a.Attempt, Failure: failureOf(err)}
+			return rollout.ScoreFailed{ID: a.ID, Attempt: a.Attempt, Failure: failureFrom(err)}
 		}
 		return rollout.Scored{ID: a.ID, Attempt: a.Attempt, Reward: reward}
 	})
 }
 
-func failureOf(err error) rollout.Failure {
+// failureFrom returns the failure for an error of a Generator or a Scorer.
+func failureFrom(err error) rollout.Failure {
 	var work *WorkError
 	if errors.As(err, &work) {
 		return work.Failure
@@ -138,19 +140,20 @@
 	return rollout.Failure{Kind: rollout.Transient, Reason: err.Error()}
 }
 
-// The beginnings of request IDs.
+// Prefixes of request IDs.
 const (
-	generating = "gen"
-	scoring    = "score"
+	generatePrefix = "gen"
+	scorePrefix    = "score"
 )
 
-// requestID names an attempt. The nonce keeps two owners of one step apart.
-func (r *runner) requestID(kind string, id rollout.SampleID, attempt uint32) ident.RequestID {
-	return ident.RequestID(fmt.Sprintf("%s/%s/%d.%d.%d/%s", kind, r.key, id.Group, id.Index, attempt, r.nonce))
+// requestID returns the request ID of an attempt. The nonce makes it differ from the IDs
+// that another owner of the same step uses.
+func (r *runner) requestID(prefix string, id rollout.SampleID, attempt uint32) ident.RequestID {
+	return ident.RequestID(fmt.Sprintf("%s/%s/%d.%d.%d/%s", prefix, r.key, id.Group, id.Index, attempt, r.nonce))
 }
 
-// seed is the same for every attempt at a sample at any owner, and differs
-// between the samples of a group.
+// seed returns the sampling seed of a sample. It is the same for every attempt at the
+// sample at any owner and differs between the samples of a group.
 func (r *runner) seed(id rollout.SampleID) int64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s/%d.%d", r.key, id.Group, id.Index) // never fails
--- a/internal/rollouts/submit.go
+++ b/internal/rollouts/submit.go
@@ -15,8 +15,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/rollout"
 )
 
-// Submit takes a step in, at its job's owner if that can be reached, else here.
-// It is idempotent: the same prompts again change nothing, others are a Conflict.
+// Submit accepts a step, at the owner of its job if that can be reached and otherwise
+// here. It is idempotent: submitting the same prompts again has no effect, and other
+// prompts for the same step are a Conflict.
 func (m *Manager) Submit(ctx context.Context, team ident.Team, job ident.Job, step ident.Step, req SubmitRequest) (SubmitResponse, error) {
 	k := stepKey{team, job, step}
 	vm, self := m.options.Peers.Owner(k.ownerKey())
@@ -27,35 +28,36 @@
 	defer cancel()
 	forwards.Add(1)
 	answer, err := m.options.Peers.ForwardSubmit(forwardCtx, vm, team, job, step, req)
-	if err == nil || !m.takesOver(k, vm, err) {
+	if err == nil || !m.shouldServeLocally(k, vm, err) {
 		return answer, err
 	}
 	return m.SubmitLocal(ctx, team, job, step, req)
 }
 
-// takesOver decides whether this daemon does a call itself after its owner
-// failed. An owner that answered has the last word, unless it is stopping.
-func (m *Manager) takesOver(k stepKey, vm ident.VM, err error) bool {
+// shouldServeLocally decides whether this daemon serves a request itself after forwarding
+// it to the owner failed. An error that the owner answered with is final, unless the
+// owner is draining and this daemon isn't.
+func (m *Manager) shouldServeLocally(k stepKey, vm ident.VM, err error) bool {
 	forwardsFailed.Add(1)
 	var answered *Error
 	if errors.As(err, &answered) {
 		return answered.Kind == Draining && !m.isDraining()
 	}
-	m.options.Log.Warn().Err(err).Stringer("step", k).Str("owner", string(vm)).Msg("owner out of reach")
+	m.options.Log.Warn().Err(err).Stringer("step", k).Str("owner", string(vm)).Msg("job owner unreachable; handling the request locally")
 	return true
 }
 
-// SubmitLocal takes a step in at this daemon, whoever the owner is.
+// SubmitLocal accepts a step at this daemon, whether or not it is the owner.
 func (m *Manager) SubmitLocal(_ context.Context, team ident.Team, job ident.Job, step ident.Step, req SubmitRequest) (SubmitResponse, error) {
 	k := stepKey{team, job, step}
 	settings, ok := m.options.Jobs.Job(team, job)
 	if !ok {
-		return SubmitResponse{}, unknownJob(job)
+		return SubmitResponse{}, unknownJobError(job)
 	}
 	if settings.Cancelled {
 		return SubmitResponse{}, &Error{Kind: Cancelled, Reason: "the job is cancelled in the configuration"}
 	}
-	have, err := checkSubmit(req)
+	have, err := validateSubmit(req)
 	if err != nil {
 		return SubmitResponse{}, err
 	}
@@ -64,7 +66,7 @@
 		return SubmitResponse{}, err
 	}
 	if created {
-		m.launch(r, have, req.TrainerVersion)
+		m.startRunner(r, have, req.TrainerVersion)
 	}
 	return SubmitResponse{
 		Job:       job,
@@ -75,12 +77,13 @@
 	}, nil
 }
 
-func checkSubmit(req SubmitRequest) (*roaring.Bitmap, error) {
+// validateSubmit checks the limits of a submission and decodes its cursor.
+func validateSubmit(req SubmitRequest) (*roaring.Bitmap, error) {
 	if len(req.Prompts) > MaxPrompts {
-		return nil, &Error{Kind: TooLarge, Reason: fmt.Sprintf("%d prompts, %d are allowed", len(req.Prompts), MaxPrompts)}
+		return nil, &Error{Kind: TooLarge, Reason: fmt.Sprintf("%d prompts exceed the limit of %d", len(req.Prompts), MaxPrompts)}
 	}
 	if total := promptBytes(req.Prompts); total > MaxStepBytes {
-		return nil, &Error{Kind: TooLarge, Reason: fmt.Sprintf("%d bytes of prompts, %d are allowed", total, MaxStepBytes)}
+		return nil, &Error{Kind: TooLarge, Reason: fmt.Sprintf("%d bytes of prompts exceed the limit of %d", total, MaxStepBytes)}
 	}
 	have, err := DecodeHave(req.Have)
 	if err != nil {
@@ -97,34 +100,34 @@
 	return total
 }
 
-// findOrCreate returns the step's runner. It is made under the shard's lock, so
-// that of two submissions at once one creates it and the other finds it.
+// findOrCreate returns the runner of a step. It creates the runner under the shard's
+// lock, so that one of two concurrent submissions creates it and the other finds it.
 func (m *Manager) findOrCreate(k stepKey, settings JobSettings, req SubmitRequest) (r *runner, created bool, err error) {
-	content := contentOf(req.Prompts)
+	content := hashContent(req.Prompts)
 	s := m.shardOf(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.steps[k]; r != nil {
 		if r.content != content {
-			return nil, false, &Error{Kind: Conflict, Reason: "the step was submitted with other prompts"}
+			return nil, false, &Error{Kind: Conflict, Reason: "the step was submitted with different prompts"}
 		}
 		return r, false, nil
 	}
 	if m.isDraining() {
-		return nil, false, draining()
+		return nil, false, drainingError()
 	}
-	if m.held.Load() >= int64(m.options.MaxSteps) {
-		return nil, false, &Error{Kind: Unavailable, RetryAfter: retryDelay, Reason: "too many steps held"}
+	if m.heldSteps.Load() >= int64(m.options.MaxSteps) {
+		return nil, false, &Error{Kind: Unavailable, RetryAfter: defaultRetryAfter, Reason: "too many steps are in progress"}
 	}
-	if m.full(promptBytes(req.Prompts)) {
-		return nil, false, &Error{Kind: Unavailable, RetryAfter: retryDelay, Reason: "the steps held fill the memory set aside for them"}
+	if m.exceedsMemory(promptBytes(req.Prompts)) {
+		return nil, false, &Error{Kind: Unavailable, RetryAfter: defaultRetryAfter, Reason: "the memory for steps is full"}
 	}
 	r, err = m.newRunner(k, settings, req, content)
 	if err != nil {
 		return nil, false, &Error{Kind: BadRequest, Err: err}
 	}
 	s.steps[k] = r
-	stepsHeld.Set(m.held.Add(1))
+	stepsHeldGauge.Set(m.heldSteps.Add(1))
 	stepsCreated.Add(1)
 	m.runners.Add(1)
 	return r, true, nil
@@ -153,21 +156,22 @@
 	return newRunner(m, k, step, content), nil
 }
 
-// contentHash is what makes two submissions the same. The trainer's version and
-// cursor aren't in it: they change between a submission and its repetition.
+// contentHash identifies the content of a submission; two submissions of a step with the
+// same hash are the same. It excludes the trainer's version and cursor, which can differ
+// when a trainer submits a step again.
 type contentHash [sha256.Size]byte
 
-func contentOf(prompts []rollout.Prompt) contentHash {
+func hashContent(prompts []rollout.Prompt) contentHash {
 	h := sha256.New()
 	for _, p := range prompts {
-		writeInt(h, p.ExpectedTokens)
-		writeInt(h, len(p.Text))
+		hashInt(h, p.ExpectedTokens)
+		hashInt(h, len(p.Text))
 		_, _ = h.Write([]byte(p.Text)) // never fails
 	}
 	return contentHash(h.Sum(nil))
 }
 
-func writeInt(h hash.Hash, n int) {
+func hashInt(h hash.Hash, n int) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
 	_, _ = h.Write(b[:]) // never fails
