--- a/internal/poison/answered.go
+++ b/internal/poison/answered.go
@@ -3,43 +3,45 @@
 import "time"
 
 const (
-	// answeredLife is how long an answer speaks for a request at least.
-	answeredLife = 5 * time.Minute
-	// maxAnswered bounds the requests of one answeredLife that are remembered.
+	// answeredTTL is the minimum time for which an answered request is remembered.
+	answeredTTL = 5 * time.Minute
+	// maxAnswered bounds the requests that are remembered from one answeredTTL.
 	maxAnswered = 16384
 )
 
-// Answered holds the requests that an upstream has lately answered: what a service is
-// asked again and again needs no care. It is pure and not safe for concurrent use.
+// Answered is the set of requests that an upstream has answered recently. A request that
+// a service answers again and again needs no protection against crashes. Answered does
+// no I/O and reads no clock; it is not safe for concurrent use.
 type Answered struct {
-	recent, former map[Fingerprint]struct{}
-	since          time.Time // when recent began
+	current, previous map[Fingerprint]struct{} // generations, see rotate
+	currentSince      time.Time
 }
 
 // NewAnswered returns an empty set.
 func NewAnswered() *Answered {
-	return &Answered{recent: map[Fingerprint]struct{}{}, former: map[Fingerprint]struct{}{}}
+	return &Answered{current: map[Fingerprint]struct{}{}, previous: map[Fingerprint]struct{}{}}
 }
 
-// Add notes an answer.
+// Add records that an upstream answered the request.
 func (a *Answered) Add(fp Fingerprint, now time.Time) {
-	a.forget(now)
-	a.recent[fp] = struct{}{}
+	a.rotate(now)
+	a.current[fp] = struct{}{}
 }
 
-// Has says whether a request was answered lately.
+// Has reports whether an upstream answered the request recently.
 func (a *Answered) Has(fp Fingerprint, now time.Time) bool {
-	a.forget(now)
-	_, recent := a.recent[fp]
-	_, former := a.former[fp]
-	return recent || former
+	a.rotate(now)
+	_, inCurrent := a.current[fp]
+	_, inPrevious := a.previous[fp]
+	return inCurrent || inPrevious
 }
 
-// forget starts anew when recent is full or old; what was in it lasts as long again.
-func (a *Answered) forget(now time.Time) {
-	if now.Sub(a.since) < answeredLife && len(a.recent) < maxAnswered {
+// rotate starts a new generation if the current one is full or answeredTTL old. The
+// current one becomes the previous one, which is kept until the next rotation.
+func (a *Answered) rotate(now time.Time) {
+	if now.Sub(a.currentSince) < answeredTTL && len(a.current) < maxAnswered {
 		return
 	}
-	a.former, a.recent = a.recent, map[Fingerprint]struct{}{}
-	a.since = now
+	a.previous, a.current = a.current, map[Fingerprint]struct{}{}
+	a.currentSince = now
 }
--- a/internal/poison/mark.go
+++ b/internal/poison/mark.go
@@ -1,6 +1,8 @@
-// Package poison keeps requests that kill upstreams away from the rest. A
-// request in flight when an upstream died is a suspect and runs alone from then
-// on; a second death makes its answer final, a success alone clears it.
+// Package poison limits the damage of requests that crash the upstreams that run them.
+// A request that was in flight on an upstream when its process ended (a death) becomes a
+// suspect. A suspect runs only in a trial: alone on an upstream, through one daemon at a
+// time. A second death rejects the request until its mark expires; a success in a trial
+// clears it.
 package poison
 
 import (
@@ -14,12 +16,13 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Fingerprint names a request by what it asks, so that its resend through
-// another daemon has the same one.
+// Fingerprint identifies a request by its content, so that a resend of it through
+// another daemon has the same fingerprint.
 type Fingerprint uint64
 
-// FingerprintOf hashes team, model or route, and body. Lengths are part of the
-// hash, so parts can't run into each other.
+// FingerprintOf hashes the parts that identify a request: its team, its model or route,
+// and its body. The length of each part is hashed as well, so that the same bytes split
+// into other parts give another fingerprint.
 func FingerprintOf(parts ...string) Fingerprint {
 	h := xxhash.New()
 	for _, p := range parts {
@@ -32,54 +35,57 @@
 	return Fingerprint(h.Sum64())
 }
 
-// String is how lines and operators name the request.
+// String returns the 16 hexadecimal digits that logs and operators use for the request.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-func compare(a, b Fingerprint) int { return cmp.Compare(a, b) }
+func compareFingerprints(a, b Fingerprint) int { return cmp.Compare(a, b) }
 
-// Death is the end of one process of an upstream. Two daemons that saw the
-// same process end name the same death.
+// Death is the end of one upstream process while it ran the request. Daemons that saw
+// the same process end report the same death.
 type Death struct {
 	Upstream ident.Upstream `json:"upstream"`
-	BootID   string         `json:"boot_id"`
-	// Forgiven: the request ran alone and succeeded after this death, or got past
-	// the point of it.
+	BootID   string         `json:"boot_id"` // of the process that ended
+	// Forgiven: the death no longer counts against the request, because the request
+	// later succeeded in a trial or got past the position of this death.
 	Forgiven bool `json:"forgiven,omitempty"`
-	// Seen: this daemon's own request died there. Peers aren't told.
+	// Seen: an attempt of this daemon ran on the process. Not sent to peers.
 	Seen bool `json:"-"`
-	// Tokens is how far the answer was, of the copy that was furthest.
+	// Tokens is the position of the death: the number of tokens that the answer had. If
+	// several copies of the request ran on the process, it is that of the furthest one.
 	Tokens int `json:"tokens,omitempty"`
 }
 
-// same says whether two name the end of one process.
-func (d Death) same(o Death) bool { return compareDeaths(d, o) == 0 }
+// sameProcess reports whether both are the end of the same process.
+func (d Death) sameProcess(o Death) bool { return compareDeaths(d, o) == 0 }
 
-// see takes over where the request was, and reports whether that is news. Of copies on
-// one process, here and at other daemons, the furthest one counts: it is the one that
-// may have killed, and one behind it gets past its own point without showing anything.
-func (d *Death) see(o Death) bool {
-	further := o.Tokens > d.Tokens
+// mergeProgress adopts the position of o if it is further, and reports whether it is. Of
+// the copies that ran on one process, through this and other daemons, the furthest one
+// counts: it is the one that may have crashed the process. A copy that was less far gets
+// past its own position in a trial without proving anything.
+func (d *Death) mergeProgress(o Death) bool {
+	advanced := o.Tokens > d.Tokens
 	d.Seen = d.Seen || o.Seen
 	d.Tokens = max(d.Tokens, o.Tokens)
-	return further
+	return advanced
 }
 
-// Mark is what daemons tell each other about one suspect request.
+// Mark is the record of one suspect request, which daemons exchange.
 type Mark struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
-	Deaths      []Death     `json:"deaths"` // sorted by upstream, boot ID
+	Deaths      []Death     `json:"deaths"` // sorted by upstream, then boot ID
 	Expires     time.Time   `json:"expires"`
-	// Trying is the daemon that runs the suspect alone, "" if none, and TryingOn
-	// the upstream it keeps free for that. Both end at TryingUntil, so that a
-	// dead daemon's attempt ends.
+	// Trying is the daemon that has claimed the suspect's trial, "" if none has, and
+	// TryingOn the upstream that it keeps free for the trial. The claim expires at
+	// TryingUntil unless it is renewed, so that the claim of a dead daemon ends.
 	Trying      ident.VM       `json:"trying,omitempty"`
 	TryingOn    ident.Upstream `json:"trying_on,omitempty"`
 	TryingUntil time.Time      `json:"trying_until,omitzero"`
-	// begun: this daemon's own attempt runs; before, it only waits for its upstream.
-	begun bool
+	// trialStarted: the trial is this daemon's own and runs. Before, the daemon waits for
+	// the upstream to become idle.
+	trialStarted bool
 }
 
-// Crashes counts the deaths that aren't forgiven.
+// Crashes returns the number of deaths that count against the request.
 func (m *Mark) Crashes() int {
 	n := 0
 	for _, d := range m.Deaths {
@@ -90,29 +96,30 @@
 	return n
 }
 
-// Has says whether the mark holds the end of a process.
+// Has reports whether the mark contains a death of the same process as d.
 func (m *Mark) Has(d Death) bool {
 	_, found := slices.BinarySearchFunc(m.Deaths, d, compareDeaths)
 	return found
 }
 
-// addDeath adds to the set and reports whether the mark changed.
+// addDeath adds a death to the set and reports whether the mark changed.
 func (m *Mark) addDeath(d Death) bool {
 	i, found := slices.BinarySearchFunc(m.Deaths, d, compareDeaths)
 	if found {
-		news := d.Forgiven && !m.Deaths[i].Forgiven
+		newlyCleared := d.Forgiven && !m.Deaths[i].Forgiven
 		m.Deaths[i].Forgiven = m.Deaths[i].Forgiven || d.Forgiven
-		return m.Deaths[i].see(d) || news
+		return m.Deaths[i].mergeProgress(d) || newlyCleared
 	}
 	m.Deaths = slices.Insert(m.Deaths, i, d)
-	if len(m.Deaths) > maxDeaths {
-		m.dropForgiven()
+	if len(m.Deaths) > maxDeathsPerMark {
+		m.dropOneDeath()
 	}
 	return true
 }
 
-// dropForgiven makes room: a forgiven death goes first, else the last.
-func (m *Mark) dropForgiven() {
+// dropOneDeath drops the first death that no longer counts, or the last death if all of
+// them count.
+func (m *Mark) dropOneDeath() {
 	i := slices.IndexFunc(m.Deaths, func(d Death) bool { return d.Forgiven })
 	if i < 0 {
 		i = len(m.Deaths) - 1
@@ -124,35 +131,37 @@
 	return cmp.Or(cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.BootID, b.BootID))
 }
 
-func (m *Mark) forgive() {
+func (m *Mark) clearDeaths() {
 	for i := range m.Deaths {
 		m.Deaths[i].Forgiven = true
 	}
 }
 
-func (m *Mark) release() {
-	m.Trying, m.TryingOn, m.TryingUntil, m.begun = "", "", time.Time{}, false
+func (m *Mark) endTrial() {
+	m.Trying, m.TryingOn, m.TryingUntil, m.trialStarted = "", "", time.Time{}, false
 }
 
-// mergeTrying takes over who tries the suspect. Only the trying daemon itself
-// may end its attempt. Of two the lower name is kept, so that daemons agree: two that
-// announce a suspect at one moment would both run it, each at the cost of an upstream.
-// An attempt that runs isn't given up; it began when all had heard of it.
-func (m *Mark) mergeTrying(from ident.VM, theirs Mark, self ident.VM, limit time.Time) bool {
-	if theirs.Trying != from {
+// mergeTrial adopts the trial that a peer's mark names and reports whether that changed
+// the mark. Only the daemon that claimed a trial is believed about its begin and end. If
+// two daemons claim the trial at the same time, the one with the lower name keeps it, so
+// that all daemons agree; otherwise both would run the suspect, each at the cost of an
+// upstream. A trial of this daemon that already runs isn't given up: it started after
+// all peers had heard of the claim. No claim is kept beyond maxExpires.
+func (m *Mark) mergeTrial(from ident.VM, received Mark, self ident.VM, maxExpires time.Time) bool {
+	if received.Trying != from {
 		if m.Trying == from {
-			m.release()
+			m.endTrial()
 			return true
 		}
-		return false // hearsay, or nothing
+		return false // the claim of a third daemon, or none
 	}
-	if m.Trying == self && m.begun || m.Trying != "" && m.Trying < from {
+	if m.Trying == self && m.trialStarted || m.Trying != "" && m.Trying < from {
 		return false
 	}
-	if theirs.TryingUntil.After(limit) {
-		theirs.TryingUntil = limit
+	if received.TryingUntil.After(maxExpires) {
+		received.TryingUntil = maxExpires
 	}
-	changed := m.Trying != from || m.TryingOn != theirs.TryingOn
-	m.Trying, m.TryingOn, m.TryingUntil, m.begun = from, theirs.TryingOn, theirs.TryingUntil, false
+	changed := m.Trying != from || m.TryingOn != received.TryingOn
+	m.Trying, m.TryingOn, m.TryingUntil, m.trialStarted = from, received.TryingOn, received.TryingUntil, false
 	return changed
 }
--- a/internal/poison/places.go
+++ b/internal/poison/places.go
@@ -7,98 +7,104 @@
 )
 
 const (
-	// placeLife is how long a place holds at least; at most it is twice that. A death
-	// is known to all daemons well before, and marks decide from then on.
-	placeLife = time.Second
-	// maxPlaces bounds the requests of one placeLife that are remembered.
-	maxPlaces = 32768
-	// maxSenders bounds the copies that a place tells apart.
+	// placementTTL is the minimum lifetime of a placement; the maximum is twice that.
+	// All daemons hear of an upstream's death well before it is over, and from then on
+	// the request's mark decides.
+	placementTTL = time.Second
+	// maxPlacements bounds the placements that are remembered from one placementTTL.
+	maxPlacements = 32768
+	// maxSenders bounds the senders that a placement tells apart.
 	maxSenders = 8
 )
 
-// Sender is one copy of a request on its way through a daemon; its further attempts
-// are the same sender's.
+// Sender identifies one copy of a request that a daemon handles. All attempts that the
+// daemon makes for this copy have the same Sender.
 type Sender struct {
 	VM     ident.VM
-	Number uint64 // unique in the daemon's process
+	Number uint64 // unique within the daemon's process
 }
 
-// Copy asks where a request may run that no upstream is known to have answered.
+// Copy is a copy of a request that is about to be sent. It needs a placement only while
+// no upstream is known to have answered the request.
 type Copy struct {
 	Fingerprint Fingerprint
 	Sender      Sender
-	Wanted      ident.Upstream // where its daemon would have it run
+	Wanted      ident.Upstream // where the copy's daemon would send it
 }
 
-// Places says where the copies of a request run. Whether a request kills shows only
-// when one copy has run; copies that several daemons place by themselves before that,
-// at one moment, end one upstream each. One daemon places all copies of a request, and
-// gives them one upstream: whatever they do to it, they do to that one.
+// Places assigns all copies of a request to one upstream. Whether a request crashes its
+// upstream is known only after one copy has run. If several daemons chose an upstream
+// for their copies independently before that, each copy could cost one upstream. So one
+// daemon places all copies of a request, and at most the upstream that it assigned is
+// lost.
 //
-// It is pure (no clock, no I/O) and not safe for concurrent use.
+// Places does no I/O and reads no clock; it is not safe for concurrent use.
 //
 // Invariants:
-//   - within placeLife of the first copy's place, all senders get the same upstream,
-//     save a sender that is alone with the request: it may move;
-//   - a place is forgotten after two placeLives, so that nothing grows with time.
+//   - within placementTTL of the first copy's placement all senders get the same
+//     upstream, except that the only sender of a request may move to another one;
+//   - a placement is dropped after twice placementTTL, so memory use doesn't grow with
+//     time.
 type Places struct {
-	recent, former map[Fingerprint]*place // by the placeLife in which they were made
-	since          time.Time              // when recent began
+	current, previous map[Fingerprint]*placement // generations, see rotate
+	currentSince      time.Time
 }
 
-type place struct {
+type placement struct {
 	upstream ident.Upstream
-	senders  []Sender
+	senders  []Sender // at most maxSenders
 }
 
 // NewPlaces returns an empty Places.
 func NewPlaces() *Places {
-	return &Places{recent: map[Fingerprint]*place{}, former: map[Fingerprint]*place{}}
+	return &Places{current: map[Fingerprint]*placement{}, previous: map[Fingerprint]*placement{}}
 }
 
-// Place returns the upstream for a copy.
+// Place returns the upstream that the copy must be sent to.
 func (p *Places) Place(c Copy, now time.Time) ident.Upstream {
-	p.forget(now)
-	known := p.recent[c.Fingerprint]
-	if known == nil {
-		known = p.former[c.Fingerprint]
+	p.rotate(now)
+	existing := p.current[c.Fingerprint]
+	if existing == nil {
+		existing = p.previous[c.Fingerprint]
 	}
-	if known == nil {
-		p.recent[c.Fingerprint] = &place{c.Wanted, []Sender{c.Sender}}
+	if existing == nil {
+		p.current[c.Fingerprint] = &placement{c.Wanted, []Sender{c.Sender}}
 		return c.Wanted
 	}
-	if known.alone(c.Sender) {
-		// Its upstream refused it, or was lost under it: nobody else is there.
-		known.upstream = c.Wanted
+	if existing.hasOnlySender(c.Sender) {
+		// Its upstream refused the copy or died while running it; no other copy is there.
+		existing.upstream = c.Wanted
 		return c.Wanted
 	}
-	known.add(c.Sender)
-	return known.upstream
+	existing.addSender(c.Sender)
+	return existing.upstream
 }
 
-// forget starts a new placeLife when the current one is over, or full.
-func (p *Places) forget(now time.Time) {
-	age := now.Sub(p.since)
-	if age < placeLife && len(p.recent) < maxPlaces {
+// rotate starts a new generation of placements if the current one is full or
+// placementTTL old. The current one becomes the previous one, unless it is twice
+// placementTTL old and is dropped.
+func (p *Places) rotate(now time.Time) {
+	age := now.Sub(p.currentSince)
+	if age < placementTTL && len(p.current) < maxPlacements {
 		return
 	}
-	p.former, p.recent = p.recent, map[Fingerprint]*place{}
+	p.previous, p.current = p.current, map[Fingerprint]*placement{}
 	switch {
-	case age >= 2*placeLife:
-		p.former = map[Fingerprint]*place{}
-		p.since = now
-	case age >= placeLife:
-		p.since = p.since.Add(placeLife)
+	case age >= 2*placementTTL:
+		p.previous = map[Fingerprint]*placement{}
+		p.currentSince = now
+	case age >= placementTTL:
+		p.currentSince = p.currentSince.Add(placementTTL)
 	default:
-		p.since = now
+		p.currentSince = now
 	}
 }
 
-func (p *place) alone(s Sender) bool { return len(p.senders) == 1 && p.senders[0] == s }
+func (p *placement) hasOnlySender(s Sender) bool { return len(p.senders) == 1 && p.senders[0] == s }
 
-// add notes a sender. One that found the list full is not told apart from others,
-// which only makes sure that nobody counts as alone.
-func (p *place) add(s Sender) {
+// addSender records a sender, unless the list is full. A sender that isn't recorded does
+// no harm: with a full list no sender counts as the only one.
+func (p *placement) addSender(s Sender) {
 	for _, known := range p.senders {
 		if known == s {
 			return
--- a/internal/poison/places_test.go
+++ b/internal/poison/places_test.go
@@ -11,61 +11,63 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// naivePlaces keeps every copy that ever asked and looks through all of them.
-type naivePlaces struct{ asked []naiveCopy }
+// referencePlacements keeps every copy that was placed and searches all of them.
+type referencePlacements struct{ requests []placedCopy }
 
-type naiveCopy struct {
+type placedCopy struct {
 	Copy
-	given ident.Upstream
-	at    time.Time
+	upstream ident.Upstream
+	placedAt time.Time
 }
 
-// must returns the upstream that a copy has to get: where the first copy of the last
-// placeLife went, if there was none for two placeLives before that one, or where it went
-// on to while it was alone. It is "" where a place may or may not have been forgotten.
-func (n *naivePlaces) must(c Copy, now time.Time) ident.Upstream {
-	var first *naiveCopy
-	var at ident.Upstream
-	alone := true
+// requiredUpstream returns the upstream that a copy must get: that of the first copy
+// placed within the last placementTTL, if none was placed for twice placementTTL before
+// that one, or the upstream that its sender moved to while it was the only one. It
+// returns "" where the placement may or may not have been dropped.
+func (r *referencePlacements) requiredUpstream(c Copy, now time.Time) ident.Upstream {
+	var first *placedCopy
+	var required ident.Upstream
+	onlySender := true
 	last := time.Time{}
-	for i, o := range n.asked {
-		if o.Fingerprint != c.Fingerprint {
+	for i, earlier := range r.requests {
+		if earlier.Fingerprint != c.Fingerprint {
 			continue
 		}
-		if o.at.Sub(last) >= 2*placeLife {
-			first, alone = &n.asked[i], true
+		if earlier.placedAt.Sub(last) >= 2*placementTTL {
+			first, onlySender = &r.requests[i], true
 		}
-		last = o.at
-		if alone = alone && o.Sender == first.Sender; alone {
-			at = o.given
+		last = earlier.placedAt
+		if onlySender = onlySender && earlier.Sender == first.Sender; onlySender {
+			required = earlier.upstream
 		}
 	}
 	switch {
-	case now.Sub(last) >= 2*placeLife:
+	case now.Sub(last) >= 2*placementTTL:
 		return c.Wanted
-	case now.Sub(first.at) >= placeLife:
+	case now.Sub(first.placedAt) >= placementTTL:
 		return ""
-	case alone && c.Sender == first.Sender:
+	case onlySender && c.Sender == first.Sender:
 		return c.Wanted
 	}
-	return at
+	return required
 }
 
-var _ = Describe("Places", func() {
+var _ = Describe("Placement of copies", func() {
 	copyOf := func(fp int, vm string, wanted string) Copy {
 		return Copy{Fingerprint: Fingerprint(fp), Sender: Sender{VM: ident.VM(vm), Number: 1}, Wanted: ident.Upstream(wanted)}
 	}
 
-	It("gives all copies of one request one upstream, and others their own", func() {
+	It("gives all copies of a request the same upstream, and each request its own", func() {
 		p := NewPlaces()
 		Expect(p.Place(copyOf(1, "a", "u1"), epoch)).To(BeEquivalentTo("u1"))
 		Expect(p.Place(copyOf(1, "b", "u2"), epoch)).To(BeEquivalentTo("u1"))
 		Expect(p.Place(copyOf(2, "b", "u2"), epoch)).To(BeEquivalentTo("u2"))
-		Expect(p.Place(copyOf(1, "c", "u3"), epoch.Add(placeLife-1))).To(BeEquivalentTo("u1"))
+		Expect(p.Place(copyOf(1, "c", "u3"), epoch.Add(placementTTL-1))).To(BeEquivalentTo("u1"))
 	})
 
-	// Its upstream refused a copy that nobody else sent: it must not wait for that one.
-	It("lets a sender move that is alone, and nobody once another came", func() {
+	// The upstream refused a request of which there is no other copy: the request must not
+	// wait for that upstream.
+	It("lets the only sender of a request move, and no sender once there are two", func() {
 		p := NewPlaces()
 		p.Place(copyOf(1, "a", "u1"), epoch)
 		Expect(p.Place(copyOf(1, "a", "u2"), epoch)).To(BeEquivalentTo("u2"))
@@ -73,48 +75,48 @@
 		Expect(p.Place(copyOf(1, "a", "u4"), epoch)).To(BeEquivalentTo("u2"))
 	})
 
-	It("forgets", func() {
+	It("drops placements after their lifetime and bounds their number", func() {
 		p := NewPlaces()
 		p.Place(copyOf(1, "a", "u1"), epoch)
-		Expect(p.Place(copyOf(1, "b", "u2"), epoch.Add(2*placeLife))).To(BeEquivalentTo("u2"))
-		for fp := range 2*maxPlaces + 10 {
-			p.Place(copyOf(fp, "a", "u1"), epoch.Add(3*placeLife))
+		Expect(p.Place(copyOf(1, "b", "u2"), epoch.Add(2*placementTTL))).To(BeEquivalentTo("u2"))
+		for fp := range 2*maxPlacements + 10 {
+			p.Place(copyOf(fp, "a", "u1"), epoch.Add(3*placementTTL))
 		}
-		Expect(len(p.recent) + len(p.former)).To(BeNumerically("<=", 2*maxPlaces))
+		Expect(len(p.current) + len(p.previous)).To(BeNumerically("<=", 2*maxPlacements))
 	})
 
-	It("agrees with a look through all copies, over random sessions", func() {
+	It("agrees with a search through all copies in random sessions", func() {
 		checked := 0
 		for seed := range uint64(40) {
 			random := rand.New(rand.NewPCG(seed, 5))
-			p, n := NewPlaces(), &naivePlaces{}
+			p, reference := NewPlaces(), &referencePlacements{}
 			now := epoch
 			for step := range 400 {
 				now = now.Add(time.Duration(random.IntN(600)) * time.Millisecond)
 				c := copyOf(random.IntN(5), fmt.Sprint("vm", random.IntN(4)), fmt.Sprint("u", random.IntN(6)))
 				c.Sender.Number = uint64(random.IntN(3))
-				given := p.Place(c, now)
-				if must := n.must(c, now); must != "" {
+				got := p.Place(c, now)
+				if required := reference.requiredUpstream(c, now); required != "" {
 					checked++
-					Expect(given).To(Equal(must), "seed %d, step %d", seed, step)
+					Expect(got).To(Equal(required), "seed %d, step %d", seed, step)
 				}
-				n.asked = append(n.asked, naiveCopy{c, given, now})
+				reference.requests = append(reference.requests, placedCopy{c, got, now})
 			}
 		}
 		Expect(checked).To(BeNumerically(">", 1000))
 	})
 })
 
-var _ = Describe("Answered", func() {
-	It("remembers an answer for its life, and stays bounded", func() {
+var _ = Describe("Memory of answered requests", func() {
+	It("keeps a request for its lifetime and bounds their number", func() {
 		a := NewAnswered()
 		Expect(a.Has(1, epoch)).To(BeFalse())
 		a.Add(1, epoch)
-		Expect(a.Has(1, epoch.Add(answeredLife))).To(BeTrue())
-		Expect(a.Has(1, epoch.Add(3*answeredLife))).To(BeFalse())
+		Expect(a.Has(1, epoch.Add(answeredTTL))).To(BeTrue())
+		Expect(a.Has(1, epoch.Add(3*answeredTTL))).To(BeFalse())
 		for fp := range Fingerprint(3 * maxAnswered) {
-			a.Add(fp, epoch.Add(4*answeredLife))
+			a.Add(fp, epoch.Add(4*answeredTTL))
 		}
-		Expect(len(a.recent) + len(a.former)).To(BeNumerically("<=", 2*maxAnswered))
+		Expect(len(a.current) + len(a.previous)).To(BeNumerically("<=", 2*maxAnswered))
 	})
 })
--- a/internal/poison/poison.go
+++ b/internal/poison/poison.go
@@ -7,54 +7,55 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// maxDeaths bounds what one mark remembers.
-const maxDeaths = 8
+// maxDeathsPerMark bounds the deaths that one mark holds.
+const maxDeathsPerMark = 8
 
-// convictedAt is how many deaths make a suspect final.
-const convictedAt = 2
+// deathsToConvict is the number of counted deaths at which a request is rejected.
+const deathsToConvict = 2
 
-// Options of a Keeper.
+// Options configure the marks of a daemon.
 type Options struct {
-	Self     ident.VM
-	Expiry   time.Duration // of a mark after its last death; default 10 min
-	MaxMarks int           // default 4096; the one to expire first goes
-	TryFor   time.Duration // longest that Trying holds unrenewed; default 5 s
+	Self     ident.VM      // this daemon
+	MarkTTL  time.Duration // lifetime of a mark after its last death; default 10 min
+	MaxMarks int           // default 4096; beyond it the least important mark is evicted
+	TrialTTL time.Duration // lifetime of a claim to a trial that isn't renewed; default 5 s
 }
 
-// Verdict is what Admit says about a request.
+// Verdict says whether and how a request may run.
 type Verdict int
 
 // The verdicts.
 const (
-	Clean     Verdict = iota // run it as any other
-	Suspect                  // run it alone
-	Busy                     // another daemon runs it alone now: come back
-	Convicted                // final answer, never run
+	Clean     Verdict = iota // like any other request
+	Suspect                  // only in a trial
+	Busy                     // not now: another daemon has its trial
+	Convicted                // not before its mark expires
 )
 
-// String names the verdict.
+// String returns the name of the verdict in logs.
 func (v Verdict) String() string {
 	return [...]string{"clean", "suspect", "busy", "convicted"}[v]
 }
 
-// Decision is a verdict and, for Busy and Convicted, when to come back.
+// Decision is a verdict and, for Busy and Convicted, the time until it may change.
 type Decision struct {
 	Verdict    Verdict
 	RetryAfter time.Duration
 }
 
-// Keeper holds the marks of one daemon. It is pure (no clock, no I/O) and not
-// safe for concurrent use.
+// Keeper holds the marks that one daemon knows. It does no I/O and reads no clock; it is
+// not safe for concurrent use.
 //
 // Invariants:
-//   - a fingerprint with two deaths not forgiven is never admitted until its
-//     mark expires, so a request that kills at its start, at a token or at its end
-//     costs at most two upstreams; copies that other daemons have in flight before
-//     they hear of the first death run on the same upstream (see Places), or are
-//     stopped when they do;
-//   - a mark's deaths are a set and forgiving only grows, so merging is
-//     commutative, idempotent, and the same whatever order peers are heard in;
-//   - at most one daemon runs a suspect once the marks have spread.
+//   - a request with two deaths that count isn't admitted until its mark expires. So a
+//     request that crashes its upstream at its start, at some token or at its end costs
+//     at most two upstreams. Copies that other daemons have in flight before they hear
+//     of the first death run on the same upstream (see [Places]), or are stopped when
+//     they hear of it;
+//   - the deaths of a mark are a set, and a death that stopped counting never counts
+//     again, so merging is commutative and idempotent, and its result doesn't depend on
+//     the order in which peers are heard;
+//   - once the marks have spread, at most one daemon runs a suspect.
 type Keeper struct {
 	options Options
 	marks   map[Fingerprint]*Mark
@@ -62,25 +63,25 @@
 
 // New returns an empty keeper.
 func New(o Options) *Keeper {
-	if o.Expiry <= 0 {
-		o.Expiry = 10 * time.Minute
+	if o.MarkTTL <= 0 {
+		o.MarkTTL = 10 * time.Minute
 	}
 	if o.MaxMarks <= 0 {
 		o.MaxMarks = 4096
 	}
-	if o.TryFor <= 0 {
-		o.TryFor = 5 * time.Second
+	if o.TrialTTL <= 0 {
+		o.TrialTTL = 5 * time.Second
 	}
 	return &Keeper{options: o, marks: map[Fingerprint]*Mark{}}
 }
 
-// Admit judges a request before it is dispatched. It changes nothing.
+// Admit returns whether and how a request may run now. It changes nothing.
 func (k *Keeper) Admit(fp Fingerprint, now time.Time) Decision {
-	m := k.live(fp, now)
+	m := k.unexpiredMark(fp, now)
 	if m == nil || m.Crashes() == 0 {
 		return Decision{Verdict: Clean}
 	}
-	if m.Crashes() >= convictedAt {
+	if m.Crashes() >= deathsToConvict {
 		return Decision{Verdict: Convicted, RetryAfter: m.Expires.Sub(now)}
 	}
 	if m.Trying != "" && m.Trying != k.options.Self && now.Before(m.TryingUntil) {
@@ -89,88 +90,90 @@
 	return Decision{Verdict: Suspect}
 }
 
-// Died says that an upstream's process ended while the request ran there. It
-// reports whether the mark is news that peers should hear at once.
+// Died records that an upstream's process ended while the request ran on it. It reports
+// whether that changed the mark, so that peers have to be told at once.
 func (k *Keeper) Died(fp Fingerprint, d Death, now time.Time) bool {
-	m := k.live(fp, now)
+	m := k.unexpiredMark(fp, now)
 	if m == nil {
-		m = k.insert(fp, now)
+		m = k.insertMark(fp, now)
 	}
 	if !m.addDeath(d) {
 		return false
 	}
-	m.Expires = now.Add(k.options.Expiry)
+	m.Expires = now.Add(k.options.MarkTTL)
 	return true
 }
 
-// Try takes the suspect for this daemon: it runs alone on the upstream. Call it
-// again before TryFor has passed to hold on. False means that Admit doesn't say
-// Suspect any more.
-func (k *Keeper) Try(fp Fingerprint, on ident.Upstream, now time.Time) bool {
+// Try claims the suspect's trial, on an upstream, for this daemon. To keep the claim, the
+// caller repeats Try before TrialTTL has passed. Try reports false, and claims nothing,
+// if the request is no suspect any more or another daemon has its trial.
+func (k *Keeper) Try(fp Fingerprint, upstream ident.Upstream, now time.Time) bool {
 	if k.Admit(fp, now).Verdict != Suspect {
 		return false
 	}
 	m := k.marks[fp]
 	m.Trying = k.options.Self
-	m.TryingOn = on
-	m.TryingUntil = now.Add(k.options.TryFor)
+	m.TryingOn = upstream
+	m.TryingUntil = now.Add(k.options.TrialTTL)
 	return true
 }
 
-// Begin is Try for an attempt that runs from now on: it isn't given up any more for
-// that of another daemon.
-func (k *Keeper) Begin(fp Fingerprint, on ident.Upstream, now time.Time) bool {
-	if !k.Try(fp, on, now) {
+// Begin is [Keeper.Try] for a trial that runs from now on: it is no longer given up for
+// the claim of another daemon.
+func (k *Keeper) Begin(fp Fingerprint, upstream ident.Upstream, now time.Time) bool {
+	if !k.Try(fp, upstream, now) {
 		return false
 	}
-	k.marks[fp].begun = true
+	k.marks[fp].trialStarted = true
 	return true
 }
 
-// Tried ends Try. A success clears the request: what it was seen beside did
-// the killing.
+// Tried ends the trial that this daemon has claimed. A success clears the request: the
+// deaths were caused by a request that ran beside it.
 func (k *Keeper) Tried(fp Fingerprint, succeeded bool, now time.Time) {
-	m := k.live(fp, now)
+	m := k.unexpiredMark(fp, now)
 	if m == nil {
 		return
 	}
 	if m.Trying == k.options.Self {
-		m.release()
+		m.endTrial()
 	}
-	if succeeded && m.Crashes() < convictedAt {
-		m.forgive()
+	if succeeded && m.Crashes() < deathsToConvict {
+		m.clearDeaths()
 	}
 }
 
-// Proven is how many tokens past a death show that the request doesn't kill
-// there: more than what an engine may have generated and not yet sent.
-const Proven = 16
+// progressMargin is how many tokens past the position of a death a request must get to
+// show that it didn't cause the death. It is more than an engine may have generated and
+// not yet sent.
+const progressMargin = 16
 
-// Passed ends Try and forgives the death if the request, which runs alone and has
-// this many tokens, got past the point where it died. That holds once, and only
-// where this daemon knows the point: whoever had a death forgiven runs alone to
-// its end, so that a request that kills at no fixed point is convicted as well.
+// Passed takes the number of tokens that a request in this daemon's trial has. If they
+// are past the positions of all its deaths, Passed clears the request, ends the trial and
+// reports true. It does so once for a request, and only if this daemon knows the position
+// of every death: a request that was cleared before runs its trial to the end, so that
+// one that crashes upstreams at no fixed position is rejected as well.
 func (k *Keeper) Passed(fp Fingerprint, tokens int, now time.Time) bool {
-	m := k.live(fp, now)
-	if m == nil || m.Trying != k.options.Self || m.Crashes() >= convictedAt {
+	m := k.unexpiredMark(fp, now)
+	if m == nil || m.Trying != k.options.Self || m.Crashes() >= deathsToConvict {
 		return false
 	}
 	for _, d := range m.Deaths {
-		if d.Forgiven || !d.Seen || tokens < d.Tokens+Proven {
+		if d.Forgiven || !d.Seen || tokens < d.Tokens+progressMargin {
 			return false
 		}
 	}
-	m.release()
-	m.forgive()
+	m.endTrial()
+	m.clearDeaths()
 	return true
 }
 
-// Unrelated says that a death beside other work, d, tells nothing new of a
-// suspect: another copy of it died at quite another point. A request that kills
-// does so at one point; two engines that end by chance, with a straggler and its
-// copy on them, must not convict it.
+// Unrelated reports whether d, a death of a suspect outside a trial, is no evidence
+// against it, because its other deaths have quite different positions. A request that
+// crashes upstreams does so at one position. If two engines end by chance, one with a slow
+// request and one with the hedged copy of it, the request must not be rejected.
 func (k *Keeper) Unrelated(fp Fingerprint, d Death, now time.Time) bool {
-	m := k.live(fp, now)
+	m := k.unexpiredMark(fp, now)
 	if m == nil || m.Crashes() == 0 {
 		return false
 	}
@@ -178,54 +181,55 @@
 		if o.Forgiven {
 			continue
 		}
-		if !o.Seen || o.same(d) || max(o.Tokens-d.Tokens, d.Tokens-o.Tokens) < Proven {
+		if !o.Seen || o.sameProcess(d) || max(o.Tokens-d.Tokens, d.Tokens-o.Tokens) < progressMargin {
 			return false
 		}
 	}
 	return true
 }
 
-// Merge takes a peer's marks in and returns the requests of which something is new.
+// Merge adopts what is new in a peer's marks and returns the requests whose marks changed.
 func (k *Keeper) Merge(from ident.VM, marks []Mark, now time.Time) []Fingerprint {
 	var changed []Fingerprint
-	for _, theirs := range marks {
-		if now.Before(theirs.Expires) && k.mergeOne(from, theirs, now) {
-			changed = append(changed, theirs.Fingerprint)
+	for _, received := range marks {
+		if now.Before(received.Expires) && k.mergeMark(from, received, now) {
+			changed = append(changed, received.Fingerprint)
 		}
 	}
 	return changed
 }
 
-func (k *Keeper) mergeOne(from ident.VM, theirs Mark, now time.Time) bool {
-	m := k.live(theirs.Fingerprint, now)
+func (k *Keeper) mergeMark(from ident.VM, received Mark, now time.Time) bool {
+	m := k.unexpiredMark(received.Fingerprint, now)
 	if m == nil {
-		m = k.insert(theirs.Fingerprint, now)
+		m = k.insertMark(received.Fingerprint, now)
 	}
 	changed := false
-	for _, d := range theirs.Deaths {
+	for _, d := range received.Deaths {
 		d.Seen = false
 		changed = m.addDeath(d) || changed
 	}
-	// A peer's clock may be ahead: no mark outlives our own expiry.
-	if limit := now.Add(k.options.Expiry); theirs.Expires.After(limit) {
-		theirs.Expires = limit
+	// The peer's clock may be ahead: no mark lives longer than a new one of this daemon.
+	if maxExpires := now.Add(k.options.MarkTTL); received.Expires.After(maxExpires) {
+		received.Expires = maxExpires
 	}
-	if theirs.Expires.After(m.Expires) {
-		m.Expires = theirs.Expires
+	if received.Expires.After(m.Expires) {
+		m.Expires = received.Expires
 	}
-	return m.mergeTrying(from, theirs, k.options.Self, now.Add(k.options.TryFor)) || changed
+	return m.mergeTrial(from, received, k.options.Self, now.Add(k.options.TrialTTL)) || changed
 }
 
-// Forget ends the attempts of a daemon that is gone.
+// Forget ends the trials of a daemon that is gone.
 func (k *Keeper) Forget(vm ident.VM) {
 	for _, m := range k.marks {
 		if m.Trying == vm {
-			m.release()
+			m.endTrial()
 		}
 	}
 }
 
-// Taken returns the upstreams on which other daemons run suspects alone, sorted.
+// Taken returns the upstreams of the trials that other daemons have claimed, sorted and
+// each once.
 func (k *Keeper) Taken(now time.Time) []ident.Upstream {
 	var taken []ident.Upstream
 	for _, m := range k.marks {
@@ -237,9 +241,10 @@
 	return slices.Compact(taken)
 }
 
-// Mark returns a copy of a request's live mark; none has no deaths.
+// Mark returns a copy of a request's mark. The copy has no deaths if there is no mark or
+// it has expired.
 func (k *Keeper) Mark(fp Fingerprint, now time.Time) Mark {
-	m := k.live(fp, now)
+	m := k.unexpiredMark(fp, now)
 	if m == nil {
 		return Mark{Fingerprint: fp}
 	}
@@ -248,12 +253,12 @@
 	return c
 }
 
-// Rival returns the lowest-named other daemon that tries a suspect on an upstream, ""
-// if none does.
-func (k *Keeper) Rival(on ident.Upstream, now time.Time) ident.VM {
+// Rival returns the other daemon that has claimed a trial on an upstream, the one with
+// the lowest name if several have, "" if none has.
+func (k *Keeper) Rival(upstream ident.Upstream, now time.Time) ident.VM {
 	var lowest ident.VM
 	for _, m := range k.marks {
-		if m.TryingOn != on || m.Trying == k.options.Self || !now.Before(m.TryingUntil) {
+		if m.TryingOn != upstream || m.Trying == k.options.Self || !now.Before(m.TryingUntil) {
 			continue
 		}
 		if lowest == "" || m.Trying < lowest {
@@ -263,7 +268,7 @@
 	return lowest
 }
 
-// Marks returns copies of the live marks, by fingerprint, for peers.
+// Marks returns copies of the marks that haven't expired, sorted by fingerprint, for peers.
 func (k *Keeper) Marks(now time.Time) []Mark {
 	out := make([]Mark, 0, len(k.marks))
 	for _, m := range k.marks {
@@ -274,7 +279,7 @@
 		c.Deaths = slices.Clone(m.Deaths)
 		out = append(out, c)
 	}
-	slices.SortFunc(out, func(a, b Mark) int { return compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(out, func(a, b Mark) int { return compareFingerprints(a.Fingerprint, b.Fingerprint) })
 	return out
 }
 
@@ -287,8 +292,8 @@
 	}
 }
 
-// live returns the mark unless it expired.
-func (k *Keeper) live(fp Fingerprint, now time.Time) *Mark {
+// unexpiredMark returns a request's mark, nil if there is none or it has expired.
+func (k *Keeper) unexpiredMark(fp Fingerprint, now time.Time) *Mark {
 	m := k.marks[fp]
 	if m == nil || !now.Before(m.Expires) {
 		return nil
@@ -296,21 +301,24 @@
 	return m
 }
 
-func (k *Keeper) insert(fp Fingerprint, now time.Time) *Mark {
+// insertMark adds an empty mark, in place of one that has expired or of another request's
+// if there is no room.
+func (k *Keeper) insertMark(fp Fingerprint, now time.Time) *Mark {
 	if _, replaced := k.marks[fp]; !replaced && len(k.marks) >= k.options.MaxMarks {
-		k.evict()
+		k.evictMark()
 	}
-	m := &Mark{Fingerprint: fp, Expires: now.Add(k.options.Expiry)}
+	m := &Mark{Fingerprint: fp, Expires: now.Add(k.options.MarkTTL)}
 	k.marks[fp] = m
 	return m
 }
 
-// evict drops the mark that matters least: fewest crashes, then first to
-// expire, then lowest fingerprint, so that map order never shows.
-func (k *Keeper) evict() {
+// evictMark drops the least important mark: the one with the fewest counted deaths, then
+// the first to expire, then the lowest fingerprint. The order is total, so that the
+// result doesn't depend on the order of the map.
+func (k *Keeper) evictMark() {
 	var victim *Mark
 	for _, m := range k.marks {
-		if victim == nil || lessWorth(m, victim) {
+		if victim == nil || evictsBefore(m, victim) {
 			victim = m
 		}
 	}
@@ -319,7 +327,8 @@
 	}
 }
 
-func lessWorth(a, b *Mark) bool {
+// evictsBefore reports whether a is evicted before b.
+func evictsBefore(a, b *Mark) bool {
 	if a.Crashes() != b.Crashes() {
 		return a.Crashes() < b.Crashes()
 	}
--- a/internal/poison/poison_test.go
+++ b/internal/poison/poison_test.go
@@ -15,35 +15,35 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/golden"
 )
 
-// naive keeps every event of a daemon and counts anew at each question. It
-// knows nothing of trying: it answers clean, suspect or convicted.
-type naive struct {
-	deaths map[Fingerprint][]Death // in order
-	last   map[Fingerprint]time.Time
+// referenceModel keeps every death that a daemon has seen and counts them again for each
+// verdict. It doesn't know trials: its verdict is clean, suspect or convicted.
+type referenceModel struct {
+	deaths    map[Fingerprint][]Death // in the order in which they were seen
+	lastDeath map[Fingerprint]time.Time
 }
 
-func (n *naive) died(fp Fingerprint, d Death, now time.Time) {
-	if now.Sub(n.last[fp]) >= time.Minute {
-		n.deaths[fp] = nil
+func (r *referenceModel) died(fp Fingerprint, d Death, now time.Time) {
+	if now.Sub(r.lastDeath[fp]) >= time.Minute {
+		r.deaths[fp] = nil
 	}
-	if slices.ContainsFunc(n.deaths[fp], func(o Death) bool { return o.Upstream == d.Upstream && o.BootID == d.BootID }) {
+	if slices.ContainsFunc(r.deaths[fp], func(o Death) bool { return o.Upstream == d.Upstream && o.BootID == d.BootID }) {
 		return
 	}
-	n.deaths[fp] = append(n.deaths[fp], d)
-	n.last[fp] = now
+	r.deaths[fp] = append(r.deaths[fp], d)
+	r.lastDeath[fp] = now
 }
 
-func (n *naive) cleared(fp Fingerprint) {
-	if n.crashes(fp) < 2 {
-		for i := range n.deaths[fp] {
-			n.deaths[fp][i].Forgiven = true
+func (r *referenceModel) clear(fp Fingerprint) {
+	if r.countedDeaths(fp) < 2 {
+		for i := range r.deaths[fp] {
+			r.deaths[fp][i].Forgiven = true
 		}
 	}
 }
 
-func (n *naive) crashes(fp Fingerprint) int {
+func (r *referenceModel) countedDeaths(fp Fingerprint) int {
 	count := 0
-	for _, d := range n.deaths[fp] {
+	for _, d := range r.deaths[fp] {
 		if !d.Forgiven {
 			count++
 		}
@@ -51,49 +51,50 @@
 	return count
 }
 
-func (n *naive) verdict(fp Fingerprint, now time.Time) Verdict {
-	if now.Sub(n.last[fp]) >= time.Minute {
+func (r *referenceModel) verdict(fp Fingerprint, now time.Time) Verdict {
+	if now.Sub(r.lastDeath[fp]) >= time.Minute {
 		return Clean
 	}
-	return [...]Verdict{Clean, Suspect, Convicted}[min(2, n.crashes(fp))]
+	return [...]Verdict{Clean, Suspect, Convicted}[min(2, r.countedDeaths(fp))]
 }
 
-// fleet sends one killer again and again through random daemons, whose marks
-// reach the others between two sends if shared, and counts the upstreams lost.
-func fleet(seed uint64, shared bool) (lost int, refused bool) {
+// resendThroughFleet sends a request that always crashes its upstream 20 times, through
+// random daemons. If marks are shared, they reach all daemons between two sends. It
+// returns the number of upstreams lost and whether the last send was rejected.
+func resendThroughFleet(seed uint64, shared bool) (upstreamsLost int, rejected bool) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	var keepers []*Keeper
+	var daemons []*Keeper
 	for i := range 5 {
-		keepers = append(keepers, New(Options{Self: ident.VM(fmt.Sprint("vm", i))}))
+		daemons = append(daemons, New(Options{Self: ident.VM(fmt.Sprint("vm", i))}))
 	}
 	now := epoch
 	for range 20 {
 		now = now.Add(time.Second)
-		k := keepers[random.IntN(len(keepers))]
+		k := daemons[random.IntN(len(daemons))]
 		verdict := k.Admit(7, now).Verdict
-		refused = verdict == Convicted
-		if refused {
+		rejected = verdict == Convicted
+		if rejected {
 			continue
 		}
-		lost++
+		upstreamsLost++
 		k.Try(7, "q", now)
-		k.Died(7, Death{Upstream: ident.Upstream(fmt.Sprint("u", lost)), BootID: "1"}, now)
+		k.Died(7, Death{Upstream: ident.Upstream(fmt.Sprint("u", upstreamsLost)), BootID: "1"}, now)
 		k.Tried(7, false, now)
-		for _, to := range keepers {
+		for _, to := range daemons {
 			if shared {
 				to.Merge(k.options.Self, k.Marks(now), now)
 			}
 		}
 	}
-	return lost, refused
+	return upstreamsLost, rejected
 }
 
-var _ = Describe("Keeper", func() {
-	It("agrees with a naive count over random sessions", func() {
+var _ = Describe("Tracking of suspect requests", func() {
+	It("gives the verdicts of a reference model in random sessions", func() {
 		for seed := range uint64(30) {
 			random := rand.New(rand.NewPCG(seed, 2))
-			k := New(Options{Self: "vm", Expiry: time.Minute})
-			n := &naive{map[Fingerprint][]Death{}, map[Fingerprint]time.Time{}}
+			k := New(Options{Self: "vm", MarkTTL: time.Minute})
+			reference := &referenceModel{map[Fingerprint][]Death{}, map[Fingerprint]time.Time{}}
 			now := epoch
 			for range 300 {
 				now = now.Add(time.Duration(random.IntN(8000)) * time.Millisecond)
@@ -102,54 +103,54 @@
 				switch random.IntN(3) {
 				case 0:
 					k.Died(fp, d, now)
-					n.died(fp, d, now)
+					reference.died(fp, d, now)
 				case 1:
 					if k.Try(fp, d.Upstream, now) {
 						k.Tried(fp, true, now)
-						n.cleared(fp)
+						reference.clear(fp)
 					}
 				}
 				k.Tick(now)
-				Expect(k.Admit(fp, now).Verdict).To(Equal(n.verdict(fp, now)), "seed %d", seed)
+				Expect(k.Admit(fp, now).Verdict).To(Equal(reference.verdict(fp, now)), "seed %d", seed)
 			}
 		}
 	})
 
-	// A request that kills each upstream it runs on is sent through one daemon
-	// after the other.
-	It("costs a fleet two upstreams, and answers for good", func() {
+	// A request that crashes each upstream it runs on is sent through one daemon after
+	// the other.
+	It("loses two upstreams of a fleet to a request and then rejects it", func() {
 		for seed := range uint64(50) {
-			lost, refused := fleet(seed, true)
+			lost, rejected := resendThroughFleet(seed, true)
 			Expect(lost).To(Equal(2))
-			Expect(refused).To(BeTrue())
+			Expect(rejected).To(BeTrue())
 		}
 	})
 
-	It("red alive: daemons that don't share marks lose more", func() {
-		lost, _ := fleet(1, false)
+	It("negative control: loses more upstreams if daemons don't share their marks", func() {
+		lost, _ := resendThroughFleet(1, false)
 		Expect(lost).To(BeNumerically(">", 2))
 	})
 
-	It("merges to the same whatever the order and the number of times", func() {
+	It("merges marks to the same result whatever their order and repetition", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
 		a.Died(1, Death{Upstream: "u1", BootID: "x"}, epoch)
 		a.Try(1, "u2", epoch)
 		a.Tried(1, true, epoch)
 		b.Died(1, Death{Upstream: "u1", BootID: "x"}, epoch)
 		b.Died(1, Death{Upstream: "u3", BootID: "y"}, epoch)
-		one, two := New(Options{Self: "c"}), New(Options{Self: "c"})
-		one.Merge("a", a.Marks(epoch), epoch)
-		one.Merge("b", b.Marks(epoch), epoch)
-		two.Merge("b", b.Marks(epoch), epoch)
-		two.Merge("a", a.Marks(epoch), epoch)
-		two.Merge("b", b.Marks(epoch), epoch)
-		Expect(one.Marks(epoch)).To(Equal(two.Marks(epoch)))
-		Expect(one.Admit(1, epoch).Verdict).To(Equal(Suspect), "one death forgiven, one not")
+		c1, c2 := New(Options{Self: "c"}), New(Options{Self: "c"})
+		c1.Merge("a", a.Marks(epoch), epoch)
+		c1.Merge("b", b.Marks(epoch), epoch)
+		c2.Merge("b", b.Marks(epoch), epoch)
+		c2.Merge("a", a.Marks(epoch), epoch)
+		c2.Merge("b", b.Marks(epoch), epoch)
+		Expect(c1.Marks(epoch)).To(Equal(c2.Marks(epoch)))
+		Expect(c1.Admit(1, epoch).Verdict).To(Equal(Suspect), "one of two deaths counts")
 	})
 
-	// A daemon runs a suspect alone and dies, or is cut off: the others wait no
-	// longer than TryFor.
-	It("lets one daemon at a time try a suspect", func() {
+	// A daemon that has claimed a trial dies or loses its connections: the others wait
+	// until its claim expires, and no longer.
+	It("gives the trial of a suspect to one daemon at a time", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
 		a.Died(1, Death{Upstream: "u1"}, epoch)
 		Expect(a.Try(1, "q", epoch)).To(BeTrue())
@@ -163,24 +164,25 @@
 		Expect(b.Admit(1, epoch).Verdict).To(Equal(Suspect))
 	})
 
-	// Two daemons announce a suspect at one moment, before either heard of the other.
-	// Both would wait for an idle upstream and then run it, at the cost of one each.
-	It("leaves a suspect that two daemons announce at once to the lower name", func() {
+	// Two daemons claim the trial of a suspect at the same time, before either has heard
+	// of the other. Both would wait for an idle upstream and then run the suspect, at the
+	// cost of one upstream each.
+	It("gives a trial that two daemons claim at once to the one with the lower name", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
 		for _, k := range []*Keeper{a, b} {
 			k.Died(1, Death{Upstream: "u1"}, epoch)
 		}
 		Expect(a.Try(1, "q", epoch)).To(BeTrue())
 		Expect(b.Try(1, "r", epoch)).To(BeTrue())
-		ofA, ofB := a.Marks(epoch), b.Marks(epoch)
-		a.Merge("b", ofB, epoch)
-		b.Merge("a", ofA, epoch)
+		marksOfA, marksOfB := a.Marks(epoch), b.Marks(epoch)
+		a.Merge("b", marksOfB, epoch)
+		b.Merge("a", marksOfA, epoch)
 		Expect(b.Begin(1, "r", epoch)).To(BeFalse())
 		Expect(b.Admit(1, epoch).Verdict).To(Equal(Busy))
 		Expect(a.Begin(1, "q", epoch)).To(BeTrue())
 	})
 
-	It("names the lowest of the others that try suspects on one upstream", func() {
+	It("finds the lowest-named other daemon with a trial on an upstream", func() {
 		k := New(Options{Self: "b"})
 		until := epoch.Add(time.Second)
 		for fp, vm := range []ident.VM{"c", "a", "d"} {
@@ -191,10 +193,10 @@
 		Expect(k.Rival("q", until)).To(BeEmpty())
 		k.Died(9, Death{Upstream: "u1"}, epoch)
 		k.Try(9, "s", epoch)
-		Expect(k.Rival("s", epoch)).To(BeEmpty(), "its own")
+		Expect(k.Rival("s", epoch)).To(BeEmpty(), "the trial is its own")
 	})
 
-	It("keeps a trial that has begun", func() {
+	It("keeps a trial that runs when a daemon with a lower name claims it", func() {
 		b := New(Options{Self: "b"})
 		b.Died(1, Death{Upstream: "u1"}, epoch)
 		Expect(b.Begin(1, "r", epoch)).To(BeTrue())
@@ -203,38 +205,40 @@
 		Expect(b.Try(1, "r", epoch)).To(BeTrue())
 	})
 
-	// It died at token 40. Alone, it gets past that point and is cleared of it,
-	// once; a resend from the start isn't past it at token 16.
-	It("clears who got past the point of its death, once", func() {
+	// The upstream died when the request had 40 tokens. In a trial the request gets past
+	// that position and is cleared, once. A resend that starts from nothing isn't past it
+	// at token 16.
+	It("clears a request past the position of its death, but only once", func() {
 		k := New(Options{Self: "a"})
 		k.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 40}, epoch)
-		Expect(k.Passed(1, 99, epoch)).To(BeFalse(), "not alone")
+		Expect(k.Passed(1, 99, epoch)).To(BeFalse(), "not in a trial")
 		k.Try(1, "u2", epoch)
-		Expect(k.Passed(1, Proven, epoch)).To(BeFalse())
-		Expect(k.Passed(1, 40+Proven-1, epoch)).To(BeFalse())
-		Expect(k.Passed(1, 40+Proven, epoch)).To(BeTrue())
+		Expect(k.Passed(1, progressMargin, epoch)).To(BeFalse())
+		Expect(k.Passed(1, 40+progressMargin-1, epoch)).To(BeFalse())
+		Expect(k.Passed(1, 40+progressMargin, epoch)).To(BeTrue())
 		Expect(k.Admit(1, epoch).Verdict).To(Equal(Clean))
 		k.Died(1, Death{Upstream: "u2", Seen: true, Tokens: 90}, epoch)
 		k.Try(1, "u3", epoch)
-		Expect(k.Passed(1, 500, epoch)).To(BeFalse(), "alone to its end now")
+		Expect(k.Passed(1, 500, epoch)).To(BeFalse(), "has to run its trial to the end now")
 		k.Died(1, Death{Upstream: "u3", Seen: true, Tokens: 500}, epoch)
 		Expect(k.Admit(1, epoch).Verdict).To(Equal(Convicted))
 	})
 
-	// Two copies run on one engine, one far ahead, which kills it there. The other one's
-	// daemon tries it from where that was, gets 16 tokens on, and all believe it cleared:
-	// it kills again at the first one's point, and a third time alone.
-	It("clears nobody who didn't get past the furthest copy", func() {
+	// Two copies run on one engine. One is far ahead and crashes it. The daemon of the
+	// other copy starts a trial from that copy's position. If 16 more tokens cleared the
+	// request, it would crash an engine again at the position of the first copy, and a
+	// third one in a trial.
+	It("doesn't clear a request before the position of its furthest copy", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
 		b.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 450}, epoch)
 		a.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 500}, epoch)
 		Expect(b.Merge("a", a.Marks(epoch), epoch)).To(Equal([]Fingerprint{1}))
 		b.Try(1, "u2", epoch)
-		Expect(b.Passed(1, 450+Proven, epoch)).To(BeFalse())
-		Expect(b.Passed(1, 500+Proven, epoch)).To(BeTrue())
+		Expect(b.Passed(1, 450+progressMargin, epoch)).To(BeFalse())
+		Expect(b.Passed(1, 500+progressMargin, epoch)).To(BeTrue())
 	})
 
-	It("doesn't clear by a point that it doesn't know", func() {
+	It("doesn't clear a request by a position that this daemon doesn't know", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
 		a.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 40}, epoch)
 		b.Merge("a", a.Marks(epoch), epoch)
@@ -243,7 +247,7 @@
 		Expect(b.Unrelated(1, Death{Upstream: "u2", Seen: true, Tokens: 500}, epoch)).To(BeFalse())
 	})
 
-	It("stays bounded and forgets the least first", func() {
+	It("bounds the number of marks and evicts the least important first", func() {
 		k := New(Options{Self: "a", MaxMarks: 3})
 		k.Died(9, Death{Upstream: "u1"}, epoch)
 		k.Died(9, Death{Upstream: "u2"}, epoch)
@@ -254,7 +258,7 @@
 		Expect(k.Admit(9, epoch).Verdict).To(Equal(Convicted))
 	})
 
-	It("acts as in the golden session", func() {
+	It("decides as in the golden file", func() {
 		var out strings.Builder
 		random := rand.New(rand.NewPCG(3, 3))
 		k := New(Options{Self: "vm1"})
