--- a/internal/crashes/crashes_test.go
+++ b/internal/crashes/crashes_test.go
@@ -15,7 +15,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-func TestLedger(t *testing.T) {
+func TestTable(t *testing.T) {
 	const r poison.Fingerprint = 7
 	for _, c := range []struct {
 		name    string
@@ -26,130 +26,130 @@
 		{"none", nil, 0, false},
 		{"two upstreams", []string{"a", "b"}, 0, false},
 		{"three upstreams", []string{"a", "b", "c"}, 0, true},
-		{"one upstream seen three times", []string{"a", "a", "a"}, 0, false},
-		{"long ago", []string{"a", "b", "c"}, markLife, false},
+		{"one crash reported three times", []string{"a", "a", "a"}, 0, false},
+		{"three expired crashes", []string{"a", "b", "c"}, crashTTL, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			l := NewLedger()
+			table := NewTable()
 			for _, u := range c.crashed {
-				l.add(mark{r, u}, 0)
+				table.add(crash{r, u}, 0)
 			}
-			g.Expect(l.Blocked(r, c.now)).To(Equal(c.blocked))
-			g.Expect(l.Blocked(r+1, c.now)).To(BeFalse())
-			g.Expect(len(l.expired(c.now)) > 0).To(Equal(c.now >= markLife))
-			for _, m := range l.of(r) {
-				l.remove(m)
+			g.Expect(table.Blocked(r, c.now)).To(Equal(c.blocked))
+			g.Expect(table.Blocked(r+1, c.now)).To(BeFalse())
+			g.Expect(len(table.expired(c.now)) > 0).To(Equal(c.now >= crashTTL))
+			for _, known := range table.crashesOf(r) {
+				table.remove(known)
 			}
-			g.Expect(l.marks).To(BeEmpty())
+			g.Expect(table.crashes).To(BeEmpty())
 		})
 	}
 }
 
-func TestKeyOfAMark(t *testing.T) {
+func TestCrashKey(t *testing.T) {
 	g := NewWithT(t)
-	m := mark{0xfedcba9876543210, "i-7f/3"}
-	got, err := parseMark(m.key())
+	c := crash{0xfedcba9876543210, "i-7f/3"}
+	got, err := parseKey(c.key())
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(got).To(Equal(m))
+	g.Expect(got).To(Equal(c))
 	for _, bad := range []string{"", "x", "0123/a", "0123456789abcdef/", "0123456789abcdeg/a"} {
-		_, err := parseMark(bad)
+		_, err := parseKey(bad)
 		g.Expect(err).To(HaveOccurred(), bad)
 	}
 }
 
-// world is daemons that share a store.
-type world struct {
+// cluster is a store that daemons share.
+type cluster struct {
 	store  *metastore.Store
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-func newWorld() *world {
+func newCluster() *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &world{metastore.New(1), ctx, cancel}
+	return &cluster{metastore.New(1), ctx, cancel}
 }
 
-func (w *world) daemon(name string) *Service {
+func (c *cluster) daemon(name string) *Service {
 	start := time.Now()
-	s := New(name, metastore.NewClient(w.store, time.Second), func() time.Duration { return time.Since(start) }, zerolog.Nop())
-	go s.Run(w.ctx)
+	s := New(name, metastore.NewClient(c.store, time.Second), func() time.Duration { return time.Since(start) }, zerolog.Nop())
+	go s.Run(c.ctx)
 	return s
 }
 
-// A request that crashes whatever runs it comes again at other VMs. If each of them
-// had to see three crashes of its own, ten VMs would lose thirty upstreams to it.
-func TestCrashesCountOverAllDaemons(t *testing.T) {
+// A request that crashes whatever runs it is repeated through other VMs. If each VM had to
+// see three crashes of its own, ten VMs would lose thirty upstreams to the request.
+func TestCrashesOfAllDaemonsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld()
-		defer w.cancel()
+		c := newCluster()
+		defer c.cancel()
 		for i := range 3 {
-			w.daemon(fmt.Sprint("vm", i)).Crashed(w.ctx, 7, fmt.Sprint("u", i))
+			c.daemon(fmt.Sprint("vm", i)).Crashed(c.ctx, 7, fmt.Sprint("u", i))
 		}
-		late := w.daemon("late")
+		late := c.daemon("late")
 		time.Sleep(time.Second)
 		g.Expect(late.Blocked(7)).To(BeTrue())
 		g.Expect(late.Blocked(8)).To(BeFalse())
 	})
 }
 
-// The log forgets its records after some seconds. A daemon that starts later has to
-// know the crashes all the same.
-func TestCrashesOutliveTheLog(t *testing.T) {
+// The log drops its records after some seconds. A daemon that starts later must know the
+// crashes all the same.
+func TestCrashesOutliveTheRetentionOfTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld()
-		defer w.cancel()
-		first := w.daemon("first")
+		c := newCluster()
+		defer c.cancel()
+		first := c.daemon("first")
 		for i := range 3 {
-			first.Crashed(w.ctx, 7, fmt.Sprint("u", i))
+			first.Crashed(c.ctx, 7, fmt.Sprint("u", i))
 		}
 		time.Sleep(time.Second)
 		g.Expect(first.Blocked(7)).To(BeTrue())
-		w.store.Trim(topic, 0, w.store.End(topic, 0))
-		second := w.daemon("second")
+		c.store.Trim(topic, 0, c.store.End(topic, 0))
+		second := c.daemon("second")
 		time.Sleep(time.Second)
 		g.Expect(second.Blocked(7)).To(BeTrue())
 	})
 }
 
-// Three upstreams go down for reasons of their own under copies of one request,
-// which then succeeds. It has to be served again, by every daemon.
+// Three upstreams go down for other reasons while they run copies of one request, which
+// then succeeds. Every daemon must send it again.
 func TestSuccessClearsARequestEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld()
-		defer w.cancel()
-		first, second := w.daemon("first"), w.daemon("second")
+		c := newCluster()
+		defer c.cancel()
+		first, second := c.daemon("first"), c.daemon("second")
 		time.Sleep(time.Second)
 		for i := range 3 {
-			first.Crashed(w.ctx, 7, fmt.Sprint("u", i))
+			first.Crashed(c.ctx, 7, fmt.Sprint("u", i))
 		}
 		time.Sleep(6 * time.Second)
 		g.Expect(second.Blocked(7)).To(BeTrue())
-		second.Succeeded(w.ctx, 7)
+		second.Succeeded(c.ctx, 7)
 		time.Sleep(6 * time.Second)
 		g.Expect(first.Blocked(7)).To(BeFalse())
 		g.Expect(second.Blocked(7)).To(BeFalse())
 	})
 }
 
-// Marks that don't count any more leave the store, or it would keep them for good.
-func TestOldMarksLeaveTheStore(t *testing.T) {
+// Records of expired crashes must be deleted, or the store would keep them forever.
+func TestExpiredCrashesAreDeletedFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld()
-		defer w.cancel()
-		w.daemon("first").Crashed(w.ctx, 7, "u")
-		client := metastore.NewClient(w.store, time.Second)
+		c := newCluster()
+		defer c.cancel()
+		c.daemon("first").Crashed(c.ctx, 7, "u")
+		client := metastore.NewClient(c.store, time.Second)
 		kept := func() []store.Entry {
-			snapshot, err := client.Newest(w.ctx, topic, 0, "")
+			snapshot, err := client.Newest(c.ctx, topic, 0, "")
 			g.Expect(err).NotTo(HaveOccurred())
 			return snapshot.Entries
 		}
 		g.Expect(kept()).To(HaveLen(1))
-		time.Sleep(markLife + 2*sweepEvery)
+		time.Sleep(crashTTL + 2*cleanupInterval)
 		g.Expect(kept()).To(BeEmpty())
 	})
 }
--- a/internal/crashes/ledger.go
+++ b/internal/crashes/ledger.go
@@ -1,6 +1,6 @@
-// Package crashes keeps requests away from upstreams that they would crash. A
-// request that was at work on an upstream when it crashed is marked; one with too many
-// crashes isn't sent any more, by any daemon.
+// Package crashes keeps requests away from upstreams that they would crash. It counts, over
+// all daemons, the upstreams that crashed while they ran a request. A request with too many
+// crashes is no longer sent, by any daemon.
 package crashes
 
 import (
@@ -14,104 +14,108 @@
 )
 
 const (
-	// limit is after how many crashed upstreams a request isn't sent any more. Two can
-	// be one request's bad luck while several upstreams of a service go down; a third,
-	// each under a copy of the same request, hardly.
-	limit = 3
-	// markLife is how long a crash counts. A caller that repeats a request does so
+	// blockAfterCrashes is the number of crashed upstreams after which a request is no
+	// longer sent. Two crashes can be a coincidence, when several upstreams of a service
+	// go down; a third one, each under a copy of the same request, is unlikely to be.
+	blockAfterCrashes = 3
+	// crashTTL is how long a crash counts. A caller that repeats a request does so
 	// within minutes.
-	markLife = 10 * time.Minute
+	crashTTL = 10 * time.Minute
 )
 
-// mark says that an upstream crashed while it ran a request. It is a record of its
-// own, so that daemons that see different crashes at once don't overwrite each other.
-type mark struct {
+// crash says that an upstream crashed while it ran a request. Each crash has a record of
+// its own in the store, so that daemons that see different crashes at the same time don't
+// overwrite each other's records.
+type crash struct {
 	request  poison.Fingerprint
 	upstream string // incarnation that crashed
 }
 
-func (m mark) key() string { return fmt.Sprintf("%016x/%s", uint64(m.request), m.upstream) }
+// key returns the key of the crash's record.
+func (c crash) key() string { return fmt.Sprintf("%016x/%s", uint64(c.request), c.upstream) }
 
-// parseMark reverses key.
-func parseMark(key string) (mark, error) {
+// parseKey is the inverse of key.
+func parseKey(key string) (crash, error) {
 	request, upstream, ok := strings.Cut(key, "/")
-	raw, err := hex.DecodeString(request)
-	if err != nil || !ok || len(raw) != 8 || upstream == "" {
-		return mark{}, fmt.Errorf("malformed key %q", key)
+	digits, err := hex.DecodeString(request)
+	if err != nil || !ok || len(digits) != 8 || upstream == "" {
+		return crash{}, fmt.Errorf("malformed crash key %q", key)
 	}
-	var n uint64
-	for _, b := range raw {
-		n = n<<8 | uint64(b)
+	var fingerprint uint64
+	for _, b := range digits {
+		fingerprint = fingerprint<<8 | uint64(b)
 	}
-	return mark{poison.Fingerprint(n), upstream}, nil
+	return crash{poison.Fingerprint(fingerprint), upstream}, nil
 }
 
-// value is what a mark's record holds.
-type value struct {
+// crashRecord is the value of a crash's record.
+type crashRecord struct {
 	VM string `json:"vm"` // that saw the crash
 }
 
-func (v value) encode() ([]byte, error) { return json.Marshal(v) }
+func (r crashRecord) encode() ([]byte, error) { return json.Marshal(r) }
 
-// Ledger is the set of marks. It does no I/O and has no lock or clock; time is
-// passed in.
+// Table holds the crashes by request. It does no I/O and has no lock or clock; the caller
+// passes the time in.
 //
-// Invariant: a request's marks name different incarnations, so that one crash seen
-// by several daemons, or through several copies, counts once.
-type Ledger struct {
-	marks map[poison.Fingerprint]map[string]time.Duration // upstream -> when it was noted
+// Invariant: the crashes of a request are of different incarnations, so that a crash that
+// several daemons see, or one daemon through several copies of the request, counts once.
+type Table struct {
+	crashes map[poison.Fingerprint]map[string]time.Duration // incarnation -> when this daemon learned of the crash
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{marks: map[poison.Fingerprint]map[string]time.Duration{}} }
+// NewTable returns an empty table.
+func NewTable() *Table { return &Table{crashes: map[poison.Fingerprint]map[string]time.Duration{}} }
 
 // Blocked reports whether a request has crashed too many upstreams to be sent.
-func (l *Ledger) Blocked(request poison.Fingerprint, now time.Duration) bool {
-	return l.count(request, now) >= limit
+func (t *Table) Blocked(request poison.Fingerprint, now time.Duration) bool {
+	return t.count(request, now) >= blockAfterCrashes
 }
 
-func (l *Ledger) count(request poison.Fingerprint, now time.Duration) int {
+// count returns how many crashes of a request haven't expired.
+func (t *Table) count(request poison.Fingerprint, now time.Duration) int {
 	n := 0
-	for _, at := range l.marks[request] {
-		if now-at < markLife {
+	for _, at := range t.crashes[request] {
+		if now-at < crashTTL {
 			n++
 		}
 	}
 	return n
 }
 
-func (l *Ledger) add(m mark, now time.Duration) {
-	if l.marks[m.request] == nil {
-		l.marks[m.request] = map[string]time.Duration{}
+// add adds a crash. One that is known already keeps its time.
+func (t *Table) add(c crash, now time.Duration) {
+	if t.crashes[c.request] == nil {
+		t.crashes[c.request] = map[string]time.Duration{}
 	}
-	if _, known := l.marks[m.request][m.upstream]; !known {
-		l.marks[m.request][m.upstream] = now
+	if _, known := t.crashes[c.request][c.upstream]; !known {
+		t.crashes[c.request][c.upstream] = now
 	}
 }
 
-func (l *Ledger) remove(m mark) {
-	delete(l.marks[m.request], m.upstream)
-	if len(l.marks[m.request]) == 0 {
-		delete(l.marks, m.request)
+func (t *Table) remove(c crash) {
+	delete(t.crashes[c.request], c.upstream)
+	if len(t.crashes[c.request]) == 0 {
+		delete(t.crashes, c.request)
 	}
 }
 
-// of returns the marks of a request.
-func (l *Ledger) of(request poison.Fingerprint) []mark {
-	var out []mark
-	for upstream := range l.marks[request] {
-		out = append(out, mark{request, upstream})
+// crashesOf returns the crashes of a request, expired ones included.
+func (t *Table) crashesOf(request poison.Fingerprint) []crash {
+	var out []crash
+	for upstream := range t.crashes[request] {
+		out = append(out, crash{request, upstream})
 	}
 	return out
 }
 
-// expired returns the marks that don't count any more.
-func (l *Ledger) expired(now time.Duration) []mark {
-	var out []mark
-	for request, upstreams := range l.marks {
+// expired returns the crashes that no longer count.
+func (t *Table) expired(now time.Duration) []crash {
+	var out []crash
+	for request, upstreams := range t.crashes {
 		for upstream, at := range upstreams {
-			if now-at >= markLife {
-				out = append(out, mark{request, upstream})
+			if now-at >= crashTTL {
+				out = append(out, crash{request, upstream})
 			}
 		}
 	}
--- a/internal/crashes/samples.go
+++ b/internal/crashes/samples.go
@@ -3,119 +3,122 @@
 import "time"
 
 const (
-	// trialAt is how many upstreams in a row a sample may lose without getting further
-	// before it runs alone. One is chance for most that shared it; the samples that moved
-	// on with the one to blame get further at the next upstream, and are free of it.
-	trialAt = 2
-	// trialAfterAll is how many upstreams in all make it run alone however far it got: it
-	// may crash them at no fixed point.
-	trialAfterAll = 4
-	// proven is how many events past the point of a crash show that it isn't the sample's:
-	// more than an upstream may have made and not sent.
-	proven = 2
-	// CrasherPause passes between two runs of a sample that crashed an upstream alone. It
-	// may not be given up, nor be kept off upstreams for five seconds, the time until it
-	// has a place included.
+	// trialAfterConsecutive is the number of upstreams that a sample may lose in a row,
+	// without getting further, before it runs alone. One lost upstream is a coincidence
+	// for most of the samples that shared it. Those that shared it with the sample to
+	// blame, and move on with it, get further on their next upstream, which clears them.
+	trialAfterConsecutive = 2
+	// trialAfterTotal is the number of upstreams lost in total after which a sample runs
+	// alone however far it got: it may crash them at no fixed position.
+	trialAfterTotal = 4
+	// progressMargin is how many events past the position of a crash show that the sample
+	// didn't cause it: more than an upstream may have produced and not yet sent.
+	progressMargin = 2
+	// CrasherPause is the pause between two runs of a sample that crashed an upstream
+	// while it ran alone. Such a sample may not be given up, nor be kept off upstreams for
+	// five seconds, which include the time until it has a slot.
 	CrasherPause = 4 * time.Second
 )
 
 // Standing says how a sample may run.
 type Standing int
 
-// The standings.
+// The ways to run.
 const (
-	Ordinary Standing = iota // among others
-	Trial                    // alone, until it got past the point where upstreams crashed
+	Ordinary Standing = iota // beside other samples
+	Trial                    // alone, until it is past the position where upstreams crashed
 	Crasher                  // alone, and with a pause after each upstream that it crashed
 )
 
-// String names the standing.
+// String returns the name used in logs.
 func (s Standing) String() string { return [...]string{"ordinary", "trial", "crasher"}[s] }
 
-// Samples judges samples by the upstreams that crashed under them. Unlike a caller's
-// request, a sample that crashes its upstream can't be refused: its batch keeps it until
-// its retention ends. It does no I/O and has no lock or clock; time is passed in.
+// Samples tracks the upstreams that crashed under samples and decides how each sample may
+// run. Unlike a caller's request, a sample that crashes its upstreams can't be refused: its
+// batch keeps it until the batch's retention ends. Samples does no I/O and has no lock or
+// clock; the caller passes the time in.
 //
 // Invariants:
-//   - a sample that crashes each upstream at one point loses two among others, and from
-//     the third on it runs alone;
-//   - a sample that got proven events past its last crash is ordinary again, until it has
-//     lost trialAfterAll.
+//   - a sample that crashes each upstream at the same position loses two that it shares
+//     with other samples, and runs alone from the third one on;
+//   - a sample that got progressMargin events past its last crash is ordinary again, until
+//     it has lost trialAfterTotal upstreams.
 type Samples[K comparable] struct {
-	known map[K]*sample
+	byKey map[K]*sampleState // samples that lost an upstream
 }
 
-// sample is what is known of one that lost an upstream.
-type sample struct {
-	inRow    int           // upstreams lost without getting further
-	all      int           // upstreams lost
-	point    int           // events had at the last crash
-	upstream string        // incarnation that crashed last
-	last     time.Duration // when that was
-	alone    bool          // it was alone on one of them
+// sampleState is what is known of a sample that lost an upstream.
+type sampleState struct {
+	consecutive  int           // upstreams lost in a row without getting further
+	total        int           // upstreams lost
+	furthest     int           // position: the most events that it had at one of the crashes
+	lastUpstream string        // incarnation that crashed last
+	lastCrash    time.Duration // when that was
+	crashedAlone bool          // it was alone on one of the upstreams
 }
 
 // NewSamples returns an empty set.
-func NewSamples[K comparable]() *Samples[K] { return &Samples[K]{known: map[K]*sample{}} }
+func NewSamples[K comparable]() *Samples[K] { return &Samples[K]{byKey: map[K]*sampleState{}} }
 
-// Crashed notes that an upstream crashed under a sample that had so many events. The end
-// of one process counts once.
+// Crashed records that an upstream crashed while a sample ran on it and had this many
+// events. alone says that no other sample ran there. The crash of one process counts once.
 func (s *Samples[K]) Crashed(key K, upstream string, events int, alone bool, now time.Duration) {
-	x := s.known[key]
-	if x == nil {
-		x = &sample{}
-		s.known[key] = x
+	state := s.byKey[key]
+	if state == nil {
+		state = &sampleState{}
+		s.byKey[key] = state
 	}
-	if x.upstream == upstream {
+	if state.lastUpstream == upstream {
 		return
 	}
-	x.upstream = upstream
-	if x.all > 0 && events >= x.point+proven {
-		x.inRow = 0
+	state.lastUpstream = upstream
+	if state.total > 0 && events >= state.furthest+progressMargin {
+		state.consecutive = 0
 	}
-	x.inRow++
-	x.all++
-	x.point = max(x.point, events)
-	x.last = now
-	x.alone = x.alone || alone
+	state.consecutive++
+	state.total++
+	state.furthest = max(state.furthest, events)
+	state.lastCrash = now
+	state.crashedAlone = state.crashedAlone || alone
 }
 
-// Progressed notes how far a running sample is, and reports whether that ends a trial.
+// Progressed takes the number of events that a running sample has, and reports whether that
+// ends its trial.
 func (s *Samples[K]) Progressed(key K, events int) bool {
-	x := s.known[key]
-	if x == nil || x.inRow == 0 || x.all >= trialAfterAll || events < x.point+proven {
+	state := s.byKey[key]
+	if state == nil || state.consecutive == 0 || state.total >= trialAfterTotal || events < state.furthest+progressMargin {
 		return false
 	}
-	tried := x.inRow >= trialAt
-	x.inRow, x.alone = 0, false
-	return tried
+	inTrial := state.consecutive >= trialAfterConsecutive
+	state.consecutive, state.crashedAlone = 0, false
+	return inTrial
 }
 
-// Standing returns how a sample may run, and from when on.
+// Standing returns how a sample may run, and from what time on.
 func (s *Samples[K]) Standing(key K) (Standing, time.Duration) {
-	x := s.known[key]
+	state := s.byKey[key]
 	switch {
-	case x == nil || x.inRow < trialAt && x.all < trialAfterAll:
+	case state == nil || state.consecutive < trialAfterConsecutive && state.total < trialAfterTotal:
 		return Ordinary, 0
-	case !x.alone:
+	case !state.crashedAlone:
 		return Trial, 0
 	}
-	return Crasher, x.last + CrasherPause
+	return Crasher, state.lastCrash + CrasherPause
 }
 
 // Crashes returns how many upstreams a sample has lost, and when it lost the last one.
 func (s *Samples[K]) Crashes(key K) (n int, last time.Duration) {
-	if x := s.known[key]; x != nil {
-		return x.all, x.last
+	if state := s.byKey[key]; state != nil {
+		return state.total, state.lastCrash
 	}
 	return 0, 0
 }
 
-// Keep forgets all samples but those wanted.
+// Keep drops the samples that aren't wanted.
 func (s *Samples[K]) Keep(wanted func(K) bool) {
-	for key := range s.known {
+	for key := range s.byKey {
 		if !wanted(key) {
-			delete(s.known, key)
+			delete(s.byKey, key)
 		}
 	}
 }
--- a/internal/crashes/samples_test.go
+++ b/internal/crashes/samples_test.go
@@ -9,48 +9,49 @@
 	. "github.com/onsi/gomega"
 )
 
-// naiveSample keeps all that happened to one sample and reads its standing from it anew.
-type naiveSample struct{ past []happening }
+// referenceSample keeps the whole history of one sample and computes its standing from all
+// of it each time.
+type referenceSample struct{ history []sampleEvent }
 
-type happening struct {
+type sampleEvent struct {
 	events       int
 	crash, alone bool
 	at           time.Duration
 }
 
-func (n *naiveSample) standing() (Standing, time.Duration) {
-	var all, inRow, point int
-	var last time.Duration
-	alone := false
-	for _, h := range n.past {
-		further := all > 0 && h.events >= point+proven
-		if further && (h.crash || all < trialAfterAll) {
-			inRow = 0
+func (r *referenceSample) standing() (Standing, time.Duration) {
+	var total, consecutive, furthest int
+	var lastCrash time.Duration
+	crashedAlone := false
+	for _, e := range r.history {
+		advanced := total > 0 && e.events >= furthest+progressMargin
+		if advanced && (e.crash || total < trialAfterTotal) {
+			consecutive = 0
 		}
-		if further && !h.crash && all < trialAfterAll {
-			alone = false
+		if advanced && !e.crash && total < trialAfterTotal {
+			crashedAlone = false
 		}
-		if h.crash {
-			all, inRow, last = all+1, inRow+1, h.at
-			point = max(point, h.events)
-			alone = alone || h.alone
+		if e.crash {
+			total, consecutive, lastCrash = total+1, consecutive+1, e.at
+			furthest = max(furthest, e.events)
+			crashedAlone = crashedAlone || e.alone
 		}
 	}
 	switch {
-	case inRow < trialAt && all < trialAfterAll:
+	case consecutive < trialAfterConsecutive && total < trialAfterTotal:
 		return Ordinary, 0
-	case !alone:
+	case !crashedAlone:
 		return Trial, 0
 	}
-	return Crasher, last + CrasherPause
+	return Crasher, lastCrash + CrasherPause
 }
 
 func standingOf(s *Samples[string]) Standing {
-	at, _ := s.Standing("x")
-	return at
+	standing, _ := s.Standing("x")
+	return standing
 }
 
-// A sample ends its engine at one event of its text, each time.
+// A sample crashes each engine at the same event of its text.
 func TestCrasherRunsAloneFromItsThirdEngineOn(t *testing.T) {
 	g := NewWithT(t)
 	s := NewSamples[string]()
@@ -59,43 +60,45 @@
 	s.Crashed("x", "b", 7, false, 2*time.Second)
 	g.Expect(standingOf(s)).To(Equal(Trial))
 	s.Crashed("x", "b", 7, true, 3*time.Second)
-	g.Expect(standingOf(s)).To(Equal(Trial), "known already")
+	g.Expect(standingOf(s)).To(Equal(Trial), "the crash of this engine is known already")
 	s.Crashed("x", "c", 7, true, 3*time.Second)
-	at, from := s.Standing("x")
-	g.Expect(at).To(Equal(Crasher))
-	g.Expect(from).To(Equal(3*time.Second + CrasherPause))
+	standing, notBefore := s.Standing("x")
+	g.Expect(standing).To(Equal(Crasher))
+	g.Expect(notBefore).To(Equal(3*time.Second + CrasherPause))
 }
 
-// Samples that shared an engine with such a one move on with it and share the next.
-func TestSampleIsClearedPastThePointOfItsCrash(t *testing.T) {
+// Samples that share an engine with one that crashes it move on to the next engine together
+// with it, and lose that one too. Past the position of their crashes they must be ordinary
+// again.
+func TestSampleLeavesItsTrialPastThePositionOfItsCrash(t *testing.T) {
 	g := NewWithT(t)
 	s := NewSamples[string]()
 	s.Crashed("x", "a", 7, false, time.Second)
-	g.Expect(s.Progressed("x", 7+proven)).To(BeFalse(), "it was in no trial")
+	g.Expect(s.Progressed("x", 7+progressMargin)).To(BeFalse(), "it had no trial")
 	s.Crashed("x", "b", 9, false, 2*time.Second)
 	g.Expect(standingOf(s)).To(Equal(Ordinary))
 	s.Crashed("x", "c", 9, false, 3*time.Second)
 	g.Expect(standingOf(s)).To(Equal(Trial))
-	g.Expect(s.Progressed("x", 9+proven-1)).To(BeFalse())
-	g.Expect(s.Progressed("x", 9+proven)).To(BeTrue())
+	g.Expect(s.Progressed("x", 9+progressMargin-1)).To(BeFalse())
+	g.Expect(s.Progressed("x", 9+progressMargin)).To(BeTrue())
 	g.Expect(standingOf(s)).To(Equal(Ordinary))
 }
 
-func TestSampleThatGetsFurtherEachTimeRunsAloneInTheEnd(t *testing.T) {
+func TestSampleThatGetsFurtherEachTimeRunsAloneAfterFourCrashes(t *testing.T) {
 	g := NewWithT(t)
 	s := NewSamples[string]()
-	for n := range trialAfterAll {
+	for n := range trialAfterTotal {
 		g.Expect(standingOf(s)).To(Equal(Ordinary))
 		s.Crashed("x", fmt.Sprint(n), 10*n, false, time.Second)
 	}
 	g.Expect(standingOf(s)).To(Equal(Trial))
 	g.Expect(s.Progressed("x", 100)).To(BeFalse())
 	n, last := s.Crashes("x")
-	g.Expect(n).To(Equal(trialAfterAll))
+	g.Expect(n).To(Equal(trialAfterTotal))
 	g.Expect(last).To(Equal(time.Second))
 }
 
-func TestSamplesNotWantedAreForgotten(t *testing.T) {
+func TestSamplesNotWantedAreDropped(t *testing.T) {
 	g := NewWithT(t)
 	s := NewSamples[string]()
 	s.Crashed("x", "a", 1, false, 0)
@@ -104,26 +107,26 @@
 	g.Expect(n).To(BeZero())
 }
 
-func TestSamplesAgainstNaive(t *testing.T) {
+func TestSamplesAgainstReferenceModel(t *testing.T) {
 	for seed := range uint64(200) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(seed, 3))
-		s, n := NewSamples[string](), &naiveSample{}
+		s, reference := NewSamples[string](), &referenceSample{}
 		now, events := time.Duration(0), 0
 		for range 12 {
 			now += time.Duration(random.IntN(1000)) * time.Millisecond
 			events += random.IntN(4)
-			h := happening{events: events, crash: random.IntN(2) == 0, alone: random.IntN(3) == 0, at: now}
-			n.past = append(n.past, h)
-			if h.crash {
-				s.Crashed("x", fmt.Sprint(len(n.past)), h.events, h.alone, now)
+			e := sampleEvent{events: events, crash: random.IntN(2) == 0, alone: random.IntN(3) == 0, at: now}
+			reference.history = append(reference.history, e)
+			if e.crash {
+				s.Crashed("x", fmt.Sprint(len(reference.history)), e.events, e.alone, now)
 			} else {
-				s.Progressed("x", h.events)
+				s.Progressed("x", e.events)
 			}
-			at, from := s.Standing("x")
-			wantAt, wantFrom := n.standing()
-			g.Expect(at).To(Equal(wantAt), "seed %d", seed)
-			g.Expect(from).To(Equal(wantFrom), "seed %d", seed)
+			standing, notBefore := s.Standing("x")
+			wantStanding, wantNotBefore := reference.standing()
+			g.Expect(standing).To(Equal(wantStanding), "seed %d", seed)
+			g.Expect(notBefore).To(Equal(wantNotBefore), "seed %d", seed)
 		}
 	}
 }
--- a/internal/crashes/service.go
+++ b/internal/crashes/service.go
@@ -17,40 +17,40 @@
 
 const (
 	topic = store.KeyedPrefix + "crashes"
-	// writeTimeout bounds the record of a mark. One that is lost costs one more crash.
+	// writeTimeout bounds the write of a record. A lost record costs one more crash.
 	writeTimeout = 2 * time.Second
-	// sweepEvery is how often marks that don't count any more are dropped.
-	sweepEvery = time.Minute
+	// cleanupInterval is the time between two deletions of expired crashes.
+	cleanupInterval = time.Minute
 )
 
-// Service shares the ledger of all daemons through the store. It is safe for
-// concurrent use.
+// Service shares the crashes that daemons see through the store. It is safe for concurrent
+// use.
 type Service struct {
-	vm       string
+	vm       string // this daemon's
 	log      store.Log
 	now      func() time.Duration
-	lines    zerolog.Logger
+	logger   zerolog.Logger
 	follower *follow.Follower
 
-	mu     sync.Mutex
-	ledger *Ledger
+	mu    sync.Mutex
+	table *Table
 }
 
-// New returns a Service that knows nothing yet. now is a clock that goes on while the
-// VM is suspended.
-func New(vm string, log store.Log, now func() time.Duration, lines zerolog.Logger) *Service {
-	s := &Service{vm: vm, log: log, now: now, lines: lines, ledger: NewLedger()}
-	always := func() bool { return true } // crashes are rare: one read in some seconds does
-	s.follower = follow.New(follow.Options{Log: log, Topic: topic, Keyed: true, Sink: (*sink)(s), Relaxed: always, Now: now, Logger: lines})
+// New returns a Service without crashes; [Service.Run] reads them. now must be a clock that
+// goes on while the VM is suspended.
+func New(vm string, log store.Log, now func() time.Duration, logger zerolog.Logger) *Service {
+	s := &Service{vm: vm, log: log, now: now, logger: logger, table: NewTable()}
+	alwaysRelaxed := func() bool { return true } // crashes are rare: a read every few seconds is enough
+	s.follower = follow.New(follow.Options{Log: log, Topic: topic, Keyed: true, Sink: (*sink)(s), Relaxed: alwaysRelaxed, Now: now, Logger: logger})
 	return s
 }
 
-// Run follows the ledger until the context ends.
+// Run follows the records of all daemons, and deletes expired ones, until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.sweep(ctx)
+		s.deleteExpired(ctx)
 	}()
 	s.follower.Run(ctx)
 	<-done
@@ -60,90 +60,90 @@
 func (s *Service) Blocked(request poison.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Blocked(request, s.now())
+	return s.table.Blocked(request, s.now())
 }
 
 var (
-	crashesMarked = metrics.Counter("crashes_marked")
-	crashRecords  = metrics.Counter("crash_records_failed")
+	crashesMarked      = metrics.Counter("crashes_marked")
+	crashWriteFailures = metrics.Counter("crash_records_failed")
 )
 
-// Crashed notes that an upstream crashed while it ran a request, and tells the
-// other daemons.
-func (s *Service) Crashed(ctx context.Context, request poison.Fingerprint, upstream string) {
-	m := mark{request, upstream}
+// Crashed records that an incarnation of an upstream crashed while it ran a request, and
+// tells the other daemons.
+func (s *Service) Crashed(ctx context.Context, request poison.Fingerprint, incarnation string) {
+	c := crash{request, incarnation}
 	s.mu.Lock()
-	s.ledger.add(m, s.now())
-	count := s.ledger.count(request, s.now())
+	s.table.add(c, s.now())
+	count := s.table.count(request, s.now())
 	s.mu.Unlock()
 	crashesMarked.Add(1)
-	s.lines.Warn().Str("fingerprint", m.key()).Int("crashes", count).Int("limit", limit).Msg("upstream crashed under a request")
-	data, err := value{VM: s.vm}.encode()
+	s.logger.Warn().Str("fingerprint", c.key()).Int("crashes", count).Int("limit", blockAfterCrashes).Msg("upstream crashed while it ran a request")
+	data, err := crashRecord{VM: s.vm}.encode()
 	if err != nil {
-		s.lines.Error().Err(err).Str("fingerprint", m.key()).Msg("mark not encoded")
+		s.logger.Error().Err(err).Str("fingerprint", c.key()).Msg("crash not encoded; other daemons don't learn of it")
 		return
 	}
-	s.write(ctx, m, data)
+	s.write(ctx, c, data)
 }
 
-// Succeeded clears a request: what crashes upstreams never succeeds. It doesn't wait
-// for the record.
+// Succeeded deletes the crashes of a request: one that crashes its upstreams never
+// succeeds. It doesn't wait for the store.
 func (s *Service) Succeeded(ctx context.Context, request poison.Fingerprint) {
 	s.mu.Lock()
-	marks := s.ledger.of(request)
-	for _, m := range marks {
-		s.ledger.remove(m)
+	crashes := s.table.crashesOf(request)
+	for _, c := range crashes {
+		s.table.remove(c)
 	}
 	s.mu.Unlock()
-	if len(marks) == 0 {
+	if len(crashes) == 0 {
 		return
 	}
 	go func() {
-		for _, m := range marks {
-			s.write(ctx, m, nil)
+		for _, c := range crashes {
+			s.write(ctx, c, nil)
 		}
 	}()
 }
 
-// write records a mark, or drops it if data is nil.
-func (s *Service) write(ctx context.Context, m mark, data []byte) {
+// write writes a crash's record, or deletes it if data is nil.
+func (s *Service) write(ctx context.Context, c crash, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	record, err := store.EncodeEntry(m.key(), data)
+	record, err := store.EncodeEntry(c.key(), data)
 	if err == nil {
 		_, err = s.log.Append(ctx, topic, 0, [][]byte{record})
 	}
 	if err != nil {
-		crashRecords.Add(1)
-		s.lines.Warn().Err(err).Str("fingerprint", m.key()).Bool("drop", data == nil).Msg("mark not recorded, other daemons don't know of it")
+		crashWriteFailures.Add(1)
+		s.logger.Warn().Err(err).Str("fingerprint", c.key()).Bool("drop", data == nil).Msg("crash record not written; other daemons don't learn of the change")
 	}
 }
 
-// sweep drops marks that don't count any more, also from the store.
-func (s *Service) sweep(ctx context.Context) {
-	pause.Every(ctx, sweepEvery, func() {
+// deleteExpired deletes expired crashes, also from the store, until ctx ends.
+func (s *Service) deleteExpired(ctx context.Context) {
+	pause.Every(ctx, cleanupInterval, func() {
 		s.mu.Lock()
-		old := s.ledger.expired(s.now())
-		for _, m := range old {
-			s.ledger.remove(m)
+		expired := s.table.expired(s.now())
+		for _, c := range expired {
+			s.table.remove(c)
 		}
 		s.mu.Unlock()
-		for _, m := range old {
-			s.write(ctx, m, nil)
+		for _, c := range expired {
+			s.write(ctx, c, nil)
 		}
 	})
 }
 
-// sink applies the records of all daemons.
+// sink applies the records of all daemons to the table.
 type sink Service
 
-// Reset replaces the ledger by the newest records.
+// Reset replaces the table's content by the newest records.
 func (s *sink) Reset(entries []store.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger = NewLedger()
+	s.table = NewTable()
 	for _, e := range entries {
-		s.takeLocked(e.Key, e.Value)
+		s.applyLocked(e.Key, e.Value)
 	}
 }
 
@@ -151,25 +151,25 @@
 func (s *sink) Record(offset int64, data []byte) {
 	key, value, err := store.DecodeEntry(data)
 	if err != nil {
-		s.lines.Error().Err(err).Int64("offset", offset).Msg("mark skipped")
+		s.logger.Error().Err(err).Int64("offset", offset).Msg("malformed crash record skipped")
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.takeLocked(key, value)
+	s.applyLocked(key, value)
 }
 
-// Gap is never called: the topic has keys.
+// Gap is never called: the topic is keyed.
 func (s *sink) Gap(int64) {}
 
-func (s *sink) takeLocked(key string, value []byte) {
-	m, err := parseMark(key)
+func (s *sink) applyLocked(key string, value []byte) {
+	c, err := parseKey(key)
 	switch {
 	case err != nil:
-		s.lines.Error().Err(err).Msg("mark skipped")
+		s.logger.Error().Err(err).Msg("crash record with a malformed key skipped")
 	case len(value) == 0:
-		s.ledger.remove(m)
+		s.table.remove(c)
 	default:
-		s.ledger.add(m, s.now())
+		s.table.add(c, s.now())
 	}
 }
