--- a/internal/health/group.go
+++ b/internal/health/group.go
@@ -8,29 +8,29 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Options of a group's health.
+// Options configure the health of a group. Zero fields have the defaults.
 type Options struct {
-	SuspectShare float64       // most of a group out by suspicion alone; default 0.34
-	SlowStart    time.Duration // from StartWeight to 1; default 5 s
-	StartWeight  float64       // default 0.1
-	SuspectLoad  float64       // weight of a suspect that must stay in; default 0.25
-	ProbeFirst   time.Duration // first wait between probes of a dead one; default 200 ms
-	ProbeMax     time.Duration // default 3 s
-	HoldSilent   time.Duration // wait after a repeated silence before a probe counts; default 1 s
-	PeerGrace    time.Duration // peers' "leaving" is old news this long after a restart; default 30 s
-	GarbledLimit int           // garbled answers in a row that make a suspect; default 3
+	MaxSuspectShare float64       // largest share of the group excluded on suspicion alone; default 0.34
+	SlowStart       time.Duration // time in which a weight rises from InitialWeight to 1; default 5 s
+	InitialWeight   float64       // default 0.1
+	SuspectWeight   float64       // weight of a suspect that isn't excluded; default 0.25
+	MinProbeDelay   time.Duration // delay of the first probe after an upstream went down, which then doubles; default 200 ms
+	MaxProbeDelay   time.Duration // default 3 s
+	SilentHold      time.Duration // time after the second silent fault in a row before a probe ends the suspicion; doubles with each further one, up to 16 times; default 1 s
+	StalePeerWindow time.Duration // time after a restart in which peers that say "leaving" mean the previous process; default 30 s
+	MalformedLimit  int           // malformed answers in a row that make a suspect; default 3
 }
 
 func (o Options) withDefaults() Options {
-	o.SuspectShare = orDefault(o.SuspectShare, 0.34)
+	o.MaxSuspectShare = orDefault(o.MaxSuspectShare, 0.34)
 	o.SlowStart = orDefault(o.SlowStart, 5*time.Second)
-	o.StartWeight = orDefault(o.StartWeight, 0.1)
-	o.SuspectLoad = orDefault(o.SuspectLoad, 0.25)
-	o.ProbeFirst = orDefault(o.ProbeFirst, 200*time.Millisecond)
-	o.ProbeMax = orDefault(o.ProbeMax, 3*time.Second)
-	o.HoldSilent = orDefault(o.HoldSilent, time.Second)
-	o.PeerGrace = orDefault(o.PeerGrace, 30*time.Second)
-	o.GarbledLimit = orDefault(o.GarbledLimit, 3)
+	o.InitialWeight = orDefault(o.InitialWeight, 0.1)
+	o.SuspectWeight = orDefault(o.SuspectWeight, 0.25)
+	o.MinProbeDelay = orDefault(o.MinProbeDelay, 200*time.Millisecond)
+	o.MaxProbeDelay = orDefault(o.MaxProbeDelay, 3*time.Second)
+	o.SilentHold = orDefault(o.SilentHold, time.Second)
+	o.StalePeerWindow = orDefault(o.StalePeerWindow, 30*time.Second)
+	o.MalformedLimit = orDefault(o.MalformedLimit, 3)
 	return o
 }
 
@@ -45,33 +45,33 @@
 type member struct {
 	name    ident.Upstream
 	state   State
-	bootID  string
+	bootID  string // as last reported, "" if not known
 	leaving bool
-	// firstHand: leaving was said by another source than a peer.
-	firstHand bool
-	// leavingBoot is the process that leaves, "" while it isn't known.
-	leavingBoot string
-	restarted   time.Time // when another process was first seen
-
-	out       bool // a suspect that is kept off new work
-	silences  int  // in a row
-	garbled   int  // in a row
-	holdUntil time.Time
-	probeWait time.Duration
-	slowSince time.Time
-	eligible  bool    // as last told
-	weight    float64 // as last told
+	// leavingFirstHand: a source other than a peer said that it is leaving.
+	leavingFirstHand bool
+	// leavingBootID is the boot ID of the process that is leaving, "" while unknown.
+	leavingBootID string
+	restartedAt   time.Time // when the present process was first seen in place of another
+
+	excluded        bool          // a suspect that gets no new work
+	silentFaults    int           // in a row
+	malformedFaults int           // in a row
+	holdUntil       time.Time     // no probe ends the suspicion before
+	probeDelay      time.Duration // before the next probe while down
+	slowStartSince  time.Time
+	eligible        bool    // as in the last action
+	weight          float64 // as in the last action
 }
 
-// Group is the health of one group's upstreams.
+// Group tracks the health of the upstreams of one group. It is not safe for concurrent use.
 //
 // Invariants:
-//   - Down and leaving upstreams are never eligible;
-//   - suspects that are out number at most SuspectShare of the group, rounded
-//     down; hard evidence isn't limited;
-//   - an upstream that left Down has a weight that starts at StartWeight and
-//     reaches 1 not before SlowStart has passed;
-//   - leaving ends only by a report of another process.
+//   - upstreams that are Down or leaving are never eligible;
+//   - at most MaxSuspectShare of the group, rounded down, is excluded on suspicion; hard
+//     evidence isn't limited;
+//   - the weight of an upstream that was Down starts at InitialWeight and doesn't reach 1
+//     before SlowStart has passed;
+//   - leaving ends only with a report of another process.
 type Group struct {
 	options Options
 	members []*member // sorted by name
@@ -80,24 +80,24 @@
 // New returns an empty group.
 func New(o Options) *Group { return &Group{options: o.withDefaults()} }
 
-// Step takes one event and returns what to do, in a fixed order.
+// Step handles one event and returns what to do, in a fixed order.
 func (g *Group) Step(e Event, now time.Time) []Action {
-	var acts []Action
+	var actions []Action
 	switch e := e.(type) {
 	case Added:
-		acts = g.add(e.Upstream, now)
+		actions = g.add(e.Upstream, now)
 	case Removed:
 		g.members = slices.DeleteFunc(g.members, func(m *member) bool { return m.name == e.Upstream })
 	case Tick:
 	default:
-		if m := g.find(nameOf(e)); m != nil {
-			acts = g.stepMember(m, e, now)
+		if m := g.find(upstreamOf(e)); m != nil {
+			actions = g.stepMember(m, e, now)
 		}
 	}
-	return append(acts, g.settle(now)...)
+	return append(actions, g.updateEligibility(now)...)
 }
 
-func nameOf(e Event) ident.Upstream {
+func upstreamOf(e Event) ident.Upstream {
 	switch e := e.(type) {
 	case Succeeded:
 		return e.Upstream
@@ -118,15 +118,15 @@
 func (g *Group) stepMember(m *member, e Event, now time.Time) []Action {
 	switch e := e.(type) {
 	case Succeeded:
-		m.silences, m.garbled = 0, 0
+		m.silentFaults, m.malformedFaults = 0, 0
 	case Faulted:
-		return g.faulted(m, e.Kind, now)
+		return g.handleFault(m, e.Kind, now)
 	case Reported:
-		return g.reported(m, e, now)
+		return g.handleReport(m, e, now)
 	case ProbeFailed:
-		return g.probeFailed(m, e.Refused, now)
+		return g.handleProbeFailure(m, e.Refused, now)
 	case SaidLeaving:
-		return g.saidLeaving(m, e.Source, now)
+		return g.markLeaving(m, e.Source, now)
 	case Doubted:
 		return []Action{ProbeAt{m.name, now}}
 	}
@@ -157,25 +157,25 @@
 	})
 }
 
-// Spotless says that a success of the upstream would tell nothing new, so that
-// the runtime can spare a Step for each answer.
+// Spotless reports whether a success of the upstream would change nothing, so that the
+// caller need not call Step for each answer.
 func (g *Group) Spotless(name ident.Upstream) bool {
 	m := g.find(name)
-	return m == nil || m.state == Up && m.silences == 0 && m.garbled == 0
+	return m == nil || m.state == Up && m.silentFaults == 0 && m.malformedFaults == 0
 }
 
-// View is what is known of one upstream.
+// View is the health of one upstream.
 type View struct {
 	State   State
 	Leaving bool
-	// FirstHand says that Leaving doesn't rest on a peer's word alone.
+	// FirstHand: a source other than a peer says that the upstream is leaving.
 	FirstHand bool
-	Eligible  bool
-	Weight    float64
-	BootID    string
+	Eligible  bool    // new work may start there
+	Weight    float64 // share (0 to 1) of its usual load that it may get
+	BootID    string  // as last reported, "" if not known
 }
 
-// View returns what is known of an upstream, false if it isn't in the group.
+// View returns the health of an upstream, false if it isn't in the group.
 func (g *Group) View(name ident.Upstream) (View, bool) {
 	m := g.find(name)
 	if m == nil {
@@ -184,7 +184,7 @@
 	return View{
 		State:     m.state,
 		Leaving:   m.leaving,
-		FirstHand: m.firstHand,
+		FirstHand: m.leavingFirstHand,
 		Eligible:  m.eligible,
 		Weight:    m.weight,
 		BootID:    m.bootID,
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -27,7 +27,7 @@
 	return g
 }
 
-// randomEvent favours what makes things interesting.
+// randomEvent returns a random event; faults and reports are more frequent than others.
 func randomEvent(random *rand.Rand) Event {
 	u := upstream(random.IntN(groupSize))
 	switch random.IntN(9) {
@@ -47,28 +47,28 @@
 	return Tick{}
 }
 
-// naive remembers one upstream's whole past and reads its state from it again at
-// each question; it knows nothing of the rest of the group, nor of actions.
-type naive struct {
-	past []moment
+// referenceUpstream keeps all events of one upstream and computes its state from all of them
+// each time. It knows neither the rest of the group nor actions.
+type referenceUpstream struct {
+	history []timedEvent
 }
 
-type moment struct {
+type timedEvent struct {
 	event Event
 	at    time.Time
 }
 
-func (n *naive) state(now time.Time) (state State, leaving bool) {
-	boot, leavingBoot := "", ""
-	silences, garbled := 0, 0
-	var hold, slow, restarted time.Time
-	say := func(peer bool, at time.Time) {
-		if !leaving && !(peer && !restarted.IsZero() && at.Sub(restarted) < 30*time.Second) {
-			leaving, leavingBoot = true, boot
+func (r *referenceUpstream) state(now time.Time) (state State, leaving bool) {
+	bootID, leavingBootID := "", ""
+	silentFaults, malformedFaults := 0, 0
+	var holdUntil, slowStartSince, restartedAt time.Time
+	setLeaving := func(peer bool, at time.Time) {
+		if !leaving && !(peer && !restartedAt.IsZero() && at.Sub(restartedAt) < 30*time.Second) {
+			leaving, leavingBootID = true, bootID
 		}
 	}
-	for _, m := range n.past {
-		if state == SlowStart && m.at.Sub(slow) >= 5*time.Second {
+	for _, past := range r.history {
+		if state == SlowStart && past.at.Sub(slowStartSince) >= 5*time.Second {
 			state = Up
 		}
 		suspect := func() {
@@ -76,20 +76,20 @@
 				state = Suspect
 			}
 		}
-		switch e := m.event.(type) {
+		switch e := past.event.(type) {
 		case Succeeded:
-			silences, garbled = 0, 0
+			silentFaults, malformedFaults = 0, 0
 		case Faulted:
 			switch e.Kind {
 			case Refused:
 				state = Down
 			case Silent:
-				if silences++; silences > 1 {
-					hold = m.at.Add(time.Second << min(silences-2, 4))
+				if silentFaults++; silentFaults > 1 {
+					holdUntil = past.at.Add(time.Second << min(silentFaults-2, 4))
 				}
 				suspect()
 			case Garbled:
-				if garbled++; garbled >= 3 {
+				if malformedFaults++; malformedFaults >= 3 {
 					suspect()
 				}
 			case Reset:
@@ -101,93 +101,94 @@
 			}
 			suspect()
 		case SaidLeaving:
-			say(e.Source == FromPeer, m.at)
+			setLeaving(e.Source == FromPeer, past.at)
 		case Reported:
-			again := boot != "" && boot != e.BootID
-			if again {
-				restarted = m.at
+			restarted := bootID != "" && bootID != e.BootID
+			if restarted {
+				restartedAt = past.at
 			}
-			boot = e.BootID
+			bootID = e.BootID
 			if e.Leaving {
-				say(false, m.at)
-			} else if leaving && leavingBoot != e.BootID {
+				setLeaving(false, past.at)
+			} else if leaving && leavingBootID != e.BootID {
 				leaving = false
 			}
-			if state == Down || again {
-				state, slow, silences, garbled, hold = SlowStart, m.at, 0, 0, time.Time{}
-			} else if state == Suspect && !m.at.Before(hold) {
-				state, garbled = Up, 0
+			if state == Down || restarted {
+				state, slowStartSince, silentFaults, malformedFaults, holdUntil = SlowStart, past.at, 0, 0, time.Time{}
+			} else if state == Suspect && !past.at.Before(holdUntil) {
+				state, malformedFaults = Up, 0
 			}
 		}
 	}
-	if state == SlowStart && now.Sub(slow) >= 5*time.Second {
+	if state == SlowStart && now.Sub(slowStartSince) >= 5*time.Second {
 		state = Up
 	}
 	return state, leaving
 }
 
-// outBySuspicion counts suspects without work, given who is eligible.
-func outBySuspicion(g *Group, eligible func(ident.Upstream) bool) int {
-	out := 0
+// excludedSuspects counts the suspects that get no new work, given which upstreams do.
+func excludedSuspects(g *Group, eligible func(ident.Upstream) bool) int {
+	excluded := 0
 	for i := range groupSize {
 		v, _ := g.View(upstream(i))
 		if v.State == Suspect && !v.Leaving && !eligible(upstream(i)) {
-			out++
+			excluded++
 		}
 	}
-	return out
+	return excluded
 }
 
 var _ = Describe("Group", func() {
-	It("agrees with a naive reading of the past, and keeps its invariants", func() {
+	It("agrees with a reference model and keeps its invariants in random sessions", func() {
 		for seed := range uint64(20) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			g := newGroup()
-			past := map[ident.Upstream]*naive{}
+			reference := map[ident.Upstream]*referenceUpstream{}
 			for i := range groupSize {
-				past[upstream(i)] = &naive{[]moment{{Reported{upstream(i), "1", false}, epoch}}}
+				reference[upstream(i)] = &referenceUpstream{[]timedEvent{{Reported{upstream(i), "1", false}, epoch}}}
 			}
-			told := map[ident.Upstream]bool{} // by actions
+			ineligible := map[ident.Upstream]bool{} // according to the actions
 			now := epoch
 			for range 400 {
 				now = now.Add(time.Duration(random.IntN(700)) * time.Millisecond)
 				e := randomEvent(random)
 				for _, a := range g.Step(e, now) {
 					if s, ok := a.(SetEligible); ok {
-						told[s.Upstream] = !s.Eligible
+						ineligible[s.Upstream] = !s.Eligible
 					}
 				}
-				if n := past[nameOf(e)]; n != nil {
-					n.past = append(n.past, moment{e, now})
+				if r := reference[upstreamOf(e)]; r != nil {
+					r.history = append(r.history, timedEvent{e, now})
 				}
 				for i := range groupSize {
 					v, _ := g.View(upstream(i))
-					state, leaving := past[upstream(i)].state(now)
+					state, leaving := reference[upstream(i)].state(now)
 					Expect(v.State).To(Equal(state), "seed %d after %#v", seed, e)
 					Expect(v.Leaving).To(Equal(leaving), "seed %d after %#v", seed, e)
-					Expect(v.Eligible).To(Equal(!told[upstream(i)]))
+					Expect(v.Eligible).To(Equal(!ineligible[upstream(i)]))
 					Expect(v.Eligible && (leaving || state == Down)).To(BeFalse())
 				}
-				eligible := func(u ident.Upstream) bool { return !told[u] }
-				Expect(outBySuspicion(g, eligible)).To(BeNumerically("<=", groupSize*34/100))
+				eligible := func(u ident.Upstream) bool { return !ineligible[u] }
+				Expect(excludedSuspects(g, eligible)).To(BeNumerically("<=", groupSize*34/100))
 			}
 		}
 	})
 
-	// Half of a group resets connections at once, as when a switch restarts: the
-	// rest couldn't carry the load, so most suspects stay in.
-	It("red alive: taking every suspect out breaks the bound", func() {
+	// More than half of a group resets connections at the same time, as when a network
+	// switch restarts. The rest couldn't carry the load, so most suspects must still get
+	// work.
+	It("negative control: excluding every suspect exceeds the bound", func() {
 		g := newGroup()
 		for i := range 5 {
 			g.Step(Faulted{upstream(i), Reset}, epoch)
 		}
-		ours := func(u ident.Upstream) bool { v, _ := g.View(u); return v.Eligible }
-		everySuspectOut := func(u ident.Upstream) bool { v, _ := g.View(u); return v.State == Up }
-		Expect(outBySuspicion(g, ours)).To(Equal(2))
-		Expect(outBySuspicion(g, everySuspectOut)).To(BeNumerically(">", 2))
+		byGroup := func(u ident.Upstream) bool { v, _ := g.View(u); return v.Eligible }
+		excludingAllSuspects := func(u ident.Upstream) bool { v, _ := g.View(u); return v.State == Up }
+		Expect(excludedSuspects(g, byGroup)).To(Equal(2))
+		Expect(excludedSuspects(g, excludingAllSuspects)).To(BeNumerically(">", 2))
 	})
 
-	It("brings a dead upstream back slowly, and knows that its process is another", func() {
+	It("starts an upstream slowly that was down, and reports the death of its previous process", func() {
 		g := newGroup()
 		g.Step(Faulted{"u0", Refused}, epoch)
 		Expect(g.Step(Reported{"u0", "2", false}, epoch)).To(ContainElement(Died{"u0", "1"}))
@@ -203,7 +204,7 @@
 		Expect(v.Weight).To(Equal(1.0))
 	})
 
-	It("acts as in the golden session", func() {
+	It("acts as in the golden file", func() {
 		var out strings.Builder
 		random := rand.New(rand.NewPCG(5, 5))
 		g := newGroup()
--- a/internal/health/member.go
+++ b/internal/health/member.go
@@ -2,193 +2,203 @@
 
 import "time"
 
-// faulted takes a failed attempt.
-func (g *Group) faulted(m *member, kind FaultKind, now time.Time) []Action {
+// handleFault handles a failed attempt.
+func (g *Group) handleFault(m *member, kind FaultKind, now time.Time) []Action {
 	switch kind {
 	case Refused:
-		return g.down(m, "refused", now)
+		return g.markDown(m, "refused", now)
 	case Reset:
-		return g.suspect(m, "reset", now)
+		return g.markSuspect(m, "reset", now)
 	case Silent:
-		m.silences++
-		if m.silences > 1 {
-			// A process that answers probes and no requests would be let in
-			// again by every probe: hold it out longer each time.
-			m.holdUntil = now.Add(g.options.HoldSilent << min(m.silences-2, 4))
+		m.silentFaults++
+		if m.silentFaults > 1 {
+			// Every probe would end the suspicion of a process that answers probes but
+			// no requests, so the time before a probe can do so grows with each fault.
+			m.holdUntil = now.Add(g.options.SilentHold << min(m.silentFaults-2, 4))
 		}
-		return g.suspect(m, "silent", now)
+		return g.markSuspect(m, "silent", now)
 	case Garbled:
-		m.garbled++
-		if m.garbled >= g.options.GarbledLimit {
-			return g.suspect(m, "garbled answers", now)
+		m.malformedFaults++
+		if m.malformedFaults >= g.options.MalformedLimit {
+			return g.markSuspect(m, "garbled answers", now)
 		}
 	}
 	return nil
 }
 
-// suspect asks for a probe at once; settle decides whether it is kept out.
-func (g *Group) suspect(m *member, cause string, now time.Time) []Action {
-	probe := now
+// markSuspect makes the upstream a suspect and asks for a probe, at once or at the end of a
+// hold after silent faults. chooseExcluded decides whether the suspect gets new work until
+// then.
+func (g *Group) markSuspect(m *member, cause string, now time.Time) []Action {
+	probeAt := now
 	if m.holdUntil.After(now) {
-		probe = m.holdUntil
+		probeAt = m.holdUntil
 	}
 	if m.state == Down || m.state == Suspect {
-		return []Action{ProbeAt{m.name, probe}}
+		return []Action{ProbeAt{m.name, probeAt}}
 	}
 	m.state = Suspect
-	return []Action{m.changed(cause), ProbeAt{m.name, probe}}
+	return []Action{m.changedAction(cause), ProbeAt{m.name, probeAt}}
 }
 
-// down takes hard evidence.
-func (g *Group) down(m *member, cause string, now time.Time) []Action {
+// markDown records hard evidence that nothing listens or answers.
+func (g *Group) markDown(m *member, cause string, now time.Time) []Action {
 	if m.state == Down {
 		return nil // the next probe is planned already
 	}
 	m.state = Down
-	m.out = false
-	m.probeWait = g.options.ProbeFirst
-	return []Action{m.changed(cause), ProbeAt{m.name, now.Add(m.probeWait)}}
+	m.excluded = false
+	m.probeDelay = g.options.MinProbeDelay
+	return []Action{m.changedAction(cause), ProbeAt{m.name, now.Add(m.probeDelay)}}
 }
 
-// probeFailed plans the next probe with backoff.
-func (g *Group) probeFailed(m *member, refused bool, now time.Time) []Action {
+// handleProbeFailure handles a failed probe. While the upstream is down, the delay of the
+// next probe doubles.
+func (g *Group) handleProbeFailure(m *member, refused bool, now time.Time) []Action {
 	if m.state == Down {
-		m.probeWait = min(m.probeWait*2, g.options.ProbeMax)
-		return []Action{ProbeAt{m.name, now.Add(m.probeWait)}}
+		m.probeDelay = min(m.probeDelay*2, g.options.MaxProbeDelay)
+		return []Action{ProbeAt{m.name, now.Add(m.probeDelay)}}
 	}
 	if refused {
-		return g.down(m, "probe refused", now)
+		return g.markDown(m, "probe refused", now)
 	}
-	// One unanswered probe is suspicion; a suspect that fails one is down.
+	// One unanswered probe makes a suspect; a suspect with an unanswered probe is down.
 	if m.state == Suspect {
-		return g.down(m, "probe unanswered", now)
+		return g.markDown(m, "probe unanswered", now)
 	}
-	return g.suspect(m, "probe unanswered", now)
+	return g.markSuspect(m, "probe unanswered", now)
 }
 
-// reported takes the answer to a probe.
-func (g *Group) reported(m *member, e Reported, now time.Time) []Action {
-	var acts []Action
+// handleReport handles the answer to a probe.
+func (g *Group) handleReport(m *member, e Reported, now time.Time) []Action {
+	var actions []Action
 	restarted := e.BootID != "" && m.bootID != "" && e.BootID != m.bootID
 	if restarted {
-		acts = append(acts, Died{m.name, m.bootID})
-		m.restarted = now
+		actions = append(actions, Died{m.name, m.bootID})
+		m.restartedAt = now
 	}
 	if e.BootID != "" {
 		m.bootID = e.BootID
 	}
-	acts = append(acts, g.reportedLeaving(m, e, now)...)
-	return append(acts, g.reportedAlive(m, restarted, now)...)
+	actions = append(actions, g.updateLeaving(m, e, now)...)
+	return append(actions, g.markAlive(m, restarted, now)...)
 }
 
-// reportedLeaving ends leaving only for a process other than the one that left.
-func (g *Group) reportedLeaving(m *member, e Reported, now time.Time) []Action {
+// updateLeaving takes from a report whether the upstream is leaving. A report that it isn't
+// counts only if it is of another process than the one that was leaving.
+func (g *Group) updateLeaving(m *member, e Reported, now time.Time) []Action {
 	if e.Leaving {
-		return g.saidLeaving(m, FromReport, now)
+		return g.markLeaving(m, FromReport, now)
 	}
 	if !m.leaving {
 		return nil
 	}
-	if m.leavingBoot == "" {
-		m.leavingBoot = e.BootID // first report after another source said so
+	if m.leavingBootID == "" {
+		m.leavingBootID = e.BootID // unknown until now: another source said that it leaves
 		return nil
 	}
-	if e.BootID == m.leavingBoot || e.BootID == "" {
+	if e.BootID == m.leavingBootID || e.BootID == "" {
 		return nil
 	}
-	m.leaving, m.firstHand, m.leavingBoot = false, false, ""
-	return []Action{m.changed("new process stays")}
+	m.leaving, m.leavingFirstHand, m.leavingBootID = false, false, ""
+	return []Action{m.changedAction("new process stays")}
 }
 
-func (g *Group) reportedAlive(m *member, restarted bool, now time.Time) []Action {
+// markAlive handles the evidence of a report that a process is alive.
+func (g *Group) markAlive(m *member, restarted bool, now time.Time) []Action {
 	switch {
 	case m.state == Down, restarted:
 		m.state = SlowStart
-		m.slowSince = now
-		m.out = false
-		m.silences, m.garbled = 0, 0
+		m.slowStartSince = now
+		m.excluded = false
+		m.silentFaults, m.malformedFaults = 0, 0
 		m.holdUntil = time.Time{}
-		return []Action{m.changed("answers again")}
+		return []Action{m.changedAction("answers again")}
 	case m.state == Suspect && !now.Before(m.holdUntil):
 		m.state = Up
-		m.out = false
-		m.garbled = 0
-		return []Action{m.changed("same process answers")}
+		m.excluded = false
+		m.malformedFaults = 0
+		return []Action{m.changedAction("same process answers")}
 	case m.state == Suspect:
 		return []Action{ProbeAt{m.name, m.holdUntil}}
 	}
 	return nil
 }
 
-func (g *Group) saidLeaving(m *member, source Source, now time.Time) []Action {
-	m.firstHand = m.firstHand || source != FromPeer
+// markLeaving records that a source says that the upstream is leaving.
+func (g *Group) markLeaving(m *member, source Source, now time.Time) []Action {
+	m.leavingFirstHand = m.leavingFirstHand || source != FromPeer
 	if m.leaving {
 		return nil
 	}
-	stale := !m.restarted.IsZero() && now.Sub(m.restarted) < g.options.PeerGrace
-	if source == FromPeer && stale {
-		// The peer still talks about the process before this one; held, it
-		// would keep the new process out until its next restart.
+	recentlyRestarted := !m.restartedAt.IsZero() && now.Sub(m.restartedAt) < g.options.StalePeerWindow
+	if source == FromPeer && recentlyRestarted {
+		// The peer probably means the previous process. If it were believed, the new
+		// process would get no work until its next restart.
 		return nil
 	}
 	m.leaving = true
-	m.leavingBoot = m.bootID
-	return []Action{m.changed("leaving: " + string(source))}
+	m.leavingBootID = m.bootID
+	return []Action{m.changedAction("leaving: " + string(source))}
 }
 
-// settle turns states into eligibility and weight and tells what changed.
-func (g *Group) settle(now time.Time) []Action {
-	g.chooseOut()
-	var acts []Action
+// updateEligibility derives eligibility and weight of all upstreams from their states and returns
+// what changed.
+func (g *Group) updateEligibility(now time.Time) []Action {
+	g.chooseExcluded()
+	var actions []Action
 	for _, m := range g.members {
-		acts = append(acts, g.climb(m, now)...)
-		eligible := !m.leaving && m.state != Down && !m.out
+		actions = append(actions, g.endSlowStart(m, now)...)
+		eligible := !m.leaving && m.state != Down && !m.excluded
 		if eligible != m.eligible {
 			m.eligible = eligible
-			acts = append(acts, SetEligible{m.name, eligible})
+			actions = append(actions, SetEligible{m.name, eligible})
 		}
 		if w := g.weightOf(m, now); w != m.weight {
 			m.weight = w
-			acts = append(acts, SetWeight{m.name, w})
+			actions = append(actions, SetWeight{m.name, w})
 		}
 	}
-	return acts
+	return actions
 }
 
-// chooseOut keeps suspects off new work up to the share. Who is out stays out.
-func (g *Group) chooseOut() {
-	room := int(g.options.SuspectShare * float64(len(g.members)))
+// chooseExcluded chooses the suspects that get no new work, at most MaxSuspectShare of the
+// group. Suspects that are excluded already stay excluded.
+func (g *Group) chooseExcluded() {
+	allowed := int(g.options.MaxSuspectShare * float64(len(g.members)))
 	for _, m := range g.members {
 		if m.state != Suspect {
-			m.out = false
+			m.excluded = false
 		}
-		if m.out {
-			room--
+		if m.excluded {
+			allowed--
 		}
 	}
 	for _, m := range g.members {
-		if m.state == Suspect && !m.out && room > 0 {
-			m.out = true
-			room--
+		if m.state == Suspect && !m.excluded && allowed > 0 {
+			m.excluded = true
+			allowed--
 		}
 	}
-	for i := len(g.members) - 1; i >= 0 && room < 0; i-- { // the group shrank
-		if g.members[i].out {
-			g.members[i].out = false
-			room++
+	for i := len(g.members) - 1; i >= 0 && allowed < 0; i-- { // the group shrank
+		if g.members[i].excluded {
+			g.members[i].excluded = false
+			allowed++
 		}
 	}
 }
 
-func (g *Group) climb(m *member, now time.Time) []Action {
-	if m.state != SlowStart || now.Sub(m.slowSince) < g.options.SlowStart {
+// endSlowStart returns an upstream to Up when its slow start is over.
+func (g *Group) endSlowStart(m *member, now time.Time) []Action {
+	if m.state != SlowStart || now.Sub(m.slowStartSince) < g.options.SlowStart {
 		return nil
 	}
 	m.state = Up
-	return []Action{m.changed("slow start done")}
+	return []Action{m.changedAction("slow start done")}
 }
 
-// weightSteps quantises a climbing weight, so that not every tick is an action.
+// weightSteps: during a slow start a weight is rounded down to a multiple of 1/weightSteps,
+// so that not every tick results in an action.
 const weightSteps = 20
 
 func (g *Group) weightOf(m *member, now time.Time) float64 {
@@ -196,15 +206,16 @@
 	case Down:
 		return 0
 	case Suspect:
-		return g.options.SuspectLoad
+		return g.options.SuspectWeight
 	case SlowStart:
-		share := float64(now.Sub(m.slowSince)) / float64(g.options.SlowStart)
-		w := g.options.StartWeight + (1-g.options.StartWeight)*min(max(share, 0), 1)
+		progress := float64(now.Sub(m.slowStartSince)) / float64(g.options.SlowStart)
+		w := g.options.InitialWeight + (1-g.options.InitialWeight)*min(max(progress, 0), 1)
 		return float64(int(w*weightSteps)) / weightSteps
 	}
 	return 1
 }
 
-func (m *member) changed(cause string) Changed {
+// changedAction returns the action that tells of a change of the member's state.
+func (m *member) changedAction(cause string) Changed {
 	return Changed{Upstream: m.name, State: m.state, Leaving: m.leaving, Cause: cause}
 }
--- a/internal/health/message.go
+++ b/internal/health/message.go
@@ -1,13 +1,17 @@
-// Package health decides which upstreams of one group may get work, and how
-// much. It is pure: events and the time in, actions out; the same events give
-// the same actions. Not safe for concurrent use.
+// Package health decides which upstreams of one group may get work, and how much. It does
+// no I/O and reads no clock: events and the time go in, actions come out, and the same
+// events give the same actions.
 //
-// Up -> Suspect: a reset or silence. A probe that finds the same process clears
-// it, one that finds another process or nothing makes it a death.
-// Up, Suspect -> Down: refused, or a probe failed: hard evidence.
-// Down -> SlowStart -> Up: a probe answered; the weight climbs from StartWeight.
-// Leaving lies over all of these: no new work, until another process of the
-// same name says that it isn't leaving.
+// The states of an upstream change as follows:
+//   - Up to Suspect: an attempt was reset or silent, several answers in a row were
+//     malformed, or a probe got no answer. If the same process answers a probe, the upstream
+//     is Up again. If another process answers, the previous one has died.
+//   - Up or Suspect to Down, on hard evidence: a connection was refused, or a suspect didn't
+//     answer a probe.
+//   - Down to SlowStart to Up: a probe was answered. The weight rises step by step.
+//
+// Leaving is independent of these states: an upstream that is leaving gets no new work until
+// another process of the same name reports that it isn't leaving.
 package health
 
 import (
@@ -16,7 +20,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// State is what is believed about an upstream.
+// State is the state of an upstream as far as is known.
 type State int
 
 // The states.
@@ -27,7 +31,7 @@
 	SlowStart
 )
 
-// String names the state.
+// String returns the name of the state in logs and on the timeline.
 func (s State) String() string {
 	return [...]string{"up", "suspect", "down", "slow start"}[s]
 }
@@ -36,36 +40,37 @@
 type Event interface{ event() }
 
 type (
-	// Added and Removed follow the group's settings.
+	// Added: the group's settings have a new upstream.
 	Added struct{ Upstream ident.Upstream }
-	// Removed ends all that is known of the upstream.
+	// Removed: the group's settings no longer have the upstream. All that is known of it
+	// is dropped.
 	Removed struct{ Upstream ident.Upstream }
-	// Succeeded is a whole answer.
+	// Succeeded: an attempt got a complete answer.
 	Succeeded struct{ Upstream ident.Upstream }
-	// Faulted is a failed attempt.
+	// Faulted: an attempt failed.
 	Faulted struct {
 		Upstream ident.Upstream
 		Kind     FaultKind
 	}
-	// Reported is an answered probe (a load report).
+	// Reported: a probe was answered with a load report.
 	Reported struct {
 		Upstream ident.Upstream
 		BootID   string
 		Leaving  bool
 	}
-	// ProbeFailed is a probe without an answer; Refused if nothing listens.
+	// ProbeFailed: a probe got no answer. Refused says that nothing listens there.
 	ProbeFailed struct {
 		Upstream ident.Upstream
 		Refused  bool
 	}
-	// SaidLeaving comes from the VM list, an answer or a peer.
+	// SaidLeaving: the VM list, an answer or a peer says that the upstream is leaving.
 	SaidLeaving struct {
 		Upstream ident.Upstream
 		Source   Source
 	}
-	// Doubted: a peer can't reach the upstream. Only a reason to look.
+	// Doubted: a peer can't reach the upstream. This is only a reason to probe it.
 	Doubted struct{ Upstream ident.Upstream }
-	// Tick lets weights climb.
+	// Tick: time has passed. Weights rise and slow starts end.
 	Tick struct{}
 )
 
@@ -79,18 +84,18 @@
 func (Doubted) event()     {}
 func (Tick) event()        {}
 
-// FaultKind sorts failed attempts by what they say about the upstream.
+// FaultKind classifies failed attempts by what they show about the upstream.
 type FaultKind int
 
 // The kinds of fault.
 const (
-	// Refused: nothing listens there. Hard evidence.
+	// Refused: nothing listens there. Hard evidence that the upstream is down.
 	Refused FaultKind = iota
-	// Reset: a connection ended before its answer was whole. Suspicion.
+	// Reset: the connection ended before the answer was complete. Makes a suspect.
 	Reset
-	// Silent: no progress for the progress time-out. Suspicion.
+	// Silent: no progress for the progress timeout. Makes a suspect.
 	Silent
-	// Garbled: an answer that makes no sense. Suspicion after several.
+	// Garbled: a malformed answer. Several in a row make a suspect.
 	Garbled
 )
 
@@ -109,27 +114,27 @@
 type Action interface{ action() }
 
 type (
-	// SetEligible says whether new work may start there.
+	// SetEligible sets whether new work may start on the upstream.
 	SetEligible struct {
 		Upstream ident.Upstream
 		Eligible bool
 	}
-	// SetWeight is the share (0..1) of its usual load that it may get.
+	// SetWeight sets the share (0 to 1) of its usual load that the upstream may get.
 	SetWeight struct {
 		Upstream ident.Upstream
 		Weight   float64
 	}
-	// ProbeAt asks for a probe; a later one for the upstream replaces it.
+	// ProbeAt asks for a probe at a time, in place of the one that was asked for before.
 	ProbeAt struct {
 		Upstream ident.Upstream
 		At       time.Time
 	}
-	// Died says that the process of that boot ended.
+	// Died says that the upstream's process with this boot ID has ended.
 	Died struct {
 		Upstream ident.Upstream
 		BootID   string
 	}
-	// Changed is a change of state, for the log and the timeline.
+	// Changed tells the log and the timeline of a change of state or leaving.
 	Changed struct {
 		Upstream ident.Upstream
 		State    State
--- a/internal/health/suspects.go
+++ b/internal/health/suspects.go
@@ -6,54 +6,57 @@
 )
 
 const (
-	// FirstSuspicion is how long an incarnation gets no new work after its first failure.
-	// One that crashed refuses connections at once, so trying it is cheap; a silent one
-	// costs whoever tries it a timeout of some hundred ms.
-	FirstSuspicion = 300 * time.Millisecond
-	// MaxSuspicion bounds the doubling: upstreams are back some seconds after a crash.
+	// MinSuspicion is how long an incarnation gets no new work after its first failure. To
+	// try one that crashed is cheap, since it refuses connections at once. To try one that
+	// doesn't answer costs a timeout of some hundred ms.
+	MinSuspicion = 300 * time.Millisecond
+	// MaxSuspicion bounds this time, which doubles with each further failure: upstreams
+	// are back some seconds after a crash.
 	MaxSuspicion = 4 * time.Second
-	// suspectLife is how long an incarnation that isn't met any more is remembered.
-	suspectLife = time.Minute
+	// suspectTTL is how long after the end of its suspicion an incarnation is remembered
+	// that hasn't been used since.
+	suspectTTL = time.Minute
 )
 
-// Suspects tells which upstreams get no new work because they failed. Everything that
-// is sent shares it, callers' calls, reward calls and samples' streams: what one of them
-// met is true for the others. Its keys are incarnations, so that an upstream that
-// started again is trusted at once. Safe for concurrent use; time is passed in, on a
-// clock that goes on while the VM is suspended.
+// Suspects tells which upstreams get no new work because they failed recently. Callers'
+// calls, reward calls and the streams of samples share it, since a failure that one of them
+// sees concerns the others as well. Its keys are incarnations, so that an upstream that has
+// restarted is trusted at once. It is safe for concurrent use. The caller passes the time
+// in, from a clock that goes on while the VM is suspended.
 //
-// Invariant: an incarnation under suspicion is trusted again, without a probe, at most
-// MaxSuspicion after its last failure.
+// Invariant: an incarnation is trusted again, without a probe, at most MaxSuspicion after
+// its last failure.
 type Suspects struct {
 	mu            sync.Mutex
 	byIncarnation map[string]*suspicion
 }
 
-// suspicion is what is held against one incarnation.
+// suspicion holds the failures of one incarnation.
 type suspicion struct {
-	failures int // in a row
-	until    time.Duration
+	failures int           // in a row
+	until    time.Duration // it gets no new work before
 }
 
-// NewSuspects returns a set without suspects.
+// NewSuspects returns an empty set.
 func NewSuspects() *Suspects { return &Suspects{byIncarnation: map[string]*suspicion{}} }
 
-// Failed notes that an incarnation was silent, unreachable or broke off.
+// Failed records that an incarnation didn't answer in time, couldn't be reached or ended a
+// connection early.
 func (s *Suspects) Failed(incarnation string, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := s.byIncarnation[incarnation]
-	if x == nil {
-		x = &suspicion{}
-		s.byIncarnation[incarnation] = x
+	entry := s.byIncarnation[incarnation]
+	if entry == nil {
+		entry = &suspicion{}
+		s.byIncarnation[incarnation] = entry
 	}
-	x.until = now + suspicionAfter(x.failures)
-	x.failures++
+	entry.until = now + suspicionTime(entry.failures)
+	entry.failures++
 }
 
-// suspicionAfter is how long a failure counts that so many others precede.
-func suspicionAfter(failures int) time.Duration {
-	d := FirstSuspicion
+// suspicionTime returns how long a failure counts that follows this many others in a row.
+func suspicionTime(failures int) time.Duration {
+	d := MinSuspicion
 	for range failures {
 		if d >= MaxSuspicion {
 			break
@@ -63,27 +66,27 @@
 	return min(d, MaxSuspicion)
 }
 
-// Worked notes that an incarnation did what it was asked.
+// Worked records a success of an incarnation, which ends its suspicion.
 func (s *Suspects) Worked(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.byIncarnation, incarnation)
 }
 
-// Holds reports whether an incarnation is under suspicion.
+// Holds reports whether an incarnation gets no new work now.
 func (s *Suspects) Holds(incarnation string, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := s.byIncarnation[incarnation]
-	return x != nil && now < x.until
+	entry := s.byIncarnation[incarnation]
+	return entry != nil && now < entry.until
 }
 
-// Trim forgets incarnations that failed long ago and weren't tried since.
+// Trim drops incarnations whose suspicion ended long ago.
 func (s *Suspects) Trim(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, x := range s.byIncarnation {
-		if now-x.until > suspectLife {
+	for id, entry := range s.byIncarnation {
+		if now-entry.until > suspectTTL {
 			delete(s.byIncarnation, id)
 		}
 	}
