--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -2,22 +2,26 @@
 
 import "time"
 
-// hedgeShare of a call's latency objective without an answer sends a second copy of what
-// may run twice. Work takes a sixth of the objective on average, so a copy is sent for the
-// slowest few in a hundred, with time left for it.
-const hedgeShare = 0.5
+// hedgeFraction is the fraction of a call's latency objective after which a second copy of
+// the call is sent, if it may run twice and has no answer yet. Calls take a sixth of the
+// objective on average. So only the slowest few in a hundred get a copy, and the copy has
+// time left to answer.
+const hedgeFraction = 0.5
 
-// HedgeAfter is how long a call is waited for before a second copy is sent. It reports
-// false for a call without an objective.
+// HedgeAfter returns how long to wait for the answer to a call before a second copy is sent,
+// and false for a call without a latency objective.
 func HedgeAfter(objective time.Duration) (time.Duration, bool) {
-	return time.Duration(hedgeShare * float64(objective)), objective > 0
+	return time.Duration(hedgeFraction * float64(objective)), objective > 0
 }
 
-// GenerationHedges bounds second copies of generations, which take an engine's place for
-// seconds, to a twentieth of them, or one a second where there are few.
-func GenerationHedges() BudgetOptions { return BudgetOptions{Share: 0.05, PerSecond: 1, Max: 10} }
+// GenerationHedges limits second copies of generations, which occupy a slot of an engine for
+// seconds, to a twentieth of the generations, or to one per second where these are few.
+func GenerationHedges() BudgetOptions {
+	return BudgetOptions{PerSuccess: 0.05, PerSecond: 1, Capacity: 10}
+}
 
-// CallHedges bounds second copies of calls: when a whole service turns slow, copies of all
-// its calls would double its load. A step's reward calls come dozens at once, and one
-// server of nine that is slow holds a tenth of them up: Max lets all of these have a copy.
-func CallHedges() BudgetOptions { return BudgetOptions{Share: 0.1, PerSecond: 3, Max: 50} }
+// CallHedges limits second copies of calls: if a whole service becomes slow, copies of all
+// its calls would double its load. The capacity lets a burst through: the reward calls of a
+// step are sent by the dozen, and if one server of nine is slow, a tenth of them are late
+// and all of these may have a copy.
+func CallHedges() BudgetOptions { return BudgetOptions{PerSuccess: 0.1, PerSecond: 3, Capacity: 50} }
--- a/internal/retry/jitter.go
+++ b/internal/retry/jitter.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// Backoff is the pause between tries of a call to something that all daemons share.
-// Each pause is drawn from zero to a bound that doubles ("full jitter"): daemons that
-// failed at one moment, as in an outage, come back spread over the bound. With equal
-// pauses they come back together, and what they share fails again.
+// Backoff computes the delays between attempts to call a service that all daemons share.
+// Each delay is random between zero and a bound that doubles ("full jitter"), so that
+// daemons whose calls failed at the same time, as in an outage, repeat them spread over the
+// bound. With equal delays they would repeat them at the same time, and the service would
+// fail again.
 type Backoff struct {
-	First time.Duration // bound after the first failure
-	Max   time.Duration // bound that is never exceeded
+	First time.Duration // bound of the delay after the first failure
+	Max   time.Duration // largest bound
 }
 
-// Pause is the wait after so many failures in a row. random is drawn evenly from [0, 1).
+// Pause returns the delay after this many failures in a row. random is a number from the
+// uniform distribution over [0, 1).
 func (b Backoff) Pause(failures int, random float64) time.Duration {
 	bound := b.First
 	for n := 1; n < failures && bound < b.Max; n++ {
--- a/internal/retry/jitter_test.go
+++ b/internal/retry/jitter_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("Backoff", func() {
 	backoff := retry.Backoff{First: 50 * time.Millisecond, Max: 400 * time.Millisecond}
 
-	It("doubles its bound up to the largest", func() {
+	It("doubles the bound of the delay up to the largest", func() {
 		for failures, bound := range map[int]time.Duration{
 			1: 50 * time.Millisecond, 2: 100 * time.Millisecond, 4: 400 * time.Millisecond, 5: 400 * time.Millisecond, 1000: 400 * time.Millisecond,
 		} {
@@ -22,19 +22,20 @@
 		}
 	})
 
-	// The store is away for seconds and 690 daemons fail at one moment, again and again.
-	// Their next calls must not fall on one moment: the store, which is just back, would
-	// refuse most of them, and the rest of the fleet come back seconds later.
-	It("spreads the calls of daemons that failed together", func() {
-		const daemons, slices = 690, 8
+	// The store is unreachable for seconds, and the calls of 690 daemons fail at the same
+	// time, again and again. The next calls must not all come at the same time: the store,
+	// which has just recovered, would refuse most of them, and the rest of the fleet would
+	// recover only seconds later.
+	It("spreads the calls of daemons whose calls failed at the same time", func() {
+		const daemons, slots = 690, 8
 		random := rand.New(rand.NewPCG(1, 5))
-		var slots [slices]int
+		var counts [slots]int
 		for range daemons {
-			at := backoff.Pause(5, random.Float64())
-			slots[int(at*slices/backoff.Max)]++
+			delay := backoff.Pause(5, random.Float64())
+			counts[int(delay*slots/backoff.Max)]++
 		}
-		for _, n := range slots {
-			Expect(n).To(BeNumerically("<", 2*daemons/slices))
+		for _, n := range counts {
+			Expect(n).To(BeNumerically("<", 2*daemons/slots))
 		}
 	})
 })
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,14 +1,18 @@
-// Package retry decides what happens after a failed attempt at a request, and
-// how much of the traffic may be attempts beyond the first. It is pure: the
-// caller passes the time in. Not safe for concurrent use.
+// Package retry decides what happens after a failed attempt at a request, and how much of
+// the traffic may be attempts beyond the first. It does no I/O and reads no clock: the
+// caller passes the time in. It is not safe for concurrent use.
+//
+// A send is one attempt to have an upstream run a request. A run is a send that ran the
+// request or may have.
 //
 // Invariants:
-//   - what isn't idempotent is repeated only after outcome.NotRun;
-//   - nothing is repeated without a token of the budget, save after NotRun,
-//     where an overload of upstreams can't be made worse by work that didn't run,
-//     and after a proved death of the upstream;
-//   - nothing is repeated at or after the deadline, or past MaxAttempts runs
-//     (MaxNotRun sends: a refusal costs an upstream nothing).
+//   - a request that isn't idempotent is repeated only while its sends certainly didn't run
+//     it (outcome.NotRun);
+//   - each repetition takes a token of the budget, except after outcome.NotRun, since work
+//     that didn't run can't make an overload of upstreams worse, and after a proven death
+//     of the upstream;
+//   - nothing is repeated at or after the deadline, nor beyond the maximum number of runs
+//     or of sends. The latter is higher, since a refusal costs an upstream nothing.
 package retry
 
 import (
@@ -22,15 +26,15 @@
 
 // The actions.
 const (
-	// Fail gives the failure to the caller.
+	// Fail returns the failure to the caller.
 	Fail Action = iota
-	// Retry starts again from nothing on another upstream.
+	// Retry starts the request from scratch on another upstream.
 	Retry
-	// Resume goes on from the chunks that were already had.
+	// Resume continues after the chunks that were already received.
 	Resume
 )
 
-// String names the action.
+// String returns the name of the action on the timeline.
 func (a Action) String() string {
 	switch a {
 	case Retry:
@@ -47,48 +51,50 @@
 
 // The causes.
 const (
-	None       Cause = iota
-	NotSafe          // it may have run and isn't idempotent
-	Answered         // an upstream's answer is final
-	Exhausted        // MaxAttempts
-	OverBudget       // too many retries in the traffic of late
-	PastDue          // the deadline
-	NotResumed       // bytes went to the caller and the request can't be resumed
+	None         Cause = iota
+	NotSafe            // a send may have run the request, which isn't idempotent
+	Answered           // the upstream's answer is final
+	Exhausted          // the maximum number of runs or of sends
+	OverBudget         // too many repetitions in recent traffic
+	PastDue            // the deadline has passed
+	NotResumable       // the caller has a part of the answer and the request can't be resumed
 )
 
-// String names the cause.
+// String describes the cause.
 func (c Cause) String() string {
-	return [...]string{"none", "not safe", "answered", "exhausted", "over budget", "past due", "not resumable"}[c]
+	return [...]string{"none", "not safe", "answered", "exhausted", "over budget", "deadline passed", "not resumable"}[c]
 }
 
 // Attempt describes a request after one of its attempts failed.
 type Attempt struct {
-	Outcome    outcome.Outcome
-	Idempotent bool
-	// Resumable requests (generations) may go on behind chunks already had.
+	Outcome    outcome.Outcome // of the failed attempt
+	Idempotent bool            // the request may run more than once
+	// Resumable: the request, a generation, may continue after the chunks that were
+	// already received.
 	Resumable bool
-	// Transient says that an outcome of Ran was a passing failure of the
-	// upstream (a 5xx answer), not an answer to the request.
+	// Transient: the outcome Ran was a temporary failure of the upstream (a 5xx answer),
+	// not an answer to the request.
 	Transient bool
-	// Died says that the upstream's process was seen to end. Such repetitions
-	// need no token: a death hits all requests in flight at once, and a request
-	// that kills is stopped by its second death.
+	// Died: the upstream's process is known to have ended. A repetition after that needs no
+	// token: a death concerns all requests in flight at once, and a request that crashes
+	// its upstreams is stopped after the second death.
 	Died bool
-	// Sends counts those made so far, this one included.
+	// Sends counts the sends of the request so far, this one included.
 	Sends Sends
-	// Sent says that a part of the answer went to the caller already.
+	// Sent: the caller already has a part of the answer.
 	Sent     bool
 	Deadline time.Time // zero: none
 }
 
-// Options of the decision.
+// Options limit the repetitions of a request.
 type Options struct {
-	MaxAttempts int // that ran the request or may have; default 4
-	// MaxNotRun bounds all attempts, those included that certainly didn't run; refusals
-	// come in rows while a group restarts. Default three times MaxAttempts.
-	MaxNotRun  int
-	Backoff    time.Duration // before the third attempt, doubling; default 20 ms
-	MaxBackoff time.Duration // default 500 ms
+	MaxAttempts int // maximum number of runs; default 4
+	// MaxNotRun is the maximum number of sends, which include those that certainly didn't
+	// run the request: many in a row are refused while a group restarts. Default three
+	// times the maximum number of runs.
+	MaxNotRun      int
+	InitialBackoff time.Duration // delay before the third send, doubles with each further one; default 20 ms
+	MaxBackoff     time.Duration // bound of the delay; default 500 ms
 }
 
 func (o Options) withDefaults() Options {
@@ -98,8 +104,8 @@
 	if o.MaxNotRun <= 0 {
 		o.MaxNotRun = 3 * o.MaxAttempts
 	}
-	if o.Backoff <= 0 {
-		o.Backoff = 20 * time.Millisecond
+	if o.InitialBackoff <= 0 {
+		o.InitialBackoff = 20 * time.Millisecond
 	}
 	if o.MaxBackoff <= 0 {
 		o.MaxBackoff = 500 * time.Millisecond
@@ -107,32 +113,33 @@
 	return o
 }
 
-// Decision is the answer of Decide. After is the wait before the next attempt.
+// Decision is what follows a failed attempt.
 type Decision struct {
 	Action Action
-	Cause  Cause
-	After  time.Duration
+	Cause  Cause         // of Fail
+	After  time.Duration // delay before the next attempt
 }
 
-// Decide says what follows a failed attempt. It takes a token from budget only
-// when it allows a repetition that needs one.
+// Decide returns what follows a failed attempt. It takes a token from the budget only if it
+// allows a repetition that needs one.
 func Decide(a Attempt, budget *Budget, o Options, now time.Time) Decision {
 	o = o.withDefaults()
-	if cause := forbidden(a, o, now); cause != None {
+	if cause := failCause(a, o, now); cause != None {
 		return Decision{Action: Fail, Cause: cause}
 	}
 	if a.Outcome != outcome.NotRun && !a.Died && !budget.Take(now) {
 		return Decision{Action: Fail, Cause: OverBudget}
 	}
-	after := backoff(a.Sends.Made, o)
+	delay := backoffBefore(a.Sends.Made, o)
 	if a.Sent {
-		return Decision{Action: Resume, After: after}
+		return Decision{Action: Resume, After: delay}
 	}
-	return Decision{Action: Retry, After: after}
+	return Decision{Action: Retry, After: delay}
 }
 
-// forbidden returns the first rule that forbids a repetition.
-func forbidden(a Attempt, o Options, now time.Time) Cause {
+// failCause returns the cause by which the first matching rule forbids a repetition, None if
+// no rule does.
+func failCause(a Attempt, o Options, now time.Time) Cause {
 	rule := Rule{Repeatable: a.Idempotent, MaxRuns: o.MaxAttempts, MaxSends: o.MaxNotRun}
 	cause := rule.Forbids(a.Sends)
 	switch {
@@ -141,7 +148,7 @@
 	case cause == NotSafe:
 		return NotSafe
 	case a.Sent && !a.Resumable:
-		return NotResumed
+		return NotResumable
 	case cause != None:
 		return cause
 	case !a.Deadline.IsZero() && !now.Before(a.Deadline):
@@ -150,14 +157,15 @@
 	return None
 }
 
-// backoff lets the first repetition go at once: it goes to another upstream.
-func backoff(attempts int, o Options) time.Duration {
-	if attempts <= 1 {
+// backoffBefore returns the delay before the next send, after this many. The second send
+// isn't delayed, since it goes to another upstream.
+func backoffBefore(sends int, o Options) time.Duration {
+	if sends <= 1 {
 		return 0
 	}
-	wait := o.Backoff
-	for i := 2; i < attempts && wait < o.MaxBackoff; i++ {
-		wait *= 2
+	delay := o.InitialBackoff
+	for i := 2; i < sends && delay < o.MaxBackoff; i++ {
+		delay *= 2
 	}
-	return min(wait, o.MaxBackoff)
+	return min(delay, o.MaxBackoff)
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -15,8 +15,8 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/golden"
 )
 
-// alike is a number of sends that all had the same outcome.
-func alike(n int, o outcome.Outcome) retry.Sends {
+// sendsWithOutcome returns the count of n sends that all had the same outcome.
+func sendsWithOutcome(n int, o outcome.Outcome) retry.Sends {
 	var s retry.Sends
 	for range n {
 		s.Begin()
@@ -27,18 +27,18 @@
 	return s
 }
 
-// every calls with each combination of what matters to a decision.
-func every(with func(retry.Attempt)) {
+// forEachAttempt calls check with each combination of the inputs of a decision.
+func forEachAttempt(check func(retry.Attempt)) {
 	bools := []bool{false, true}
 	for _, o := range []outcome.Outcome{outcome.Unknown, outcome.NotRun, outcome.Ran} {
 		for _, idempotent := range bools {
 			for _, resumable := range bools {
 				for _, sent := range bools {
 					for _, attempts := range []int{1, 3, 4, 12} {
-						a := retry.Attempt{Outcome: o, Idempotent: idempotent, Resumable: resumable, Sent: sent, Sends: alike(attempts, o)}
-						with(a)
+						a := retry.Attempt{Outcome: o, Idempotent: idempotent, Resumable: resumable, Sent: sent, Sends: sendsWithOutcome(attempts, o)}
+						check(a)
 						a.Transient, a.Died = true, true
-						with(a)
+						check(a)
 					}
 				}
 			}
@@ -46,13 +46,14 @@
 	}
 }
 
-// naive is the rule in one sentence: what may have run is repeated only if that
-// does no harm, and what the caller has seen only if it can go on.
-func naive(a retry.Attempt, tokens int) retry.Action {
-	most := map[outcome.Outcome]int{outcome.NotRun: 12, outcome.Unknown: 4, outcome.Ran: 4}[a.Outcome]
-	harmless := a.Outcome == outcome.NotRun || a.Idempotent && (a.Outcome == outcome.Unknown || a.Transient)
-	paid := a.Outcome == outcome.NotRun || a.Died || tokens > 0
-	if !harmless || !paid || a.Sends.Made >= most || a.Sent && !a.Resumable {
+// expectedAction is the rule of the package in short: a request that may have run is
+// repeated only if it may run twice, and one whose answer the caller has a part of only if
+// it can be resumed. tokens is the budget.
+func expectedAction(a retry.Attempt, tokens int) retry.Action {
+	maxSends := map[outcome.Outcome]int{outcome.NotRun: 12, outcome.Unknown: 4, outcome.Ran: 4}[a.Outcome]
+	mayRepeat := a.Outcome == outcome.NotRun || a.Idempotent && (a.Outcome == outcome.Unknown || a.Transient)
+	covered := a.Outcome == outcome.NotRun || a.Died || tokens > 0
+	if !mayRepeat || !covered || a.Sends.Made >= maxSends || a.Sent && !a.Resumable {
 		return retry.Fail
 	}
 	if a.Sent {
@@ -61,65 +62,66 @@
 	return retry.Retry
 }
 
-// safe is the promise: nothing that may have run, and isn't idempotent, runs again.
-func safe(a retry.Attempt, action retry.Action) bool {
+// keepsPromise reports whether an action keeps the promise that a request which may have run
+// and isn't idempotent doesn't run again.
+func keepsPromise(a retry.Attempt, action retry.Action) bool {
 	return action == retry.Fail || a.Idempotent || a.Outcome == outcome.NotRun
 }
 
-// forever decides with the usual options and a full budget.
-func forever(a retry.Attempt) retry.Decision {
+// decideWithFullBudget decides with the default options and a full budget.
+func decideWithFullBudget(a retry.Attempt) retry.Decision {
 	return retry.Decide(a, retry.NewBudget(retry.BudgetOptions{}, epoch), retry.Options{}, epoch)
 }
 
 var _ = Describe("Decide", func() {
-	It("agrees with the naive rule, with and without a budget", func() {
-		every(func(a retry.Attempt) {
+	It("agrees with the short rule, with and without a token left", func() {
+		forEachAttempt(func(a retry.Attempt) {
 			for _, tokens := range []int{0, 1} {
-				budget := retry.NewBudget(retry.BudgetOptions{Max: 1}, epoch)
+				budget := retry.NewBudget(retry.BudgetOptions{Capacity: 1}, epoch)
 				if tokens == 0 {
 					budget.Take(epoch)
 				}
 				got := retry.Decide(a, budget, retry.Options{}, epoch)
-				Expect(got.Action).To(Equal(naive(a, tokens)), "%+v, %d tokens", a, tokens)
-				Expect(safe(a, got.Action)).To(BeTrue(), "%+v", a)
+				Expect(got.Action).To(Equal(expectedAction(a, tokens)), "%+v, %d tokens", a, tokens)
+				Expect(keepsPromise(a, got.Action)).To(BeTrue(), "%+v", a)
 			}
 		})
 	})
 
-	It("red alive: a policy that retries whatever failed breaks the promise", func() {
-		broken := 0
-		every(func(a retry.Attempt) {
-			if !safe(a, retry.Retry) {
-				broken++
+	It("negative control: retrying every failure breaks the promise", func() {
+		violations := 0
+		forEachAttempt(func(a retry.Attempt) {
+			if !keepsPromise(a, retry.Retry) {
+				violations++
 			}
 		})
-		Expect(broken).To(BeNumerically(">", 0))
+		Expect(violations).To(BeNumerically(">", 0))
 	})
 
-	It("repeats nothing at its deadline", func() {
-		a := retry.Attempt{Outcome: outcome.NotRun, Sends: alike(1, outcome.NotRun), Deadline: epoch}
+	It("repeats nothing at the deadline", func() {
+		a := retry.Attempt{Outcome: outcome.NotRun, Sends: sendsWithOutcome(1, outcome.NotRun), Deadline: epoch}
 		Expect(retry.Decide(a, retry.NewBudget(retry.BudgetOptions{}, epoch), retry.Options{}, epoch).Cause).To(Equal(retry.PastDue))
 	})
 
-	// A group restarts: its upstreams refuse, one after the other, until the first that
-	// is back takes the request and dies. The caller got an error, though no upstream but
-	// that one had run its request: refusals had been counted as attempts.
-	It("counts what may have run apart from what was refused", func() {
-		sends := alike(11, outcome.NotRun)
+	// A group restarts. Its upstreams refuse the request, one after the other, until the
+	// first one that is back takes it and dies. Refusals counted as attempts, so the caller
+	// got an error although only that one upstream may have run the request.
+	It("counts runs and refused sends separately", func() {
+		sends := sendsWithOutcome(11, outcome.NotRun)
 		sends.Begin()
 		a := retry.Attempt{Outcome: outcome.Unknown, Idempotent: true, Sends: sends}
-		Expect(forever(a).Cause).To(Equal(retry.Exhausted), "twelve sends are enough")
+		Expect(decideWithFullBudget(a).Cause).To(Equal(retry.Exhausted), "twelve sends are the maximum")
 		a.Sends.Made = 11
-		Expect(forever(a).Action).To(Equal(retry.Retry))
+		Expect(decideWithFullBudget(a).Action).To(Equal(retry.Retry))
 		a.Outcome, a.Idempotent = outcome.NotRun, false
-		Expect(forever(a).Cause).To(Equal(retry.NotSafe), "an earlier send may have run it")
+		Expect(decideWithFullBudget(a).Cause).To(Equal(retry.NotSafe), "an earlier send may have run the request")
 	})
 
-	It("decides as in the golden session", func() {
+	It("decides as in the golden file", func() {
 		var b strings.Builder
-		budget := retry.NewBudget(retry.BudgetOptions{Max: 10}, epoch)
+		budget := retry.NewBudget(retry.BudgetOptions{Capacity: 10}, epoch)
 		now := epoch
-		every(func(a retry.Attempt) {
+		forEachAttempt(func(a retry.Attempt) {
 			now = now.Add(50 * time.Millisecond)
 			d := retry.Decide(a, budget, retry.Options{}, now)
 			fmt.Fprintf(&b, "%v idempotent=%v resumable=%v sent=%v attempts=%d died=%v -> %v (%v) after %v, %.2f tokens\n",
@@ -130,22 +132,22 @@
 })
 
 var _ = Describe("Budget", func() {
-	// The naive bucket walks through time in steps of 1 ms.
-	It("agrees with a naive bucket, and keeps repetitions a share of traffic", func() {
+	// The reference bucket is filled in steps of 1 ms.
+	It("agrees with a reference bucket and limits repetitions to a share of the traffic", func() {
 		random := rand.New(rand.NewPCG(4, 2))
-		o := retry.BudgetOptions{Share: 0.1, PerSecond: 2, Max: 20}
+		o := retry.BudgetOptions{PerSuccess: 0.1, PerSecond: 2, Capacity: 20}
 		budget := retry.NewBudget(o, epoch)
-		now, tokens := epoch, o.Max
+		now, tokens := epoch, o.Capacity
 		successes, taken := 0, 0
 		for range 20000 {
 			for range random.IntN(10) {
 				now = now.Add(time.Millisecond)
-				tokens = min(o.Max, tokens+o.PerSecond/1000)
+				tokens = min(o.Capacity, tokens+o.PerSecond/1000)
 			}
 			if random.IntN(2) == 0 {
 				successes++
 				budget.Succeeded(now)
-				tokens = min(o.Max, tokens+o.Share)
+				tokens = min(o.Capacity, tokens+o.PerSuccess)
 				continue
 			}
 			if budget.Take(now) {
@@ -154,7 +156,7 @@
 			}
 			Expect(budget.Tokens(now)).To(BeNumerically("~", tokens, 1e-6))
 		}
-		most := o.Max + o.Share*float64(successes) + o.PerSecond*now.Sub(epoch).Seconds()
-		Expect(float64(taken)).To(BeNumerically("<=", most))
+		maxTaken := o.Capacity + o.PerSuccess*float64(successes) + o.PerSecond*now.Sub(epoch).Seconds()
+		Expect(float64(taken)).To(BeNumerically("<=", maxTaken))
 	})
 })
--- a/internal/retry/sends.go
+++ b/internal/retry/sends.go
@@ -2,31 +2,31 @@
 
 // Sends counts the sends of one request to upstreams.
 type Sends struct {
-	Made int // those under way included
-	Runs int // of them, those that ran the request or may have
+	Made int // all, those in flight included
+	Runs int // those of them that ran the request or may have
 }
 
-// Begin counts a send before it leaves: from then on it may run.
+// Begin counts a send that is about to leave. From then on it may run the request.
 func (s *Sends) Begin() {
 	s.Made++
 	s.Runs++
 }
 
-// NotRun takes a send back of which it is certain that it didn't run the request.
+// NotRun records that one of the sends certainly didn't run the request.
 func (s *Sends) NotRun() { s.Runs-- }
 
-// Rule bounds the sends of one request. A refusal costs an upstream next to nothing, so
-// sends and runs have bounds of their own.
+// Rule limits the sends of one request. A refusal costs an upstream next to nothing, so
+// runs and sends have separate limits.
 type Rule struct {
-	// Repeatable: the request may run more than once, as an idempotent call may, or a
-	// stream that goes on behind the last event had.
+	// Repeatable: the request may run more than once. That is so for an idempotent call, and
+	// for a stream that continues after the last event received.
 	Repeatable bool
 	MaxRuns    int
-	MaxSends   int // those that didn't run included
+	MaxSends   int // includes those that didn't run the request
 }
 
-// Forbids returns why no further send may follow, None if one may. It holds for a repetition
-// after a failure and for a second copy beside a send under way.
+// Forbids returns why no further send may follow, None if one may. It applies both to a
+// repetition after a failure and to a second copy beside a send in flight.
 func (r Rule) Forbids(s Sends) Cause {
 	switch {
 	case s.Runs > 0 && !r.Repeatable:
