--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,22 +1,22 @@
-// Package outcome holds what is known about whether a request ran.
+// Package outcome says whether an upstream ran a request, as far as is known.
 package outcome
 
 import "fmt"
 
-// Outcome says whether an upstream ran a request.
+// Outcome is what is known about whether an upstream ran a request.
 type Outcome int
 
 const (
-	// Unknown is the zero value: a byte may have reached an upstream, so the
-	// request may have run.
+	// Unknown, the zero value: bytes of the request may have reached an upstream, so it may
+	// have run.
 	Unknown Outcome = iota
-	// NotRun is certain: no upstream began the request.
+	// NotRun: certainly no upstream began to run the request.
 	NotRun
-	// Ran is certain: an upstream answered it.
+	// Ran: certainly an upstream ran the request, since it answered.
 	Ran
 )
 
-// String returns the form used in problem documents.
+// String returns the form that problem documents have.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -31,11 +31,11 @@
 // MarshalText encodes the outcome as String does.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote; any other text is an error.
+// UnmarshalText decodes the texts that MarshalText returns; any other text is an error.
 func (o *Outcome) UnmarshalText(text []byte) error {
-	for _, known := range []Outcome{Unknown, NotRun, Ran} {
-		if known.String() == string(text) {
-			*o = known
+	for _, candidate := range []Outcome{Unknown, NotRun, Ran} {
+		if candidate.String() == string(text) {
+			*o = candidate
 			return nil
 		}
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy names the mechanisms that decide how well a daemon serves, so that
-// each can be switched off alone and its worth be measured. None of them is needed for
-// a promise: whatever is off, every answer is whole and counted right.
+// Package policy names the optional mechanisms by which a daemon serves better, so that each
+// can be switched off alone and its benefit be measured. No guarantee depends on them:
+// whichever are off, every answer is complete and counted correctly.
 package policy
 
 import (
@@ -9,26 +9,26 @@
 	"strings"
 )
 
-// Mechanism is one of them.
+// Mechanism is the name of a mechanism, as in settings.
 type Mechanism string
 
 // The mechanisms.
 const (
-	Hedge       Mechanism = "hedge"        // a second copy of a slow call that may run twice
-	Load        Mechanism = "load"         // calls go to the upstream with the fewest; off: in turn
-	Warm        Mechanism = "warm"         // calls go where a connection is open already
-	Suspicion   Mechanism = "suspicion"    // an upstream that broke off is avoided for a time
-	Moves       Mechanism = "moves"        // samples leave engines that are much slower than the others
-	Hardware    Mechanism = "hardware"     // long samples go to engines that make tokens fastest
-	LatestStart Mechanism = "latest-start" // samples start by when they have to; off: as they came
-	Fitting     Mechanism = "fitting"      // samples leave fresh weights to those that need them
-	Retain      Mechanism = "retain"       // runs go on while their engine loads weights
-	SparedLoads Mechanism = "spared-loads" // engines that are fresh enough for the next step don't load
-	Demand      Mechanism = "demand"       // engines are divided among models by their batches
-	Checkpoints Mechanism = "checkpoints"  // unfinished text is written down while it grows
+	Hedge       Mechanism = "hedge"        // a slow call that may run twice is sent a second time
+	Load        Mechanism = "load"         // calls go to the upstream with the fewest calls; off: to each in turn
+	Warm        Mechanism = "warm"         // calls go to upstreams to which a connection is open
+	Suspicion   Mechanism = "suspicion"    // an upstream that failed is avoided for a short time
+	Moves       Mechanism = "moves"        // samples move off engines that are much slower than the others
+	Hardware    Mechanism = "hardware"     // long samples go to the engines that generate tokens fastest
+	LatestStart Mechanism = "latest-start" // samples start in the order of their latest start; off: in the order of arrival
+	Fitting     Mechanism = "fitting"      // samples that don't need fresh weights leave engines that have them to those that do
+	Retain      Mechanism = "retain"       // runs continue while their engine loads weights
+	SparedLoads Mechanism = "spared-loads" // engines whose weights are fresh enough for the next step don't load
+	Demand      Mechanism = "demand"       // engines are divided among models by the demand of their batches
+	Checkpoints Mechanism = "checkpoints"  // unfinished text is stored while it is generated
 	Closing     Mechanism = "closing"      // a read waits for the last scores of its step
 	Spot        Mechanism = "spot"         // spot servers are ordered for a step's samples
-	Trials      Mechanism = "trials"       // a sample under which engines crash runs alone
+	Trials      Mechanism = "trials"       // a sample runs alone once several engines crashed while running it
 )
 
 // All returns every mechanism.
@@ -36,34 +36,35 @@
 	return []Mechanism{Hedge, Load, Warm, Suspicion, Moves, Hardware, LatestStart, Fitting, Retain, SparedLoads, Demand, Checkpoints, Closing, Spot, Trials}
 }
 
-// Set is the mechanisms that are switched off. The zero Set is what daemons run.
-type Set struct{ off map[Mechanism]bool }
+// Set says which mechanisms are switched off. Daemons run with the zero Set, in which none
+// is.
+type Set struct{ disabled map[Mechanism]bool }
 
-// Without returns a Set with some mechanisms off.
-func Without(list ...Mechanism) Set {
-	s := Set{off: map[Mechanism]bool{}}
-	for _, m := range list {
-		s.off[m] = true
+// Without returns a Set with the given mechanisms switched off.
+func Without(mechanisms ...Mechanism) Set {
+	s := Set{disabled: map[Mechanism]bool{}}
+	for _, m := range mechanisms {
+		s.disabled[m] = true
 	}
 	return s
 }
 
-// On reports whether a mechanism works.
-func (s Set) On(m Mechanism) bool { return !s.off[m] }
+// On reports whether a mechanism is switched on.
+func (s Set) On(m Mechanism) bool { return !s.disabled[m] }
 
-// Parse reads a list of mechanisms to switch off, separated by commas. The error names
-// the first one that doesn't exist.
+// Parse reads a comma-separated list of the mechanisms to switch off. The error names the
+// first one that doesn't exist.
 func Parse(list string) (Set, error) {
-	var off []Mechanism
+	var disabled []Mechanism
 	for name := range strings.SplitSeq(list, ",") {
 		m := Mechanism(strings.TrimSpace(name))
 		if m == "" {
 			continue
 		}
 		if !slices.Contains(All(), m) {
-			return Set{}, fmt.Errorf("no mechanism %q; there are %v", m, All())
+			return Set{}, fmt.Errorf("no mechanism %q; the mechanisms are %v", m, All())
 		}
-		off = append(off, m)
+		disabled = append(disabled, m)
 	}
-	return Without(off...), nil
+	return Without(disabled...), nil
 }
