--- a/internal/crashes/samples_test.go
+++ b/internal/crashes/samples_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// referenceSample keeps the whole history of one sample and computes its standing from all
-// of it each time.
+// referenceSample keeps the whole history of one sample and computes from all of it each
+// time how the sample may run.
 type referenceSample struct{ history []sampleEvent }
 
 type sampleEvent struct {
@@ -19,7 +19,7 @@
 	at           time.Duration
 }
 
-func (r *referenceSample) standing() (Standing, time.Duration) {
+func (r *referenceSample) runMode() (Standing, time.Duration) {
 	var total, consecutive, furthest int
 	var lastCrash time.Duration
 	crashedAlone := false
@@ -46,9 +46,9 @@
 	return Crasher, lastCrash + CrasherPause
 }
 
-func standingOf(s *Samples[string]) Standing {
-	standing, _ := s.Standing("x")
-	return standing
+func runModeOf(s *Samples[string]) Standing {
+	mode, _ := s.Standing("x")
+	return mode
 }
 
 // A sample crashes each engine at the same event of its text.
@@ -56,14 +56,14 @@
 	g := NewWithT(t)
 	s := NewSamples[string]()
 	s.Crashed("x", "a", 7, false, time.Second)
-	g.Expect(standingOf(s)).To(Equal(Ordinary))
+	g.Expect(runModeOf(s)).To(Equal(Ordinary))
 	s.Crashed("x", "b", 7, false, 2*time.Second)
-	g.Expect(standingOf(s)).To(Equal(Trial))
+	g.Expect(runModeOf(s)).To(Equal(Trial))
 	s.Crashed("x", "b", 7, true, 3*time.Second)
-	g.Expect(standingOf(s)).To(Equal(Trial), "the crash of this engine is known already")
+	g.Expect(runModeOf(s)).To(Equal(Trial), "the crash of this engine is known already")
 	s.Crashed("x", "c", 7, true, 3*time.Second)
-	standing, notBefore := s.Standing("x")
-	g.Expect(standing).To(Equal(Crasher))
+	mode, notBefore := s.Standing("x")
+	g.Expect(mode).To(Equal(Crasher))
 	g.Expect(notBefore).To(Equal(3*time.Second + CrasherPause))
 }
 
@@ -76,22 +76,22 @@
 	s.Crashed("x", "a", 7, false, time.Second)
 	g.Expect(s.Progressed("x", 7+progressMargin)).To(BeFalse(), "it had no trial")
 	s.Crashed("x", "b", 9, false, 2*time.Second)
-	g.Expect(standingOf(s)).To(Equal(Ordinary))
+	g.Expect(runModeOf(s)).To(Equal(Ordinary))
 	s.Crashed("x", "c", 9, false, 3*time.Second)
-	g.Expect(standingOf(s)).To(Equal(Trial))
+	g.Expect(runModeOf(s)).To(Equal(Trial))
 	g.Expect(s.Progressed("x", 9+progressMargin-1)).To(BeFalse())
 	g.Expect(s.Progressed("x", 9+progressMargin)).To(BeTrue())
-	g.Expect(standingOf(s)).To(Equal(Ordinary))
+	g.Expect(runModeOf(s)).To(Equal(Ordinary))
 }
 
 func TestSampleThatGetsFurtherEachTimeRunsAloneAfterFourCrashes(t *testing.T) {
 	g := NewWithT(t)
 	s := NewSamples[string]()
 	for n := range trialAfterTotal {
-		g.Expect(standingOf(s)).To(Equal(Ordinary))
+		g.Expect(runModeOf(s)).To(Equal(Ordinary))
 		s.Crashed("x", fmt.Sprint(n), 10*n, false, time.Second)
 	}
-	g.Expect(standingOf(s)).To(Equal(Trial))
+	g.Expect(runModeOf(s)).To(Equal(Trial))
 	g.Expect(s.Progressed("x", 100)).To(BeFalse())
 	n, last := s.Crashes("x")
 	g.Expect(n).To(Equal(trialAfterTotal))
@@ -123,9 +123,9 @@
 			} else {
 				s.Progressed("x", e.events)
 			}
-			standing, notBefore := s.Standing("x")
-			wantStanding, wantNotBefore := reference.standing()
-			g.Expect(standing).To(Equal(wantStanding), "seed %d", seed)
+			mode, notBefore := s.Standing("x")
+			wantMode, wantNotBefore := reference.runMode()
+			g.Expect(mode).To(Equal(wantMode), "seed %d", seed)
 			g.Expect(notBefore).To(Equal(wantNotBefore), "seed %d", seed)
 		}
 	}
--- a/internal/poison/mark.go
+++ b/internal/poison/mark.go
@@ -56,16 +56,16 @@
 }
 
 // sameProcess reports whether both are the end of the same process.
-func (d Death) sameProcess(o Death) bool { return compareDeaths(d, o) == 0 }
+func (d Death) sameProcess(other Death) bool { return compareDeaths(d, other) == 0 }
 
 // mergeProgress adopts the position of o if it is further, and reports whether it is. Of
 // the copies that ran on one process, through this and other daemons, the furthest one
 // counts: it is the one that may have crashed the process. A copy that was less far gets
 // past its own position in a trial without proving anything.
-func (d *Death) mergeProgress(o Death) bool {
-	advanced := o.Tokens > d.Tokens
-	d.Seen = d.Seen || o.Seen
-	d.Tokens = max(d.Tokens, o.Tokens)
+func (d *Death) mergeProgress(other Death) bool {
+	advanced := other.Tokens > d.Tokens
+	d.Seen = d.Seen || other.Seen
+	d.Tokens = max(d.Tokens, other.Tokens)
 	return advanced
 }
 
@@ -74,12 +74,11 @@
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Deaths      []Death     `json:"deaths"` // sorted by upstream, then boot ID
 	Expires     time.Time   `json:"expires"`
-	// Trying is the daemon that has claimed the suspect's trial, "" if none has, and
-	// TryingOn the upstream that it keeps free for the trial. The claim expires at
-	// TryingUntil unless it is renewed, so that the claim of a dead daemon ends.
+	// Trying is the daemon that has claimed the suspect's trial, "" if none has. Its claim
+	// expires unless it is renewed, so that the claim of a dead daemon ends.
 	Trying      ident.VM       `json:"trying,omitempty"`
-	TryingOn    ident.Upstream `json:"trying_on,omitempty"`
-	TryingUntil time.Time      `json:"trying_until,omitzero"`
+	TryingOn    ident.Upstream `json:"trying_on,omitempty"`   // kept free for the trial
+	TryingUntil time.Time      `json:"trying_until,omitzero"` // when the claim expires
 	// trialStarted: the trial is this daemon's own and runs. Before, the daemon waits for
 	// the upstream to become idle.
 	trialStarted bool
--- a/internal/poison/places.go
+++ b/internal/poison/places.go
@@ -55,7 +55,7 @@
 	senders  []Sender // at most maxSenders
 }
 
-// NewPlaces returns an empty Places.
+// NewPlaces returns an empty set of placements.
 func NewPlaces() *Places {
 	return &Places{current: map[Fingerprint]*placement{}, previous: map[Fingerprint]*placement{}}
 }
--- a/internal/poison/poison.go
+++ b/internal/poison/poison.go
@@ -128,8 +128,8 @@
 	return true
 }
 
-// Tried ends the trial that this daemon has claimed. A success clears the request: the
-// deaths were caused by a request that ran beside it.
+// Tried ends the trial that this daemon has claimed. A success clears the request: its
+// deaths must have been caused by another request that ran beside it.
 func (k *Keeper) Tried(fp Fingerprint, succeeded bool, now time.Time) {
 	m := k.unexpiredMark(fp, now)
 	if m == nil {
@@ -177,11 +177,11 @@
 	if m == nil || m.Crashes() == 0 {
 		return false
 	}
-	for _, o := range m.Deaths {
-		if o.Forgiven {
+	for _, known := range m.Deaths {
+		if known.Forgiven {
 			continue
 		}
-		if !o.Seen || o.sameProcess(d) || max(o.Tokens-d.Tokens, d.Tokens-o.Tokens) < progressMargin {
+		if !known.Seen || known.sameProcess(d) || max(known.Tokens-d.Tokens, d.Tokens-known.Tokens) < progressMargin {
 			return false
 		}
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -94,7 +94,7 @@
 	// times the maximum number of runs.
 	MaxNotRun      int
 	InitialBackoff time.Duration // delay before the third send, doubles with each further one; default 20 ms
-	MaxBackoff     time.Duration // bound of the delay; default 500 ms
+	MaxBackoff     time.Duration // upper bound of the delay; default 500 ms
 }
 
 func (o Options) withDefaults() Options {
@@ -116,7 +116,7 @@
 // Decision is what follows a failed attempt.
 type Decision struct {
 	Action Action
-	Cause  Cause         // of Fail
+	Cause  Cause         // why Action is Fail, else None
 	After  time.Duration // delay before the next attempt
 }
 
@@ -140,8 +140,8 @@
 // failCause returns the cause by which the first matching rule forbids a repetition, None if
 // no rule does.
 func failCause(a Attempt, o Options, now time.Time) Cause {
-	rule := Rule{Repeatable: a.Idempotent, MaxRuns: o.MaxAttempts, MaxSends: o.MaxNotRun}
-	cause := rule.Forbids(a.Sends)
+	limits := Rule{Repeatable: a.Idempotent, MaxRuns: o.MaxAttempts, MaxSends: o.MaxNotRun}
+	cause := limits.Forbids(a.Sends)
 	switch {
 	case a.Outcome == outcome.Ran && !(a.Transient && a.Idempotent):
 		return Answered
