--- a/internal/batchrun/answer.go
+++ b/internal/batchrun/answer.go
@@ -127,18 +127,18 @@
 // daemon's last look, or the log may have lost that record. The caller calls release when
 // it has its answer.
 func (s *Service) locate(ctx context.Context, id string) (at answerer, release func(), err error) {
-	if p := s.find(id); p != nil {
+	if p := s.partitionForBatch(id); p != nil {
 		return s.Here(), p.follower.Hold(), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateWait)
 	defer cancel()
-	homes := s.homes.parts()
+	homes := s.modelPartitions.partitions()
 	at, release, err = s.search(ctx, id, homes)
 	if !errors.Is(err, ErrNotFound) {
 		return at, release, err
 	}
 	var others []int
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		if !slices.Contains(homes, p.number) {
 			others = append(others, p.number)
 		}
@@ -148,7 +148,7 @@
 
 // search looks for a batch in some partitions.
 func (s *Service) search(ctx context.Context, id string, parts []int) (at answerer, release func(), err error) {
-	search := locate.New(parts, s.directory.known(s.options.Now()), s.options.Now())
+	search := locate.New(parts, s.directory.cached(s.options.Now()), s.options.Now())
 	release = func() {}
 	for ctx.Err() == nil {
 		switch a := search.Next(s.options.Now()).(type) {
@@ -180,11 +180,11 @@
 func (s *Service) readOwners(ctx context.Context, search *locate.Search) {
 	ctx, cancel := context.WithTimeout(ctx, askWait)
 	defer cancel()
-	owners, err := s.directory.read(ctx, s.options.Now())
+	owners, err := s.directory.refresh(ctx, s.options.Now())
 	if err != nil {
 		// In an outage of the store nobody gets another's partition: whoever owned one
 		// still answers for what it has.
-		owners = s.directory.last()
+		owners = s.directory.lastKnown()
 		s.options.Logger.Warn().Err(err).Int("known", len(owners)).Msg("owners of the partitions not read, those known before are asked")
 	}
 	search.Owners(owners)
@@ -237,11 +237,11 @@
 	var held []func()
 	var list []*partition
 	for _, n := range parts {
-		list = append(list, s.parts[n])
-		held = append(held, s.parts[n].follower.Hold())
+		list = append(list, s.partitions[n])
+		held = append(held, s.partitions[n].follower.Hold())
 	}
 	confirmed := s.Here().confirm(ctx, list)
-	search.Followed(s.find(id) != nil, confirmed)
+	search.Followed(s.partitionForBatch(id) != nil, confirmed)
 	return func() {
 		for _, release := range held {
 			release()
--- a/internal/batchrun/answer_test.go
+++ b/internal/batchrun/answer_test.go
@@ -19,7 +19,7 @@
 
 // worldPeers carries calls between the daemons of a world. An address is a VM's name.
 type worldPeers struct {
-	w *world
+	w *testCluster
 
 	mu     sync.Mutex
 	silent map[string]bool // calls to them hang
@@ -46,7 +46,7 @@
 	}
 	pause.For(ctx, peerAnswer)
 	for _, v := range p.w.vms {
-		if s := v.current(); v.name == address && s != nil {
+		if s := v.daemon(); v.name == address && s != nil {
 			return s.Here(), nil
 		}
 	}
@@ -86,23 +86,23 @@
 }
 
 // newPeerWorld is a world whose daemons reach each other.
-func newPeerWorld(t *testing.T, vms int) (*world, *worldPeers) {
+func newPeerWorld(t *testing.T, vms int) (*testCluster, *worldPeers) {
 	peers := &worldPeers{silent: map[string]bool{}}
-	w := newWorldOf(t, worldOptions{seed: 1, parts: 4, vms: vms, engines: 2, models: []string{"m0"}, peers: peers})
+	w := newTestClusterWithOptions(t, clusterOptions{seed: 1, parts: 4, vms: vms, engines: 2, models: []string{"m0"}, peers: peers})
 	return w, peers
 }
 
 // submitSteady lets the daemons join and hands a batch "b" of model m0 in at the first VM.
-func submitSteady(g *WithT, w *world, name string, groups int) []batch.Item {
+func submitSteady(g *WithT, w *testCluster, name string, groups int) []batch.Item {
 	time.Sleep(2 * time.Second)
-	items := w.accept(g, "m0", name, groups, 2, 1)
+	items := w.submitBatch(g, "m0", name, groups, 2, 1)
 	return items
 }
 
 // ownerAndOther returns the VM that runs the model's batches, and another one.
-func ownerAndOther(w *world, model string) (owner, other *vm) {
+func ownerAndOther(w *testCluster, model string) (owner, other *testVM) {
 	for _, v := range w.vms {
-		if v.current() != nil && v.ownsHomeOf(model) {
+		if v.daemon() != nil && v.ownsHomeOf(model) {
 			owner = v
 		} else {
 			other = v
@@ -123,7 +123,7 @@
 		items := submitSteady(g, w, "passed", 2)
 		time.Sleep(time.Second)
 		_, other := ownerAndOther(w, "m0")
-		s := other.current()
+		s := other.daemon()
 		body, err := s.Body(ctx, "b", items[3].ID)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(string(body)).To(Equal("body of " + items[3].ID))
@@ -142,7 +142,7 @@
 		}
 		g.Expect(s.End(ctx, "b")).To(Succeed())
 		g.Expect(s.End(ctx, "none")).To(MatchError(ErrNotFound))
-		g.Expect(s.partitionOf("m0").follower.Loaded()).To(BeFalse(), "it has not read the partition")
+		g.Expect(s.partitionForModel("m0").follower.Loaded()).To(BeFalse(), "it has not read the partition")
 	})
 }
 
@@ -154,11 +154,11 @@
 		w, _ := newPeerWorld(t, 2)
 		defer w.stop()
 		submitSteady(g, w, "resent", 2)
-		head, items, requests := sampleBatch("m0", "resent", 2, 2, 1)
+		head, items, requests := newBatch("m0", "resent", 2, 2, 1)
 		time.Sleep(100 * time.Millisecond)
 		_, other := ownerAndOther(w, "m0")
 		writes := other.client.Calls().Writes
-		g.Expect(other.current().Submit(context.Background(), "b", head, items, requests)).To(Succeed())
+		g.Expect(other.daemon().Submit(context.Background(), "b", head, items, requests)).To(Succeed())
 		g.Expect(other.client.Calls().Writes).To(Equal(writes))
 	})
 }
@@ -179,13 +179,13 @@
 			peers.setSilent(owner.name, silentAfter == 0)
 			time.AfterFunc(silentAfter, func() { peers.setSilent(owner.name, true) })
 			began := time.Now()
-			page, err := other.current().Results(ctx, "b", 0, time.Second)
+			page, err := other.daemon().Results(ctx, "b", 0, time.Second)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(time.Since(began)).To(BeNumerically("<", 2500*time.Millisecond))
 			g.Expect(page.Total).To(Equal(len(items)))
 			peers.setSilent(owner.name, false)
-			time.Sleep(2*linger + 5*time.Second)
-			g.Expect(other.current().partitionOf("m0").follower.Loaded()).To(BeFalse(), "silent after %v: it does not follow the partition for good", silentAfter)
+			time.Sleep(2*followLinger + 5*time.Second)
+			g.Expect(other.daemon().partitionForModel("m0").follower.Loaded()).To(BeFalse(), "silent after %v: it does not follow the partition for good", silentAfter)
 		}
 	})
 }
@@ -202,9 +202,9 @@
 		owner, other := ownerAndOther(w, "m0")
 		w.kill(owner)
 		other.client.SetFaults(metastore.Faults{Cut: true})
-		_, err := other.current().Results(ctx, "b", 0, 0)
+		_, err := other.daemon().Results(ctx, "b", 0, 0)
 		g.Expect(err).To(MatchError(ErrUnsure))
-		g.Expect(other.current().End(ctx, "b")).To(MatchError(ErrUnsure))
+		g.Expect(other.daemon().End(ctx, "b")).To(MatchError(ErrUnsure))
 	})
 }
 
@@ -214,19 +214,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		peers := &worldPeers{silent: map[string]bool{}}
-		w := newWorldOf(t, worldOptions{seed: 2, parts: scaleParts, vms: 30, engines: 6, models: []string{"m0", "m1", "m2"}, peers: peers})
+		w := newTestClusterWithOptions(t, clusterOptions{seed: 2, parts: scaleParts, vms: 30, engines: 6, models: []string{"m0", "m1", "m2"}, peers: peers})
 		defer w.stop()
 		time.Sleep(3 * time.Second)
 		ctx := context.Background()
 		for i, model := range w.models {
-			head, items, requests := sampleBatch(model, "kept", 2, 2, 1)
-			g.Expect(w.vms[i].current().Submit(ctx, "b"+model, head, items, requests)).To(Succeed())
+			head, items, requests := newBatch(model, "kept", 2, 2, 1)
+			g.Expect(w.vms[i].daemon().Submit(ctx, "b"+model, head, items, requests)).To(Succeed())
 		}
 		w.killAll(w.vms, 0)
 		time.Sleep(4 * time.Second)
 		for i, v := range w.vms {
 			id := "b" + w.models[i%len(w.models)]
-			page, err := v.current().Results(ctx, id, 0, 20*time.Second)
+			page, err := v.daemon().Results(ctx, id, 0, 20*time.Second)
 			g.Expect(err).NotTo(HaveOccurred(), "%s at %s", id, v.name)
 			g.Expect(page.Total).To(Equal(4))
 			g.Expect(page.Results).NotTo(BeEmpty())
@@ -246,16 +246,16 @@
 		items := submitSteady(g, w, "ready", 2)
 		_, other := ownerAndOther(w, "m0")
 		for listed := 0; listed < len(items); {
-			page, err := other.current().Results(ctx, "b", listed, time.Second)
+			page, err := other.daemon().Results(ctx, "b", listed, time.Second)
 			g.Expect(err).NotTo(HaveOccurred())
 			listed += len(page.Results)
 		}
 		for _, v := range w.vms {
 			v.client.SetFaults(metastore.Faults{Cut: true})
 		}
-		time.Sleep(2 * ownersLife)
+		time.Sleep(2 * ownersMaxAge)
 		began := time.Now()
-		page, err := other.current().Results(ctx, "b", 0, time.Second)
+		page, err := other.daemon().Results(ctx, "b", 0, time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(len(items)))
 		g.Expect(time.Since(began)).To(BeNumerically("<", time.Second))
@@ -277,12 +277,12 @@
 		w.killAll(w.vms, 0) // nobody has a text at hand any more
 		time.Sleep(4 * time.Second)
 		owner, other := ownerAndOther(w, "m0")
-		page, err := other.current().Results(ctx, "b", 0, 0)
+		page, err := other.daemon().Results(ctx, "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(len(items)))
-		_, err = other.current().Body(ctx, "b", items[0].ID)
+		_, err = other.daemon().Body(ctx, "b", items[0].ID)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(owner.current().blobs.byKey).To(BeEmpty())
+		g.Expect(owner.daemon().blobs.byKey).To(BeEmpty())
 	})
 }
 
@@ -299,12 +299,12 @@
 		owner, other := ownerAndOther(w, "m0")
 		peers.setSilent(owner.name, true)
 		other.client.SetFaults(metastore.Faults{Cut: true})
-		_, err := other.current().Results(ctx, "b", 0, 0)
+		_, err := other.daemon().Results(ctx, "b", 0, 0)
 		g.Expect(err).To(MatchError(ErrUnsure))
 		time.Sleep(2 * follow.LookInterval)
-		other.client.SetFaults(metastore.Faults{Latency: storeAnswer})
+		other.client.SetFaults(metastore.Faults{Latency: storeLatency})
 		time.Sleep(follow.LookInterval)
-		g.Expect(other.current().partitionOf("m0").follower.Following()).To(BeFalse())
+		g.Expect(other.daemon().partitionForModel("m0").follower.Following()).To(BeFalse())
 	})
 }
 
@@ -319,16 +319,16 @@
 		ctx := context.Background()
 		items := submitSteady(g, w, "homeless", 1)
 		time.Sleep(time.Second)
-		g.Expect(w.store.Put(homesTopic, "m0", nil)).To(Succeed())
+		g.Expect(w.store.Put(modelPartitionsTopic, "m0", nil)).To(Succeed())
 		_, other := ownerAndOther(w, "m0")
 		w.kill(other)
 		w.restart(other)
 		time.Sleep(300 * time.Millisecond)
-		g.Expect(other.current().homes.parts()).To(BeEmpty())
-		page, err := other.current().Results(ctx, "b", 0, 0)
+		g.Expect(other.daemon().modelPartitions.partitions()).To(BeEmpty())
+		page, err := other.daemon().Results(ctx, "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Total).To(Equal(len(items)))
-		_, err = other.current().Results(ctx, "none", 0, 0)
+		_, err = other.daemon().Results(ctx, "none", 0, 0)
 		g.Expect(err).To(MatchError(ErrNotFound))
 	})
 }
--- a/internal/batchrun/calls_test.go
+++ b/internal/batchrun/calls_test.go
@@ -18,7 +18,7 @@
 type callRates struct{ reads, writes, joins float64 }
 
 // rates counts all daemons' calls over a time.
-func (w *world) rates(over time.Duration, during func()) callRates {
+func (w *testCluster) rates(over time.Duration, during func()) callRates {
 	sum := func() (all metastore.Calls) {
 		for _, v := range w.vms {
 			c := v.client.Calls()
@@ -42,17 +42,17 @@
 }
 
 // steps plays one trainer's steps of a model, one after the other.
-func (w *world) steps(model string, n int) {
+func (w *testCluster) steps(model string, n int) {
 	for step := range n {
 		version := int64(step + 1)
 		w.publish(model, version)
-		head, items, requests := sampleBatch(model, fmt.Sprint("step", step), 4, 4, max(1, version-1))
+		head, items, requests := newBatch(model, fmt.Sprint("step", step), 4, 4, max(1, version-1))
 		id := fmt.Sprint(model, step)
-		if err := w.vms[step%len(w.vms)].current().Submit(context.Background(), id, head, items, requests); err != nil {
+		if err := w.vms[step%len(w.vms)].daemon().Submit(context.Background(), id, head, items, requests); err != nil {
 			w.t.Errorf("%s: %v", id, err)
 		}
 		time.Sleep(4 * time.Second)
-		if err := w.vms[0].current().End(context.Background(), id); err != nil {
+		if err := w.vms[0].daemon().End(context.Background(), id); err != nil {
 			w.t.Errorf("%s: %v", id, err)
 		}
 	}
@@ -69,7 +69,7 @@
 			for i := range names {
 				names[i] = fmt.Sprint("m", i)
 			}
-			w := newWorldWith(t, Ours(policy.Set{}), 1, parts, vms, 3*models, names...)
+			w := newTestClusterWithPolicy(t, Ours(policy.Set{}), 1, parts, vms, 3*models, names...)
 			defer w.stop()
 			time.Sleep(10 * time.Second)
 			rest = w.rates(over, func() {})
--- a/internal/batchrun/claimer.go
+++ b/internal/batchrun/claimer.go
@@ -10,102 +10,105 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// claimer appends claims on engines and on duties. Claims that are wanted while an append is
-// under way go with the next one: a hundred claims of one VM at once, as for new weights on
-// a large service, take two calls. It is safe for concurrent use.
+// claimer appends claims on engines and on duties, the fleet-wide tasks that one VM does at
+// a time. Claims that are requested during an append are batched into the next one: a
+// hundred claims of one VM at once, as for new weights on a large service, take two calls.
+// It is safe for concurrent use.
 type claimer struct {
-	orders *orders
+	loader *loader
 
-	mu      sync.Mutex
-	waiting []*claim
-	busy    bool // an append is under way
+	mu        sync.Mutex
+	pending   []*pendingClaim // for the next append
+	appending bool            // appendLoop is running
 }
 
-// claim is what is to be claimed, and the outcome.
-type claim struct {
-	subject string
-	token   uint64
-	done    chan struct{}
+// pendingClaim is a requested claim and its outcome.
+type pendingClaim struct {
+	subject string        // engine address or name of a duty
+	nonce   uint64        // identifies this claim in the log
+	done    chan struct{} // closed when permit or err is set
 	permit  loads.Permit
 	err     error
 }
 
-func newClaimer(x *orders) *claimer { return &claimer{orders: x} }
+func newClaimer(x *loader) *claimer { return &claimer{loader: x} }
 
-// claim claims a subject. It doesn't end before the append: a claim that is in the log
-// bars the subject for other VMs, whoever waits for it here.
+// claim claims a subject. It doesn't return before the append even if the context ends: a
+// claim that is in the log blocks the subject for other VMs, whether or not a caller still
+// waits for it.
 func (c *claimer) claim(ctx context.Context, subject string) (loads.Permit, error) {
-	wanted := &claim{subject: subject, token: rand.Uint64(), done: make(chan struct{})}
+	wanted := &pendingClaim{subject: subject, nonce: rand.Uint64(), done: make(chan struct{})}
 	c.mu.Lock()
-	c.waiting = append(c.waiting, wanted)
-	first := !c.busy
-	c.busy = true
+	c.pending = append(c.pending, wanted)
+	first := !c.appending
+	c.appending = true
 	c.mu.Unlock()
 	if first {
-		go c.run(context.WithoutCancel(ctx)) // others' claims go with it
+		go c.appendLoop(context.WithoutCancel(ctx)) // it serves other callers too
 	}
 	<-wanted.done
 	return wanted.permit, wanted.err
 }
 
-// run appends until nobody waits.
-func (c *claimer) run(ctx context.Context) {
+// appendLoop appends pending claims until none are left.
+func (c *claimer) appendLoop(ctx context.Context) {
 	for {
 		c.mu.Lock()
-		claims := c.waiting
-		c.waiting = nil
-		c.busy = len(claims) > 0
+		claims := c.pending
+		c.pending = nil
+		c.appending = len(claims) > 0
 		c.mu.Unlock()
 		if len(claims) == 0 {
 			return
 		}
-		c.append(ctx, claims)
+		c.appendBatch(ctx, claims)
 		for _, x := range claims {
 			close(x.done)
 		}
 	}
 }
 
-// append claims subjects together, those that no other VM holds, and reads back which of
-// the claims are valid.
-func (c *claimer) append(ctx context.Context, claims []*claim) {
-	began, seen := c.orders.options.Now(), c.orders.follower.Next()
-	claims = c.allowed(claims) // by what was read up to seen, or more
+// appendBatch appends the claims on subjects that no other VM holds in one call, and then
+// reads the log to find out which of them are valid.
+func (c *claimer) appendBatch(ctx context.Context, claims []*pendingClaim) {
+	began, seen := c.loader.options.Now(), c.loader.follower.Next()
+	claims = c.dropBlocked(claims) // judged by the log up to seen at least
 	if len(claims) == 0 {
 		return
 	}
-	err := c.write(ctx, seen, claims)
+	err := c.appendRecords(ctx, seen, claims)
 	if err != nil && !errors.Is(err, store.ErrUnknown) {
-		fail(claims, err)
+		failAll(claims, err)
 		return
 	}
-	if err := c.orders.follower.CatchUp(ctx); err != nil {
-		fail(claims, err)
+	if err := c.loader.follower.CatchUp(ctx); err != nil {
+		failAll(claims, err)
 		return
 	}
-	c.orders.mu.Lock()
-	defer c.orders.mu.Unlock()
+	c.loader.mu.Lock()
+	defer c.loader.mu.Unlock()
 	for _, x := range claims {
-		if offset, ok := c.orders.claims.Holds(x.subject, x.token); ok {
-			x.permit = loads.Permit{Fence: fenceOf(offset), Until: began + loads.ClaimLife}
+		if offset, ok := c.loader.claims.Holds(x.subject, x.nonce); ok {
+			x.permit = loads.Permit{Fence: fencingToken(offset), Until: began + loads.ClaimLife}
 			continue
 		}
-		x.err = errors.Join(errBarred, err)
+		x.err = errors.Join(errClaimedElsewhere, err)
 	}
 }
 
-func fail(claims []*claim, err error) {
+// failAll sets the error of all claims.
+func failAll(claims []*pendingClaim, err error) {
 	for _, x := range claims {
 		x.err = err
 	}
 }
 
-// allowed drops the claims on subjects that another VM holds.
-func (c *claimer) allowed(claims []*claim) []*claim {
-	var out []*claim
+// dropBlocked fails the claims on subjects that another VM holds, and returns the others.
+func (c *claimer) dropBlocked(claims []*pendingClaim) []*pendingClaim {
+	var out []*pendingClaim
 	for _, x := range claims {
-		if c.orders.barred(x.subject) > 0 {
-			x.err = errBarred
+		if c.loader.claimBlockedFor(x.subject) > 0 {
+			x.err = errClaimedElsewhere
 			continue
 		}
 		out = append(out, x)
@@ -113,10 +116,12 @@
 	return out
 }
 
-func (c *claimer) write(ctx context.Context, seen int64, claims []*claim) error {
+// appendRecords appends one record for each claim. seen is the offset up to which the log
+// had been read.
+func (c *claimer) appendRecords(ctx context.Context, seen int64, claims []*pendingClaim) error {
 	var records [][]byte
 	for _, x := range claims {
-		data, err := loads.Encode(loads.Record{Claim: &loads.Claim{Subject: x.subject, Holder: c.orders.options.VM, Seen: seen, Token: x.token}})
+		data, err := loads.Encode(loads.Record{Claim: &loads.Claim{Subject: x.subject, Holder: c.loader.options.VM, Seen: seen, Token: x.nonce}})
 		if err != nil {
 			return err
 		}
@@ -124,10 +129,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, store.FirstAnswer)
 	defer cancel()
-	_, err := c.orders.options.Log.Append(ctx, claimsTopic, 0, records)
+	_, err := c.loader.options.Log.Append(ctx, claimsTopic, 0, records)
 	return err
 }
 
-// fenceOf is the fencing number of the claim at an offset. Offsets begin with 0, which
-// engines take for a missing number.
-func fenceOf(offset int64) int64 { return offset + 1 }
+// fencingToken returns the fencing token of the claim at an offset. Offsets begin with 0,
+// which engines take for a missing token.
+func fencingToken(offset int64) int64 { return offset + 1 }
--- a/internal/batchrun/crash_test.go
+++ b/internal/batchrun/crash_test.go
@@ -19,13 +19,13 @@
 func playCrasher(t *testing.T, seed uint64, set policy.Set) (listed, wanted int, ends []engineCrash) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorldWith(t, Ours(set), seed, 4, 2, 3, "m0")
+		w := newTestClusterWithPolicy(t, Ours(set), seed, 4, 2, 3, "m0")
 		defer w.stop()
-		w.engines.pace = 100 * time.Millisecond
+		w.engines.eventInterval = 100 * time.Millisecond
 		time.Sleep(2 * time.Second)
-		items := w.accept(g, "m0", "crash", 5, 4, 1)
+		items := w.submitBatch(g, "m0", "crash", 5, 4, 1)
 		w.engines.mu.Lock()
-		w.engines.kills[items[7].ID] = 2
+		w.engines.crashAt[items[7].ID] = 2
 		w.engines.mu.Unlock()
 		time.Sleep(7500 * time.Millisecond)
 		listed, wanted = len(results(g, w.vms[1])), len(items)-1
@@ -55,7 +55,7 @@
 			if i+1 < 2 {
 				continue
 			}
-			g.Expect(end.beside).To(Equal(0), "seed %d: %v", seed, ends)
+			g.Expect(end.otherSamples).To(Equal(0), "seed %d: %v", seed, ends)
 			if i+1 > 2 {
 				g.Expect(apart).To(BeNumerically(">=", crashes.CrasherPause), "seed %d: %v", seed, ends)
 			}
@@ -69,7 +69,7 @@
 	g := NewWithT(t)
 	g.Expect(listed).To(BeNumerically("<", wanted))
 	g.Expect(len(ends)).To(BeNumerically(">", 10))
-	g.Expect(ends[3].beside).To(BeNumerically(">", 0))
+	g.Expect(ends[3].otherSamples).To(BeNumerically(">", 0))
 }
 
 // Steps follow each other, the next one before the one with such a sample has ended, as
@@ -79,24 +79,24 @@
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			w := newWorld(t, seed, 2, 3, "m0")
+			w := newTestCluster(t, seed, 2, 3, "m0")
 			defer w.stop()
-			w.engines.pace = 100 * time.Millisecond
+			w.engines.eventInterval = 100 * time.Millisecond
 			time.Sleep(2 * time.Second)
 			wanted := -1 // all but the one
 			var listed atomic.Int64
 			for step := range steps {
 				id := fmt.Sprint("step", step)
-				head, items, requests := sampleBatch("m0", id, 5, 4, 1)
-				g.Expect(w.vms[0].current().Submit(context.Background(), id, head, items, requests)).To(Succeed())
+				head, items, requests := newBatch("m0", id, 5, 4, 1)
+				g.Expect(w.vms[0].daemon().Submit(context.Background(), id, head, items, requests)).To(Succeed())
 				wanted += len(items)
 				if step == 0 {
 					w.engines.mu.Lock()
-					w.engines.kills[items[7].ID] = 2
+					w.engines.crashAt[items[7].ID] = 2
 					w.engines.mu.Unlock()
 				}
 				time.AfterFunc(time.Duration(head.TargetMS)*time.Millisecond, func() {
-					if page, err := w.vms[1].current().Results(context.Background(), id, 0, 0); err == nil {
+					if page, err := w.vms[1].daemon().Results(context.Background(), id, 0, 0); err == nil {
 						listed.Add(int64(len(page.Results)))
 					}
 				})
--- a/internal/batchrun/directory.go
+++ b/internal/batchrun/directory.go
@@ -11,56 +11,57 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// ownersLife is how long the list of owners is used without being read again. A
-// partition moves rarely; an owner that lost it says so, and the list is read anew.
-const ownersLife = 2 * time.Second
+// ownersMaxAge is how long the cached list of owners is used. Partitions move rarely, and a
+// daemon that is asked for a partition it no longer owns says so, after which the list is
+// read again.
+const ownersMaxAge = 2 * time.Second
 
-// directory knows where the owners of the partitions are reached. It reads the group's
-// list only when a call has to be passed on. It is safe for concurrent use.
+// directory caches the addresses of the partitions' owners. It reads the group's list only
+// when a call has to be forwarded. It is safe for concurrent use.
 type directory struct {
 	membership store.Membership
-	reads      singleflight.Group
+	refreshes  singleflight.Group
 
 	mu        sync.Mutex
 	addresses map[int]string // by partition
-	at        time.Duration  // when it was read
+	readAt    time.Duration  // when addresses was read
 }
 
 func newDirectory(m store.Membership) *directory { return &directory{membership: m} }
 
-// known returns the addresses by partition, nil if they aren't known or old.
-func (d *directory) known(now time.Duration) map[int]string {
+// cached returns the addresses by partition, nil if they weren't read within ownersMaxAge.
+func (d *directory) cached(now time.Duration) map[int]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now-d.at > ownersLife {
+	if now-d.readAt > ownersMaxAge {
 		return nil
 	}
 	return d.addresses
 }
 
-// last returns the addresses as they were read last, whatever their age: nil if never.
-func (d *directory) last() map[int]string {
+// lastKnown returns the addresses of the last read, however old; nil if there was none.
+func (d *directory) lastKnown() map[int]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addresses
 }
 
-// read reads the list anew; callers at one moment share a read.
-func (d *directory) read(ctx context.Context, now time.Duration) (map[int]string, error) {
-	result, err, _ := d.reads.Do(ownersGroup, func() (any, error) {
+// refresh reads the list again. Concurrent callers share one read.
+func (d *directory) refresh(ctx context.Context, now time.Duration) (map[int]string, error) {
+	result, err, _ := d.refreshes.Do(ownersGroup, func() (any, error) {
 		owned, err := d.membership.Owners(ctx, ownersGroup)
 		if err != nil {
 			return nil, err
 		}
 		addresses := map[int]string{}
 		for _, o := range owned {
-			if address := addressOf(o.Member); address != "" {
+			if address := memberAddress(o.Member); address != "" {
 				addresses[o.Part] = address
 			}
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.addresses, d.at = addresses, now
+		d.addresses, d.readAt = addresses, now
 		return addresses, nil
 	})
 	if err != nil {
@@ -70,25 +71,25 @@
 }
 
 const (
-	// memberSeparator is between the parts of a member's name: its VM, an ID of its
-	// process, and the address where other daemons reach it.
+	// memberSeparator separates the parts of a member's name: its VM, an ID of its process,
+	// and the address where other daemons reach it.
 	memberSeparator = "/"
-	// smallMark ends the name of a member on a small VM.
-	smallMark = memberSeparator + "small"
+	// smallSuffix ends the name of a member on a small VM.
+	smallSuffix = memberSeparator + "small"
 )
 
-// memberName is the name of a process in the owners' group.
+// memberName returns the name of a process in the owners group.
 func memberName(vm, process, address string, small bool) string {
 	name := vm + memberSeparator + process + memberSeparator + address
 	if small {
-		name += smallMark
+		name += smallSuffix
 	}
 	return name
 }
 
-// addressOf is where a member is reached, "" if its name doesn't tell.
-func addressOf(member string) string {
-	member = strings.TrimSuffix(member, smallMark)
+// memberAddress returns the address in a member's name, "" if there is none.
+func memberAddress(member string) string {
+	member = strings.TrimSuffix(member, smallSuffix)
 	at := strings.LastIndex(member, memberSeparator)
 	if at < 0 {
 		return ""
--- a/internal/batchrun/engines.go
+++ b/internal/batchrun/engines.go
@@ -1,7 +1,7 @@
-// Package batchrun runs trainers' batches: it takes them in, keeps them in the
-// shared log, and, for the partitions that this daemon owns, runs their samples on
-// engines and orders the engines to load new weights. The decisions are those of
-// packages batch and loads.
+// Package batchrun runs trainers' batches. It accepts them, stores them in the shared
+// log and, for the partitions that this daemon owns, runs their samples on engines and
+// orders the engines to load new weights. Packages batch and loads make the scheduling
+// and loading decisions.
 package batchrun
 
 import (
@@ -12,53 +12,54 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/registry"
 )
 
-// SampleRun asks an engine to run a sample, or to go on with it.
+// SampleRun asks an engine to run a sample, or to resume it.
 type SampleRun struct {
-	ID       string
+	ID       string // of the sample
 	Host     string
 	Customer string // that the sample's batch belongs to, "" for none
 	batch.Request
-	// After is how many events of the text are had already.
+	// After is the number of the text's events that have been received already.
 	After int
 }
 
-// Errors of a run that didn't reach its end. Any other error means that the
-// engine or the way to it broke off.
+// Errors of a run that didn't complete. Any other error means that the engine or the
+// connection to it failed.
 var (
-	// ErrRefused: the engine didn't run the sample: full, loading, or gone.
+	// ErrRefused means that the engine didn't run the sample: it is full, loading, or gone.
 	ErrRefused = errors.New("batchrun: engine refused the sample")
-	// ErrIdleBroke: the connection had been idle and broke before the engine answered.
+	// ErrIdleBroke means that the connection had been idle and broke before the engine
+	// answered.
 	ErrIdleBroke = errors.New("batchrun: idle connection broke")
-	// ErrReplaced: another incarnation has the address.
+	// ErrReplaced means that another upstream has the engine's address now.
 	ErrReplaced = errors.New("batchrun: another upstream has the address")
-	// ErrFailed: the engine failed the sample; it may succeed elsewhere.
+	// ErrFailed means that the engine failed the sample; it may succeed elsewhere.
 	ErrFailed = errors.New("batchrun: engine failed the sample")
-	// ErrImpossible: the sample can never be done.
-	ErrImpossible = errors.New("batchrun: sample can't be done")
-	// ErrDown: nothing listens at the engine's address, its process has ended.
+	// ErrImpossible means that no engine can ever complete the sample.
+	ErrImpossible = errors.New("batchrun: sample can't be completed")
+	// ErrDown means that nothing listens at the engine's address: its process has ended.
 	ErrDown = errors.New("batchrun: engine is down")
-	// ErrSilent: the engine sent nothing for too long.
-	ErrSilent = errors.New("batchrun: engine fell silent")
+	// ErrSilent means that the engine sent nothing for too long.
+	ErrSilent = errors.New("batchrun: engine sent nothing for too long")
 )
 
-// Report is an engine's own account, some hundred ms old.
+// Report is the state that an engine reports. It is some hundred ms old.
 type Report struct {
-	Started  int64 // of its process in Unix ms, 0: it doesn't say
-	Orders   int64 // accepted since its start; the next order is made conditional on it
-	Busy     bool  // an order is under way
-	Running  int
-	Versions map[string]int64 // weights by model
+	Started  int64            // start of its process in Unix ms, 0 if it doesn't report one
+	Orders   int64            // load orders accepted since its start; the next order is conditional on it
+	Busy     bool             // an order is in progress
+	Running  int              // runs in progress
+	Versions map[string]int64 // weights version by model
 }
 
-// LoadOrder asks an engine for new weights.
+// LoadOrder asks an engine to load a version of a model's weights.
 type LoadOrder struct {
 	Model   string
 	Version int64
-	Holder  string // this VM
-	Fence   int64  // fencing number
-	Orders  int64  // the order counts only if the engine has accepted so many
-	// Retain: the engine's runs go on meanwhile, under the new version once it is there.
-	// Without it they end first, and new ones wait.
+	Holder  string // VM that holds the claim on the engine: this one
+	Fence   int64  // fencing token
+	Orders  int64  // the order takes effect only if the engine has accepted exactly so many
+	// Retain lets the engine's runs continue during the load, with the new version once it
+	// is loaded. Without it they finish first, and new ones wait.
 	Retain bool
 }
 
@@ -67,20 +68,20 @@
 
 // The answers.
 const (
-	LoadUnknown  LoadOutcome = iota // no answer: it may be carried out, also later
-	LoadAccepted                    // under way
+	LoadUnknown  LoadOutcome = iota // no answer: the order may take effect, possibly later
+	LoadAccepted                    // the load has begun
 	LoadHeld                        // the version is served already
-	LoadConflict                    // another order is under way, or was accepted meanwhile
-	LoadFenced                      // a higher fencing number was seen
-	LoadRejected                    // the order makes no sense to the engine, or it is another one
+	LoadConflict                    // another order is in progress, or was accepted in the meantime
+	LoadFenced                      // the engine has seen a higher fencing token
+	LoadRejected                    // the order is malformed, or meant for another engine
 )
 
 // Engines is the protocol of model engines.
 type Engines interface {
-	// Run runs a sample to its end. emit gets each event once, in order.
+	// Run runs a sample until its text is complete. emit gets each event once, in order.
 	Run(ctx context.Context, u registry.Upstream, r SampleRun, emit func(batch.Event)) error
-	// Report asks an engine for its state.
+	// Report returns an engine's state.
 	Report(ctx context.Context, u registry.Upstream) (Report, error)
-	// Load orders new weights.
+	// Load orders an engine to load new weights.
 	Load(ctx context.Context, u registry.Upstream, o LoadOrder) (LoadOutcome, error)
 }
--- a/internal/batchrun/engines_test.go
+++ b/internal/batchrun/engines_test.go
@@ -15,66 +15,69 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/registry"
 )
 
-// fakeEngines are the model engines. They check what they are asked.
+// fakeEngines is a set of model engines that check the requests they get.
 type fakeEngines struct {
 	t     *testing.T
 	start time.Time
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	engines map[string]*fakeEngine
-	runs    map[int]fakeRun // by number
-	fence   map[string]heldOrder
-	broken  float64 // part of the events at which a stream breaks
-	refuses float64 // part of the runs that are refused
-	// buffered is the part of the cancelled streams whose rest had arrived before.
-	buffered float64
-	pace     time.Duration      // between two events
-	slower   map[string]float64 // by engine, how many times longer its events take
-	fails    map[string]int
-	ended    map[int]time.Time // by run, when its last event was made
-	// kills holds the samples that end an engine's process, and at which event.
-	kills   map[string]int
-	crashes []engineCrash
-	back    func(id string) // after an engine started again
+	mu         sync.Mutex
+	random     *rand.Rand
+	engines    map[string]*fakeEngine   // by ID
+	runs       map[int]fakeRun          // by run number, from 1
+	lastOrders map[string]receivedOrder // by engine
+	breakRate  float64                  // fraction of the events at which a stream breaks
+	refuseRate float64                  // fraction of the runs that are refused
+	// bufferedRate is the fraction of the cancelled streams whose remaining events still
+	// arrive.
+	bufferedRate  float64
+	eventInterval time.Duration      // time between two events
+	slowdown      map[string]float64 // by engine, factor on eventInterval
+	failures      map[string]int     // by sample, how many of its next runs fail
+	lastEvents    map[int]time.Time  // by run, when its last event was made
+	crashAt       map[string]int     // by sample that crashes its engine, the event at which it does
+	crashes       []engineCrash
+	onRestart     func(id string) // called after a crashed engine has restarted
 }
 
-// engineCrash is the end of an engine's process.
+// engineCrash is a crash of an engine's process.
 type engineCrash struct {
-	engine string
-	at     time.Time
-	beside int // samples that ran there with the one that ended it
+	engine       string
+	at           time.Time
+	otherSamples int // samples that ran there besides the one that crashed it
 }
 
-// crashAway is how long a crashed engine is away.
-const crashAway = 2 * time.Second
+// crashDowntime is how long a crashed engine is down.
+const crashDowntime = 2 * time.Second
 
+// fakeEngine is one incarnation of an engine.
 type fakeEngine struct {
-	started  int64
-	versions map[string]int64
-	orders   int64
-	busy     bool
-	running  int
-	dead     chan struct{} // closed when the process ends
+	started  int64            // its process's start
+	versions map[string]int64 // weights version by model
+	orders   int64            // load orders accepted
+	busy     bool             // a load is in progress
+	running  int              // runs in progress
+	exited   chan struct{}    // closed when the process ends
 }
 
+// fakeRun is a run that an engine accepted.
 type fakeRun struct {
 	sample string
-	after  int
+	after  int // events that the caller had received before
 	engine string
 }
 
-type heldOrder struct {
-	holder string
-	fence  int64
+// receivedOrder is a load order that an engine has seen.
+type receivedOrder struct {
+	holder string // VM
+	fence  int64  // fencing token
 	at     time.Time
 }
 
 func newFakeEngines(t *testing.T, seed uint64, n int, models []string) *fakeEngines {
 	f := &fakeEngines{t: t, start: time.Now(), random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*fakeEngine{},
-		runs: map[int]fakeRun{}, fence: map[string]heldOrder{}, fails: map[string]int{}, ended: map[int]time.Time{}, pace: eventTakes, slower: map[string]float64{}, kills: map[string]int{}, back: func(string) {}}
+		runs: map[int]fakeRun{}, lastOrders: map[string]receivedOrder{}, failures: map[string]int{}, lastEvents: map[int]time.Time{}, eventInterval: eventInterval, slowdown: map[string]float64{}, crashAt: map[string]int{}, onRestart: func(string) {}}
 	for i := range n {
-		e := &fakeEngine{started: 1, versions: map[string]int64{}, dead: make(chan struct{})}
+		e := &fakeEngine{started: 1, versions: map[string]int64{}, exited: make(chan struct{})}
 		for _, m := range models {
 			e.versions[m] = 1
 		}
@@ -83,8 +86,8 @@
 	return f
 }
 
-// length is how many events a sample has.
-func length(sample string) int {
+// sampleLength returns how many events a sample has, by its ID.
+func sampleLength(sample string) int {
 	n := 0
 	for _, c := range sample {
 		n += int(c)
@@ -92,34 +95,37 @@
 	return 3 + n%40
 }
 
+// modelOf returns the model in a sample's ID.
 func modelOf(sample string) string { return sample[:2] }
 
+// chance returns true with probability p.
 func (f *fakeEngines) chance(p float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.random.Float64() < p
 }
 
-func (f *fakeEngines) slowness(engine string) float64 {
+func (f *fakeEngines) slowdownOf(engine string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(1, f.slower[engine])
+	return max(1, f.slowdown[engine])
 }
 
-func (f *fakeEngines) begin(u registry.Upstream, r SampleRun) (run int, err error) {
+// beginRun accepts or refuses a run and returns its number.
+func (f *fakeEngines) beginRun(u registry.Upstream, r SampleRun) (run int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.engines[u.ID]
 	select {
-	case <-e.dead:
+	case <-e.exited:
 		return 0, ErrDown
 	default:
 	}
 	switch {
-	case e.busy || f.random.Float64() < f.refuses:
+	case e.busy || f.random.Float64() < f.refuseRate:
 		return 0, ErrRefused
-	case f.fails[r.ID] > 0:
-		f.fails[r.ID]--
+	case f.failures[r.ID] > 0:
+		f.failures[r.ID]--
 		return 0, ErrFailed
 	}
 	run = len(f.runs) + 1
@@ -127,97 +133,101 @@
 	return run, nil
 }
 
-// Run streams the rest of a sample. Each event names its run.
+// Run streams the events of a sample that the caller hasn't received. Each event names the
+// sample, its own number and the run.
 func (f *fakeEngines) Run(ctx context.Context, u registry.Upstream, r SampleRun, emit func(batch.Event)) error {
 	if r.Path != "/run/"+r.ID || string(r.Body) != "body of "+r.ID || r.Header["H"] != r.ID {
-		f.t.Errorf("sample %s came as %+v", r.ID, r.Request)
+		f.t.Errorf("sample %s has the request %+v", r.ID, r.Request)
 	}
-	run, err := f.begin(u, r)
+	run, err := f.beginRun(u, r)
 	if err != nil {
 		return err
 	}
-	dead, done := f.enter(u.ID)
+	exited, done := f.trackRun(u.ID)
 	defer done()
-	for n := r.After + 1; n <= length(r.ID); n++ {
+	for n := r.After + 1; n <= sampleLength(r.ID); n++ {
 		select {
 		case <-ctx.Done():
-			if !f.chance(f.buffered) {
+			if !f.chance(f.bufferedRate) {
 				return ctx.Err()
 			}
-			ctx = context.Background() // the rest had arrived already
-		case <-dead:
+			ctx = context.Background() // the remaining events had arrived already
+		case <-exited:
 			return errors.New("connection reset")
-		case <-time.After(time.Duration(f.slowness(u.ID) * float64(f.pace))):
+		case <-time.After(time.Duration(f.slowdownOf(u.ID) * float64(f.eventInterval))):
 		}
-		if f.killsAt(r.ID, n) {
+		if f.crashesAt(r.ID, n) {
 			f.crash(u.ID)
 			return errors.New("connection reset")
 		}
-		if f.chance(f.broken) {
+		if f.chance(f.breakRate) {
 			return errors.New("stream broke off")
 		}
 		f.mu.Lock()
 		version := f.engines[u.ID].versions[modelOf(r.ID)]
-		f.ended[run] = time.Now()
+		f.lastEvents[run] = time.Now()
 		f.mu.Unlock()
 		emit(batch.Event{Data: fmt.Sprintf("%s:%d:%d", r.ID, n, run), Version: version})
 	}
 	return nil
 }
 
-// enter counts a run in; the channel closes when the engine's process ends.
-func (f *fakeEngines) enter(engine string) (dead chan struct{}, done func()) {
+// trackRun counts a run as in progress until done is called. exited is closed when the
+// engine's process ends.
+func (f *fakeEngines) trackRun(engine string) (exited chan struct{}, done func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.engines[engine]
 	e.running++
-	return e.dead, func() {
+	return e.exited, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		e.running--
 	}
 }
 
-func (f *fakeEngines) killsAt(sample string, event int) bool {
+// crashesAt reports whether a sample crashes its engine at an event.
+func (f *fakeEngines) crashesAt(sample string, event int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, kills := f.kills[sample]
-	return kills && event >= at
+	at, ok := f.crashAt[sample]
+	return ok && event >= at
 }
 
 func (f *fakeEngines) isDown(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
-	case <-f.engines[id].dead:
+	case <-f.engines[id].exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// crash ends an engine's process; it starts again under its ID with the weights it had.
+// crash ends an engine's process. It restarts after crashDowntime under the same ID, with the
+// weights it had.
 func (f *fakeEngines) crash(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.engines[id]
 	f.crashes = append(f.crashes, engineCrash{id, time.Now(), e.running - 1})
-	close(e.dead)
-	time.AfterFunc(crashAway, func() {
+	close(e.exited)
+	time.AfterFunc(crashDowntime, func() {
 		f.mu.Lock()
-		f.engines[id] = &fakeEngine{started: e.started + 1, versions: e.versions, dead: make(chan struct{})}
+		f.engines[id] = &fakeEngine{started: e.started + 1, versions: e.versions, exited: make(chan struct{})}
 		f.mu.Unlock()
-		f.back(id)
+		f.onRestart(id)
 	})
 }
 
-// Report tells an engine's state.
+// Report returns an engine's state.
 func (f *fakeEngines) Report(_ context.Context, u registry.Upstream) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.engines[u.ID]
 	select {
-	case <-e.dead:
+	case <-e.exited:
 		return Report{}, ErrDown
 	default:
 	}
@@ -228,25 +238,26 @@
 	return Report{Started: e.started, Orders: e.orders, Busy: e.busy, Versions: versions}, nil
 }
 
-// Load takes an order, as an engine that checks fencing numbers, and fails the
-// test on what no holder may do.
+// Load takes an order as an engine that checks fencing tokens does. The test fails if two VMs
+// order an engine within the lease or with the same fencing token, or if a lower fencing
+// token follows a higher one.
 func (f *fakeEngines) Load(_ context.Context, u registry.Upstream, o LoadOrder) (LoadOutcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e, last, now := f.engines[u.ID], f.fence[u.ID], time.Now()
+	e, last, now := f.engines[u.ID], f.lastOrders[u.ID], time.Now()
 	if last.holder != "" && last.holder != o.Holder {
 		if now.Sub(last.at) < testLease {
 			f.t.Errorf("engine %s: %s orders %s after %s", u.ID, o.Holder, now.Sub(last.at), last.holder)
 		}
 		if last.fence == o.Fence {
-			f.t.Errorf("engine %s: %s and %s share fencing number %d", u.ID, o.Holder, last.holder, o.Fence)
+			f.t.Errorf("engine %s: %s and %s share fencing token %d", u.ID, o.Holder, last.holder, o.Fence)
 		}
 	}
 	if o.Fence < last.fence {
-		f.t.Errorf("engine %s: fencing number %d after %d", u.ID, o.Fence, last.fence)
+		f.t.Errorf("engine %s: fencing token %d after %d", u.ID, o.Fence, last.fence)
 		return LoadFenced, nil
 	}
-	f.fence[u.ID] = heldOrder{o.Holder, o.Fence, now}
+	f.lastOrders[u.ID] = receivedOrder{o.Holder, o.Fence, now}
 	if e.busy || e.orders != o.Orders {
 		return LoadConflict, nil
 	}
@@ -255,7 +266,7 @@
 	}
 	e.orders++
 	e.busy = true
-	time.AfterFunc(loadTakes, func() {
+	time.AfterFunc(loadDuration, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		e.busy = false
@@ -264,16 +275,16 @@
 	return LoadAccepted, nil
 }
 
-// restart starts an engine again under its ID: it forgets its orders, also the one under
-// way, and has an old version. Its entry in the registry still tells the former start.
+// restart restarts an engine under its ID with an old weights version. Its order count is
+// reset and a load in progress is lost. Its registry entry still has the former start time.
 func (f *fakeEngines) restart(id, model string, version int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	started := f.engines[id].started + 1
-	f.engines[id] = &fakeEngine{started: started, versions: map[string]int64{model: version}, dead: make(chan struct{})}
+	f.engines[id] = &fakeEngine{started: started, versions: map[string]int64{model: version}, exited: make(chan struct{})}
 }
 
-// lastEventAt is when the last event of a text was made.
+// lastEventAt returns when the last event of a text was made.
 func (f *fakeEngines) lastEventAt(text string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -281,20 +292,20 @@
 	if err != nil {
 		f.t.Errorf("text %q: %v", text, err)
 	}
-	return f.ended[run]
+	return f.lastEvents[run]
 }
 
-// checkText fails the test unless a text is whole and made of runs each of which
-// was asked to go on where the one before it stops.
+// checkText fails the test unless a text is complete and consists of runs each of which was
+// asked to resume where the one before it stops.
 func (f *fakeEngines) checkText(sample, text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	events := strings.Split(text, "\n")
-	if len(events) != length(sample) {
-		f.t.Errorf("sample %s has %d events, its text has %d", sample, length(sample), len(events))
+	if len(events) != sampleLength(sample) {
+		f.t.Errorf("sample %s has %d events, its text has %d", sample, sampleLength(sample), len(events))
 		return
 	}
-	before := 0
+	lastRun := 0
 	for i, e := range events {
 		parts := strings.Split(e, ":")
 		if len(parts) != 3 || parts[0] != sample || parts[1] != strconv.Itoa(i+1) {
@@ -302,15 +313,15 @@
 			return
 		}
 		run, err := strconv.Atoi(parts[2])
-		if err != nil || run != before && f.runs[run].after != i {
-			f.t.Errorf("sample %s: event %d is of run %d, which began after event %d", sample, i+1, run, f.runs[run].after)
+		if err != nil || run != lastRun && f.runs[run].after != i {
+			f.t.Errorf("sample %s: event %d is from run %d, which resumed after event %d", sample, i+1, run, f.runs[run].after)
 			return
 		}
-		before = run
+		lastRun = run
 	}
 }
 
-func (f *fakeEngines) startOf(id string) int64 {
+func (f *fakeEngines) startTimeOf(id string) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engines[id].started
--- a/internal/batchrun/here.go
+++ b/internal/batchrun/here.go
@@ -26,11 +26,11 @@
 // Locate tells whether a batch is in a partition that is followed here. With confirm the
 // partitions without it are brought up to date first, so that what they lack is certain.
 func (h Here) Locate(ctx context.Context, id string, confirm bool) locate.Answer {
-	if h.s.find(id) != nil || !confirm {
-		return locate.Answer{Found: h.s.find(id) != nil}
+	if h.s.partitionForBatch(id) != nil || !confirm {
+		return locate.Answer{Found: h.s.partitionForBatch(id) != nil}
 	}
 	confirmed := h.confirm(ctx, h.s.loadedParts())
-	if h.s.find(id) != nil {
+	if h.s.partitionForBatch(id) != nil {
 		return locate.Answer{Found: true}
 	}
 	return locate.Answer{Confirmed: confirmed}
@@ -65,7 +65,7 @@
 // loadedParts returns the partitions whose views are whole.
 func (s *Service) loadedParts() []*partition {
 	var out []*partition
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		if p.follower.Loaded() {
 			out = append(out, p)
 		}
@@ -78,7 +78,7 @@
 
 // take returns the partition of a batch, held until release.
 func (h Here) take(id string) (p *partition, release func(), err error) {
-	if p = h.s.find(id); p == nil {
+	if p = h.s.partitionForBatch(id); p == nil {
 		return nil, nil, errors.Join(ErrUnsure, errNotHeld)
 	}
 	return p, p.follower.Hold(), nil
@@ -93,7 +93,7 @@
 	defer release()
 	ended := func() bool {
 		out := false
-		p.view(id, func(b *batch.Batch) { out = b != nil && b.Ended })
+		p.withBatch(id, func(b *batch.Batch) { out = b != nil && b.Ended })
 		return out
 	}
 	if ended() {
--- a/internal/batchrun/homes.go
+++ b/internal/batchrun/homes.go
@@ -11,172 +11,174 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// homes knows the partition of each model, and the samples of its batches. Every daemon
-// follows this topic, so nothing that grows with the upstreams or their loads is written
-// there. It has keys: the newest record of a model outlives the log's retention. It is safe
-// for concurrent use.
-type homes struct {
+// modelPartitions is a view of the topic that assigns each model to a partition and holds
+// the number of samples in the model's batches. Every daemon follows this topic, so nothing
+// that grows with the upstreams or their loads is written to it. It is keyed by model: the
+// newest record of a model outlives the log's retention. It is safe for concurrent use.
+type modelPartitions struct {
 	options  Options
 	follower *follow.Follower
 
-	mu   sync.Mutex
-	fold *loads.Homes
+	mu    sync.Mutex
+	state *loads.Homes // by the records read so far
 }
 
-func newHomes(o Options) *homes {
-	h := &homes{options: o, fold: loads.NewHomes(o.Parts)}
-	always := func() bool { return true } // models are few and seldom new
-	h.follower = follow.New(follow.Options{Log: o.Log, Topic: homesTopic, Keyed: true, Sink: h, Relaxed: always, Now: o.Now, Logger: o.Logger})
-	return h
+func newModelPartitions(o Options) *modelPartitions {
+	p := &modelPartitions{options: o, state: loads.NewHomes(o.Parts)}
+	always := func() bool { return true } // there are few models, and new ones are rare
+	p.follower = follow.New(follow.Options{Log: o.Log, Topic: modelPartitionsTopic, Keyed: true, Sink: p, Relaxed: always, Now: o.Now, Logger: o.Logger})
+	return p
 }
 
-// Reset takes the newest record of each model.
-func (h *homes) Reset(entries []store.Entry) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.fold = loads.NewHomes(h.options.Parts)
+// Reset replaces the view with the newest record of each model.
+func (p *modelPartitions) Reset(entries []store.Entry) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.state = loads.NewHomes(p.options.Parts)
 	for _, e := range entries {
-		h.takeLocked(e.Offset, e.Value)
+		p.applyLocked(e.Offset, e.Value)
 	}
 }
 
-// Record takes one record.
-func (h *homes) Record(offset int64, data []byte) {
+// Record applies one record.
+func (p *modelPartitions) Record(offset int64, data []byte) {
 	_, value, err := store.DecodeEntry(data)
 	if err != nil {
-		h.options.Logger.Error().Err(err).Int64("offset", offset).Msg("partition of a model skipped")
+		p.options.Logger.Error().Err(err).Int64("offset", offset).Msg("skipped a malformed model partition record")
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.takeLocked(offset, value)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.applyLocked(offset, value)
 }
 
-// Gap is never called: the topic has keys.
-func (h *homes) Gap(int64) {}
+// Gap is never called: the topic is keyed.
+func (p *modelPartitions) Gap(int64) {}
 
-func (h *homes) takeLocked(offset int64, value []byte) {
+func (p *modelPartitions) applyLocked(offset int64, value []byte) {
 	if len(value) == 0 {
-		return // a model keeps its partition for good
+		return // a model's partition never changes
 	}
-	home, err := loads.DecodeHome(value)
+	assignment, err := loads.DecodeHome(value)
 	if err != nil {
-		h.options.Logger.Error().Err(err).Int64("offset", offset).Msg("partition of a model skipped")
+		p.options.Logger.Error().Err(err).Int64("offset", offset).Msg("skipped a malformed model partition record")
 		return
 	}
-	h.fold.Apply(home)
+	p.state.Apply(assignment)
 }
 
-// of returns a model's partition.
-func (h *homes) of(model string) (part int, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.fold.Of(model)
+// lookup returns the number of a model's partition, false if none is assigned.
+func (p *modelPartitions) lookup(model string) (part int, ok bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state.Of(model)
 }
 
-// parts returns the partitions that models have, sorted.
-func (h *homes) parts() []int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.fold.Parts()
+// partitions returns the numbers of the partitions that models are assigned to, sorted.
+func (p *modelPartitions) partitions() []int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state.Parts()
 }
 
-// demand returns the samples of a batch of each model.
-func (h *homes) demand() map[string]int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.fold.Demand()
+// demand returns the number of samples in a batch by model, for the models where it is
+// known.
+func (p *modelPartitions) demand() map[string]int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state.Demand()
 }
 
-// settleTries bounds the appends that met another daemon's record.
-const settleTries = 12
+// maxAssignAttempts bounds the appends that conflict with another daemon's record.
+const maxAssignAttempts = 12
 
-var errNoHome = errors.New("no partition could be assigned to the model")
+var errNoPartition = errors.New("no partition could be assigned to the model")
 
-// settle gives a model a partition unless it has one; samples are those of its batch, 0
-// if it has none yet. The append is conditional: two daemons that meet a new model at once
-// agree on one record's partition.
-func (h *homes) settle(ctx context.Context, model string, samples int) (int, error) {
+// assign returns a model's partition, and assigns one if it has none. samples is the
+// number of samples in the model's batch, 0 if it has no batch yet. The append is
+// conditional, so two daemons that see a new model at the same time agree on one partition.
+func (p *modelPartitions) assign(ctx context.Context, model string, samples int) (int, error) {
 	var err error
-	for range settleTries {
-		if part, ok := h.of(model); ok {
+	for range maxAssignAttempts {
+		if part, ok := p.lookup(model); ok {
 			return part, nil
 		}
-		next := h.follower.Next()
-		h.mu.Lock()
-		home := h.fold.Next(model)
-		h.mu.Unlock()
-		home.Samples = samples
+		next := p.follower.Next()
+		p.mu.Lock()
+		assignment := p.state.Next(model)
+		p.mu.Unlock()
+		assignment.Samples = samples
 		var record []byte
-		if record, err = encodeHome(home); err != nil {
+		if record, err = encodeModelPartition(assignment); err != nil {
 			return 0, err
 		}
-		if _, err = h.options.Log.AppendAt(ctx, homesTopic, 0, next, [][]byte{record}); errors.Is(err, store.ErrNotDone) {
+		if _, err = p.options.Log.AppendAt(ctx, modelPartitionsTopic, 0, next, [][]byte{record}); errors.Is(err, store.ErrNotDone) {
 			return 0, err
 		}
-		if err := h.follower.CatchUp(ctx); err != nil {
+		if err := p.follower.CatchUp(ctx); err != nil {
 			return 0, err
 		}
 	}
-	return 0, errors.Join(errNoHome, err)
+	return 0, errors.Join(errNoPartition, err)
 }
 
-func encodeHome(home loads.Home) ([]byte, error) {
-	value, err := loads.EncodeHome(home)
+// encodeModelPartition returns the topic's record, keyed by the model.
+func encodeModelPartition(assignment loads.Home) ([]byte, error) {
+	value, err := loads.EncodeHome(assignment)
 	if err != nil {
 		return nil, err
 	}
-	return store.EncodeEntry(home.Model, value)
+	return store.EncodeEntry(assignment.Model, value)
 }
 
-// note writes down how many samples the batches of a model have.
-func (h *homes) note(ctx context.Context, home loads.Home) error {
-	record, err := encodeHome(home)
+// recordDemand appends a record with the number of samples in a model's batches.
+func (p *modelPartitions) recordDemand(ctx context.Context, assignment loads.Home) error {
+	record, err := encodeModelPartition(assignment)
 	if err != nil {
 		return err
 	}
-	_, err = store.AppendRepeatable(ctx, h.options.Log, homesTopic, 0, [][]byte{record}, 1)
+	_, err = store.AppendRepeatable(ctx, p.options.Log, modelPartitionsTopic, 0, [][]byte{record}, 1)
 	return err
 }
 
-// differs reports whether a record would change what is known of a model's batches.
-func (h *homes) differs(home loads.Home) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.fold.Differs(home)
+// changesDemand reports whether a record would change the known demand of a model.
+func (p *modelPartitions) changesDemand(assignment loads.Home) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state.Differs(assignment)
 }
 
-// demandInterval is between two notes of a model's demand by its owner: each one divides
-// the engines anew.
+// demandInterval is the least time between two demand records of a model by its owner:
+// each one makes every daemon reallocate the engines.
 const demandInterval = 45 * time.Second
 
-// noteDemandLocked writes down what a model's batches need, if that has changed.
-func (r *runner) noteDemandLocked(ctx context.Context, model string) {
-	home := loads.Home{Model: model, Part: r.part.number, Samples: r.part.batchSize(model)}
+// recordDemandLocked records the number of samples in a model's batches if it has changed.
+func (r *runner) recordDemandLocked(ctx context.Context, model string) {
+	assignment := loads.Home{Model: model, Part: r.partition.number, Samples: r.partition.lastBatchSize(model)}
 	now := r.s.options.Now()
-	if now < r.noteAt[model] || !r.s.homes.differs(home) {
+	if now < r.demandNotBefore[model] || !r.s.modelPartitions.changesDemand(assignment) {
 		return
 	}
-	r.noteAt[model] = now + demandInterval
-	r.work.Go(func() {
-		if err := r.s.homes.note(ctx, home); err != nil {
-			r.log.Warn().Err(err).Str("model", model).Int("samples", home.Samples).Msg("samples of the model's batches not written down")
+	r.demandNotBefore[model] = now + demandInterval
+	r.tasks.Go(func() {
+		if err := r.s.modelPartitions.recordDemand(ctx, assignment); err != nil {
+			r.log.Warn().Err(err).Str("model", model).Int("samples", assignment.Samples).Msg("failed to record the model's demand")
 		}
 	})
 }
 
-// settleLocked gives a model whose weights were published before its first batch a
-// partition, so that somebody loads them. The owner of partition 0 does it.
-func (r *runner) settleLocked(ctx context.Context, model string) {
-	if r.settling {
+// assignPartitionLocked assigns a partition to a model whose weights were published before
+// its first batch, so that an owner loads them. The owner of partition 0 calls it.
+func (r *runner) assignPartitionLocked(ctx context.Context, model string) {
+	if r.assigning {
 		return
 	}
-	r.settling = true
-	r.work.Go(func() {
-		part, err := r.s.homes.settle(ctx, model, 0)
-		r.log.Info().Str("model", model).Int("home", part).Err(err).Msg("model has weights and no batch yet")
+	r.assigning = true
+	r.tasks.Go(func() {
+		part, err := r.s.modelPartitions.assign(ctx, model, 0)
+		r.log.Info().Str("model", model).Int("home", part).Err(err).Msg("assigning a partition to a model with weights and no batch yet")
 		r.mu.Lock()
-		r.settling = false
+		r.assigning = false
 		r.mu.Unlock()
 	})
 }
--- a/internal/batchrun/inspect.go
+++ b/internal/batchrun/inspect.go
@@ -12,10 +12,10 @@
 // of their acceptance.
 func (s *Service) Inspect() []inspect.Batch {
 	out := []inspect.Batch{}
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		running := s.running(p.number)
 		p.mu.Lock()
-		for _, b := range p.fold.All() {
+		for _, b := range p.state.All() {
 			out = append(out, s.describe(p, b, running))
 		}
 		p.mu.Unlock()
@@ -25,14 +25,14 @@
 
 // InspectBatch returns one batch with its samples, false if this daemon knows none of that ID.
 func (s *Service) InspectBatch(id string) (inspect.BatchDetail, bool) {
-	p := s.find(id)
+	p := s.partitionForBatch(id)
 	if p == nil {
 		return inspect.BatchDetail{}, false
 	}
 	running := s.running(p.number)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.fold.Get(id)
+	b := p.state.Get(id)
 	if b == nil {
 		return inspect.BatchDetail{}, false
 	}
@@ -56,7 +56,7 @@
 	defer r.mu.Unlock()
 	out := map[sampleKey]string{}
 	for key, x := range r.runs {
-		out[key] = x.engine
+		out[key] = x.incarnation
 	}
 	return out
 }
@@ -117,22 +117,22 @@
 // Views returns the partitions that this daemon follows now for batches and orders.
 func (s *Service) Views() []inspect.View {
 	var out []inspect.View
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		if p.follower.Following() {
 			out = append(out, p.follower.Inspect())
 		}
 	}
-	return append(out, s.orders.follower.Inspect())
+	return append(out, s.loader.follower.Inspect())
 }
 
 // HolderOf returns the VM that claimed an engine's address or a duty last, the fencing
 // number of its claim, and for how long the claim has been known here.
 func (s *Service) HolderOf(subject string) (vm string, fence int64, age time.Duration) {
-	s.orders.mu.Lock()
-	defer s.orders.mu.Unlock()
-	vm, offset, ok := s.orders.claims.Holder(subject)
+	s.loader.mu.Lock()
+	defer s.loader.mu.Unlock()
+	vm, offset, ok := s.loader.claims.Holder(subject)
 	if !ok {
 		return "", 0, 0
 	}
-	return vm, fenceOf(offset), s.orders.claims.Age(subject, s.options.Now())
+	return vm, fencingToken(offset), s.loader.claims.Age(subject, s.options.Now())
 }
--- a/internal/batchrun/inspect_test.go
+++ b/internal/batchrun/inspect_test.go
@@ -13,13 +13,13 @@
 func TestInspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 2, "m0")
+		w := newTestCluster(t, 1, 2, 2, "m0")
 		defer w.stop()
-		w.engines.pace = 500 * time.Millisecond
+		w.engines.eventInterval = 500 * time.Millisecond
 		time.Sleep(2 * time.Second)
-		w.accept(g, "m0", "seen", 1, 2, 1)
+		w.submitBatch(g, "m0", "seen", 1, 2, 1)
 		time.Sleep(1200 * time.Millisecond)
-		owner, other := w.vms[0].current(), w.vms[1].current()
+		owner, other := w.vms[0].daemon(), w.vms[1].daemon()
 		if w.vms[1].ownsHomeOf("m0") {
 			owner, other = other, owner
 		}
@@ -32,7 +32,7 @@
 		g.Expect(owner.Owns()).To(ContainElement(detail.Part))
 		g.Expect(other.Owns()).NotTo(ContainElement(detail.Part))
 		g.Expect(other.Inspect()).To(BeEmpty(), "it doesn't follow the partition")
-		defer other.parts[detail.Part].follower.Hold()()
+		defer other.partitions[detail.Part].follower.Hold()()
 		time.Sleep(30 * time.Second)
 		list := other.Inspect()
 		g.Expect(list).To(HaveLen(1))
--- a/internal/batchrun/look.go
+++ b/internal/batchrun/look.go
@@ -8,18 +8,18 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// modelWork is what a look finds for one model.
+// modelWork is what a reconcile pass finds to do for one model.
 type modelWork struct {
-	service string
-	waiting []batch.Waiting
-	active  bool
-	next    int64 // oldest version that the next step is expected to use
-	// singleVersion: a sample of an open batch may have only one weight version.
-	singleVersion bool
+	service        string          // whose engines run the model
+	waiting        []batch.Waiting // samples that could start
+	active         bool            // a sample still has to be generated
+	nextMinVersion int64           // oldest weights version that the next step is expected to use
+	singleVersion  bool            // an open batch allows only one weights version in a sample
 }
 
-// look brings the runs in line with the log, the configuration and the engines.
-func (r *runner) look(ctx context.Context) {
+// reconcile brings runs, reward calls and loads in line with the log, the configuration
+// and the engines.
+func (r *runner) reconcile(ctx context.Context) {
 	config := r.s.options.View.Config()
 	if config == nil {
 		return
@@ -30,31 +30,34 @@
 		return
 	}
 	now := r.s.options.Now()
-	r.takeRejectedLocked()
-	work := r.models(ctx, config)
-	if len(work) > 0 && !r.knowsUpstreamsLocked() {
-		return // engines that aren't known would be missing in the division
+	r.resetIgnoredLocked()
+	work := r.modelWorkLocked(ctx, config)
+	if len(work) > 0 && !r.upstreamsLoadedLocked() {
+		return // engines not known yet would be missing from the allocation
 	}
-	r.collectLocked(ctx, config, work, now)
+	r.collectSamplesLocked(ctx, config, work, now)
 	for model, w := range work {
-		r.serveLocked(ctx, config, model, w, now)
+		r.reconcileModelLocked(ctx, config, model, w, now)
 	}
 }
 
-// knowsUpstreamsLocked has every upstream read from now on and reports whether all are known.
-func (r *runner) knowsUpstreamsLocked() bool {
-	all := r.s.options.Upstreams
-	if all == nil {
+// upstreamsLoadedLocked requests that all upstreams are read from now on, and reports whether
+// all are known.
+func (r *runner) upstreamsLoadedLocked() bool {
+	upstreams := r.s.options.Upstreams
+	if upstreams == nil {
 		return true
 	}
-	if r.upstreams == nil {
-		r.upstreams = all.Hold()
+	if r.releaseUpstreams == nil {
+		r.releaseUpstreams = upstreams.Hold()
 	}
-	return all.Whole()
+	return upstreams.Whole()
 }
 
-// models returns the models whose batches lie in this partition. The caller holds mu.
-func (r *runner) models(ctx context.Context, config *routes.Config) map[string]*modelWork {
+// modelWorkLocked returns an entry without samples for each configured model that is
+// assigned to this partition. It also records these models' demand, and assigns partitions
+// to models that have weights and no partition yet.
+func (r *runner) modelWorkLocked(ctx context.Context, config *routes.Config) map[string]*modelWork {
 	out := map[string]*modelWork{}
 	published := r.s.options.View.Published()
 	for _, service := range config.Services {
@@ -62,31 +65,31 @@
 			continue
 		}
 		for _, m := range service.Engine.Models {
-			switch home := r.s.partitionOf(m); {
-			case home == r.part:
+			switch assigned := r.s.partitionForModel(m); {
+			case assigned == r.partition:
 				out[m] = &modelWork{service: service.Name}
-				r.noteDemandLocked(ctx, m)
-			case home == nil && published[m] > 0 && r.part.number == 0:
-				r.settleLocked(ctx, m)
+				r.recordDemandLocked(ctx, m)
+			case assigned == nil && published[m] > 0 && r.partition.number == 0:
+				r.assignPartitionLocked(ctx, m)
 			}
 		}
 	}
 	return out
 }
 
-// collectLocked finds the samples that wait, and ends the runs that nobody wants
-// any more.
-func (r *runner) collectLocked(ctx context.Context, config *routes.Config, work map[string]*modelWork, now time.Duration) {
-	r.part.mu.Lock()
-	defer r.part.mu.Unlock()
-	open := r.part.fold.Open()
+// collectSamplesLocked reconciles all open batches, adds their waiting samples to work, and
+// cancels the runs that are no longer wanted.
+func (r *runner) collectSamplesLocked(ctx context.Context, config *routes.Config, work map[string]*modelWork, now time.Duration) {
+	r.partition.mu.Lock()
+	defer r.partition.mu.Unlock()
+	open := r.partition.state.Open()
 	wanted := map[string]bool{}
 	for _, b := range open {
 		wanted[b.ID] = true
 		w := work[b.Model]
 		route, ok := config.Match(b.Host, b.Path)
 		if !ok || route.Kind != routes.Batch {
-			r.abandonLocked(b, "its route is gone")
+			r.giveUpBatchLocked(b, "no batch route matches the batch any more")
 			continue
 		}
 		if w == nil {
@@ -95,17 +98,18 @@
 		}
 		w.service = route.Services[0].Service
 		w.singleVersion = w.singleVersion || b.SingleVersion
-		r.samplesLocked(ctx, config, b, w, now)
+		r.reconcileBatchLocked(ctx, config, b, w, now)
 	}
-	r.endUnwantedLocked(wanted)
-	for _, b := range r.part.fold.All() {
+	r.dropUnwantedLocked(wanted)
+	for _, b := range r.partition.state.All() {
 		if w := work[b.Model]; w != nil {
-			w.next = max(w.next, b.MinVersion+1) // each step asks for one version more
+			w.nextMinVersion = max(w.nextMinVersion, b.MinVersion+1) // each step needs the next version
 		}
 	}
 }
 
-func (r *runner) abandonLocked(b *batch.Batch, why string) {
+// giveUpBatchLocked gives up all open samples of a batch.
+func (r *runner) giveUpBatchLocked(b *batch.Batch, why string) {
 	for i := range b.Samples {
 		key := sampleKey{b.ID, i}
 		if x := r.runs[key]; x != nil {
@@ -118,18 +122,20 @@
 	}
 }
 
-// retentionMargin keeps a sample a little longer than it must be kept: daemons
-// read of its batch at different times.
+// retentionMargin is added to a batch's retention, because daemons read the batch's record
+// at different times.
 const retentionMargin = time.Second
 
-func (r *runner) samplesLocked(ctx context.Context, config *routes.Config, b *batch.Batch, w *modelWork, now time.Duration) {
+// reconcileBatchLocked does what each sample of an open batch needs next, and adds the
+// samples that could start to w.
+func (r *runner) reconcileBatchLocked(ctx context.Context, config *routes.Config, b *batch.Batch, w *modelWork, now time.Duration) {
 	ready := r.requestsLocked(ctx, b) != nil
 	expired := now-b.Seen > time.Duration(b.RetentionMS)*time.Millisecond+retentionMargin
 	for i := range b.Samples {
 		s := &b.Samples[i]
 		key := sampleKey{b.ID, i}
 		if s.State != batch.Open || r.finished[key] {
-			r.dropRunLocked(key, s)
+			r.cancelSampleLocked(key, s)
 			continue
 		}
 		stage := r.stageLocked(key, s)
@@ -138,48 +144,50 @@
 		case stage == batch.Ready:
 			r.completeLocked(key, r.textLocked(key, s), s.Score)
 		case expired:
-			r.dropRunLocked(key, s)
-			r.giveUpLocked(key, s.ID, "kept too long")
+			r.cancelSampleLocked(key, s)
+			r.giveUpLocked(key, s.ID, "retention time exceeded")
 		case stage == batch.Scoring:
 			if x := r.runs[key]; x != nil {
-				x.cancel(errUnwanted) // another owner's text is whole
+				x.cancel(errUnwanted) // another owner's text is complete
 			}
 			r.textLocked(key, s)
 			r.scoreLocked(ctx, config, b, i, now)
 		case s.Failures >= b.MaxAttempts:
-			r.dropRunLocked(key, s)
+			r.cancelSampleLocked(key, s)
 			r.giveUpLocked(key, s.ID, "failed at every attempt")
 		case r.runs[key] != nil:
-			r.overtakeLocked(r.runs[key], s)
+			r.cancelIfBehindLocked(r.runs[key], s)
 		case ready:
-			w.waiting = append(w.waiting, r.waitingLocked(b, i))
+			w.waiting = append(w.waiting, r.waitingSampleLocked(b, i))
 		}
 	}
 }
 
-// overtaken is by how many events another owner's text must be ahead of a run's for the
-// run to go on from there. Going on costs the prompt's prefill, an event's time or two.
-const overtaken = 4
+// minLogLead is by how many events the log's text must be ahead of a run's for the run to
+// be resumed from there. Resuming costs the prompt's prefill, which takes as long as one or
+// two events.
+const minLogLead = 4
 
-// overtakeLocked ends a run that is behind the text in the log, such as the last text of
-// the owner before, which came when this run had begun.
-func (r *runner) overtakeLocked(x *run, s *batch.Sample) {
-	if s.Text.Events >= x.text.had()+overtaken {
+// cancelIfBehindLocked cancels a run that is behind the log's text, so that it resumes from
+// there. This happens when the previous owner's last text arrives after the run started.
+func (r *runner) cancelIfBehindLocked(x *run, s *batch.Sample) {
+	if s.Text.Events >= x.text.eventCount()+minLogLead {
 		x.cancel(errOvertaken)
 	}
 }
 
-// stageLocked is a sample's stage by the log, or by this owner's text, whose end may
-// not be in the log yet.
+// stageLocked returns a sample's stage by the log, or by this owner's text if that is
+// complete and its end isn't in the log yet.
 func (r *runner) stageLocked(key sampleKey, s *batch.Sample) batch.Stage {
-	if t := r.texts[key]; t != nil && t.whole && !s.Whole {
+	if t := r.texts[key]; t != nil && t.complete && !s.Whole {
 		return batch.Scoring
 	}
 	return s.Stage()
 }
 
-// dropRunLocked ends a run whose sample has its result from elsewhere.
-func (r *runner) dropRunLocked(key sampleKey, s *batch.Sample) {
+// cancelSampleLocked cancels the run and the reward call of a sample that has a result, or
+// is about to be given up. It forgets the sample's state once the result is in the log.
+func (r *runner) cancelSampleLocked(key sampleKey, s *batch.Sample) {
 	if x := r.runs[key]; x != nil {
 		x.cancel(errUnwanted)
 	}
@@ -191,22 +199,25 @@
 	}
 }
 
-func (r *runner) waitingLocked(b *batch.Batch, i int) batch.Waiting {
+// waitingSampleLocked describes sample i of a batch to the planner.
+func (r *runner) waitingSampleLocked(b *batch.Batch, i int) batch.Waiting {
 	s := &b.Samples[i]
 	key := sampleKey{b.ID, i}
-	again := r.retries[key]
-	had := s.Text.Events
+	retry := r.retries[key]
+	events := s.Text.Events
 	if t := r.texts[key]; t != nil {
-		had = max(had, t.had())
+		events = max(events, t.eventCount())
 	}
 	return batch.Waiting{
 		Batch: b.ID, Index: i, Group: s.Group, MinVersion: b.MinVersion,
-		Remaining: r.estimator.Remaining(s.Expected, had), Due: b.Since + time.Duration(b.TargetMS)*time.Millisecond,
-		NotBefore: again.notBefore, Avoid: again.avoid, Had: had,
+		Remaining: r.estimator.Remaining(s.Expected, events), Due: b.Since + time.Duration(b.TargetMS)*time.Millisecond,
+		NotBefore: retry.notBefore, Avoid: retry.avoidEngine, Had: events,
 	}
 }
 
-func (r *runner) endUnwantedLocked(wanted map[string]bool) {
+// dropUnwantedLocked cancels the runs and reward calls of batches that aren't wanted any
+// more, and forgets their state. wanted holds the IDs of the open batches.
+func (r *runner) dropUnwantedLocked(wanted map[string]bool) {
 	for key, x := range r.runs {
 		if !wanted[key.batch] {
 			x.cancel(errUnwanted)
--- a/internal/batchrun/orders.go
+++ b/internal/batchrun/orders.go
@@ -17,57 +17,59 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// orders claims engines and gives them orders.
-type orders struct {
+// loader claims engines and orders them to load weights. It follows the claims log while
+// this daemon owns a partition.
+type loader struct {
 	options  Options
-	follower *follow.Held // held by owners of partitions
+	follower *follow.Held // of the claims log, held by the owner while it owns a partition
 	claimer  *claimer
 
-	mu     sync.Mutex
-	claims *loads.Claims
-	tail   *loads.Tail // of the claims' log
-	// relaxed reports whether this daemon owns no partition, and so orders nothing.
-	relaxed func() bool
-	loading map[string]bool // engines that this VM loads for another's wish
+	mu      sync.Mutex
+	claims  *loads.Claims
+	logTail *loads.Tail // past ends of the claims log
+	// ownsNothing reports whether this daemon owns no partition, and so sends no orders.
+	ownsNothing    func() bool
+	delegatedLoads map[string]bool // by ID, engines that this VM loads on another VM's request
 }
 
-func newOrders(o Options) *orders {
-	// A load that a record told of shows in the engine's own entry by then, and a claim
-	// bars nobody any more.
+func newLoader(o Options) *loader {
+	// After this time a recorded load shows in the engine's own registry entry, and a claim
+	// no longer blocks any VM.
 	keep := 2 * loads.BarredFor(o.OrderLease)
-	x := &orders{options: o, claims: loads.NewClaims(o.VM, o.OrderLease), tail: loads.NewTail(keep), loading: map[string]bool{}}
+	x := &loader{options: o, claims: loads.NewClaims(o.VM, o.OrderLease), logTail: loads.NewTail(keep), delegatedLoads: map[string]bool{}}
 	x.claimer = newClaimer(x)
 	x.follower = follow.NewHeld(follow.HeldOptions{
 		Options: follow.Options{
-			Log: o.Log, Topic: claimsTopic, Sink: x, From: x.from, Relaxed: func() bool { return x.relaxed() }, Now: o.Now, Logger: o.Logger,
+			Log: o.Log, Topic: claimsTopic, Sink: x, From: x.startOffset, Relaxed: func() bool { return x.ownsNothing() }, Now: o.Now, Logger: o.Logger,
 		},
-		Linger: keep, OnForget: x.forgetClaims,
+		Linger: keep, OnForget: x.discardClaims,
 	})
 	return x
 }
 
-// from is where the claims' log is read on when this daemon becomes an owner.
-func (x *orders) from() int64 {
+// startOffset returns the offset from which the claims log is read when this daemon becomes
+// an owner.
+func (x *loader) startOffset() int64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.tail.From(x.options.Now())
+	return x.logTail.From(x.options.Now())
 }
 
-// forgetClaims drops the fold of the claims' log, which isn't followed any more.
-func (x *orders) forgetClaims() {
+// discardClaims drops the known claims when the claims log is no longer followed.
+func (x *loader) discardClaims() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.claims = loads.NewClaims(x.options.VM, x.options.OrderLease)
-	x.tail.Note(x.follower.Next(), x.options.Now())
+	x.logTail.Note(x.follower.Next(), x.options.Now())
 }
 
-// noteEnd notes the end of the claims' log while it isn't followed.
-func (x *orders) noteEnd(ctx context.Context) {
+// recordLogEnd notes where the claims log ends now, unless it is being followed.
+func (x *loader) recordLogEnd(ctx context.Context) {
 	if x.follower.Following() {
 		return
 	}
 	x.mu.Lock()
-	last := x.tail.Last()
+	last := x.logTail.Last()
 	x.mu.Unlock()
 	page, err := x.options.Log.Read(ctx, claimsTopic, 0, store.ReadFrom{Offset: last, MaxBytes: 1})
 	var trimmed *store.TrimmedError
@@ -75,115 +77,116 @@
 		page, err = store.Page{End: trimmed.First}, nil
 	}
 	if err != nil {
-		x.options.Logger.Debug().Err(err).Msg("end of the claims' log not read")
+		x.options.Logger.Debug().Err(err).Msg("failed to read the end of the claims log")
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.tail.Note(page.End, x.options.Now())
+	x.logTail.Note(page.End, x.options.Now())
 }
 
-// Record applies a record of the claims' log.
-func (x *orders) Record(offset int64, data []byte) {
+// Record applies a record of the claims log.
+func (x *loader) Record(offset int64, data []byte) {
 	r, err := loads.Decode(data)
 	if err != nil {
-		x.options.Logger.Error().Err(err).Int64("offset", offset).Msg("claim skipped")
+		x.options.Logger.Error().Err(err).Int64("offset", offset).Msg("skipped a malformed record of the claims log")
 		return
 	}
 	switch {
 	case r.Claim != nil:
 		x.mu.Lock()
-		x.claims.Apply(offset, *r.Claim, x.tail.WrittenBy(offset, x.options.Now()))
+		x.claims.Apply(offset, *r.Claim, x.logTail.WrittenBy(offset, x.options.Now()))
 		x.mu.Unlock()
 	case r.Wish != nil:
-		go x.grant(*r.Wish) // it asks the follower, whose lock is held here
+		go x.runDelegatedLoad(*r.Wish) // not called here: it calls the follower, whose lock is held
 	}
 }
 
 var (
-	ordersSent   = metrics.Counter("orders_sent")
-	loadsDone    = metrics.Counter("loads_done")
-	loadTime     = metrics.Latency("load_ms")
-	errLost      = errors.New("engine lost during its load")
-	errRestarted = errors.New("engine started again, its counts began anew")
-	errBarred    = errors.New("another VM holds a claim")
-	errClaimAged = errors.New("claim too old for an order")
-	errFenced    = errors.New("engine has seen a higher fencing number")
-	errRejected  = errors.New("engine rejected the order")
-	errSlowLoad  = errors.New("load took too long")
+	ordersSent          = metrics.Counter("orders_sent")
+	loadsDone           = metrics.Counter("loads_done")
+	loadTime            = metrics.Latency("load_ms")
+	errEngineLost       = errors.New("engine lost during its load")
+	errEngineRestarted  = errors.New("engine restarted and its order count was reset")
+	errClaimedElsewhere = errors.New("another VM holds a claim")
+	errClaimExpired     = errors.New("claim expired before the order was sent")
+	errFenced           = errors.New("engine has seen a higher fencing token")
+	errRejected         = errors.New("engine rejected the order")
+	errNotLoaded        = errors.New("engine did not load the version")
 )
 
-// weights are what an engine is to load.
-type weights struct {
-	model   string
-	version int64
-	retain  bool // its runs go on meanwhile
-	part    int  // partition of the model
+// loadTarget is the weights that an engine is to load.
+type loadTarget struct {
+	model     string
+	version   int64
+	retain    bool // the engine's runs continue during the load
+	partition int  // number of the model's partition
 }
 
 const (
-	// loadPoll is between two looks at an engine that loads; reports are some
-	// hundred ms old, so more would tell no more.
-	loadPoll = 150 * time.Millisecond
-	// loadFirstLook: no load is done earlier.
-	loadFirstLook = 700 * time.Millisecond
-	// loadLimit is several times what a load takes when others load too.
-	loadLimit = 8 * time.Second
+	// loadPollInterval is how often a loading engine is polled. Reports are some hundred ms
+	// old, so polling more often would yield nothing new.
+	loadPollInterval = 150 * time.Millisecond
+	// minLoadTime is the least time that a load takes.
+	minLoadTime = 700 * time.Millisecond
+	// loadTimeout is several times what a load takes while other engines load too.
+	loadTimeout = 8 * time.Second
 )
 
-// load makes an engine serve a version, by the VM that may order it now. tell is called if
-// this VM has loaded it.
-func (x *orders) load(ctx context.Context, u registry.Upstream, w weights, tell func(batch.Loaded) error) error {
-	if x.barred(u.Address) > 0 {
-		return x.wish(ctx, u.ID, w)
+// load makes an engine serve a version. If another VM's claim blocks this one, the other VM
+// is asked to do it. onLoaded is called if this VM has loaded the engine.
+func (x *loader) load(ctx context.Context, u registry.Upstream, target loadTarget, onLoaded func(batch.Loaded) error) error {
+	if x.claimBlockedFor(u.Address) > 0 {
+		return x.delegateLoad(ctx, u.ID, target)
 	}
-	w, err := x.loadNow(ctx, u, w)
+	target, err := x.claimAndLoad(ctx, u, target)
 	if err != nil {
 		return err
 	}
-	l := batch.Loaded{Engine: u.ID, Started: u.Started, Model: w.model, Version: w.version}
-	loaded(x.options.View, l)
-	return tell(l)
+	l := batch.Loaded{Engine: u.ID, Started: u.Started, Model: target.model, Version: target.version}
+	recordLoaded(x.options.View, l)
+	return onLoaded(l)
 }
 
-// loaded notes a load that ended.
-func loaded(view *fleet.View, l batch.Loaded) {
+// recordLoaded enters a completed load into the registry.
+func recordLoaded(view *fleet.View, l batch.Loaded) {
 	view.Upstreams(func(reg *registry.Registry, _ time.Duration) { reg.Loaded(l.Engine, l.Started, l.Model, l.Version) })
 }
 
-// loadNow claims the engine and orders it. It returns what it loaded: a version that was
-// published while the claim was written takes the place of the one that was asked for,
-// which would be too old for the next step as soon as it is there.
-func (x *orders) loadNow(ctx context.Context, u registry.Upstream, w weights) (weights, error) {
+// claimAndLoad claims an engine, orders the load and waits for it. It returns what was
+// loaded: a version that was published while the claim was appended replaces the requested
+// one, which would be too old for the next step as soon as it is loaded.
+func (x *loader) claimAndLoad(ctx context.Context, u registry.Upstream, target loadTarget) (loadTarget, error) {
 	permit, err := x.claimer.claim(ctx, u.Address)
 	if err != nil {
-		return w, err
+		return target, err
 	}
 	report, err := x.options.Engines.Report(ctx, u)
 	if err != nil {
-		return w, errors.Join(errLost, err)
+		return target, errors.Join(errEngineLost, err)
 	}
 	if x.restarted(u, report) {
-		return w, errRestarted
+		return target, errEngineRestarted
 	}
-	w.version = max(w.version, x.options.View.Published()[w.model])
-	u.Started = max(u.Started, report.Started) // known from now on, if it wasn't
-	if report.Versions[w.model] >= w.version {
-		return w, nil
+	target.version = max(target.version, x.options.View.Published()[target.model])
+	u.Started = max(u.Started, report.Started) // it may have been unknown so far
+	if report.Versions[target.model] >= target.version {
+		return target, nil
 	}
 	if !report.Busy {
-		if err := x.order(ctx, u, w, permit, report.Orders); err != nil {
-			return w, err
+		if err := x.sendOrder(ctx, u, target, permit, report.Orders); err != nil {
+			return target, err
 		}
-		pause.For(ctx, loadFirstLook)
+		pause.For(ctx, minLoadTime)
 	}
-	return w, x.await(ctx, u, w.model, w.version, report.Orders)
+	return target, x.awaitVersion(ctx, u, target.model, target.version, report.Orders)
 }
 
-// restarted reports whether an engine's account isn't that of the known incarnation. A
-// newer start is noted, so that the next order expects its counts; what an earlier one
-// said changes nothing. The first start that is told is no restart.
-func (x *orders) restarted(u registry.Upstream, report Report) bool {
+// restarted reports whether a report is from another incarnation of an engine than the known
+// one. A newer start is entered into the registry, so that the next order expects the new
+// order count; a report of an older one changes nothing. The first start that an engine
+// reports isn't a restart.
+func (x *loader) restarted(u registry.Upstream, report Report) bool {
 	if report.Started == 0 || report.Started == u.Started {
 		return false
 	}
@@ -192,19 +195,20 @@
 		newer = reg.Restarted(u.ID, report.Started, report.Versions)
 	})
 	x.options.Logger.Warn().Str("upstream", u.Incarnation()).Int64("reported_start", report.Started).Bool("newer", newer).
-		Msg("engine reports another start than the known one")
+		Msg("engine reported a different start time than the known one")
 	return u.Started != 0
 }
 
-// order sends one order. An order without an answer isn't repeated here: the
-// engine's report tells whether it was taken.
-func (x *orders) order(ctx context.Context, u registry.Upstream, w weights, p loads.Permit, accepted int64) error {
+// sendOrder sends one load order. accepted is the number of orders that the engine has
+// accepted so far. An order without an answer isn't repeated here: the engine's next report
+// shows whether it was accepted.
+func (x *loader) sendOrder(ctx context.Context, u registry.Upstream, target loadTarget, p loads.Permit, accepted int64) error {
 	if x.options.Now() >= p.Until {
-		return errClaimAged
+		return errClaimExpired
 	}
 	ordersSent.Add(1)
-	outcome, err := x.options.Engines.Load(ctx, u, LoadOrder{Model: w.model, Version: w.version, Holder: x.options.VM, Fence: p.Fence, Orders: accepted, Retain: w.retain})
-	x.options.Logger.Info().Str("upstream", u.Incarnation()).Str("model", w.model).Int64("version", w.version).Bool("retain", w.retain).Int64("fence", p.Fence).
+	outcome, err := x.options.Engines.Load(ctx, u, LoadOrder{Model: target.model, Version: target.version, Holder: x.options.VM, Fence: p.Fence, Orders: accepted, Retain: target.retain})
+	x.options.Logger.Info().Str("upstream", u.Incarnation()).Str("model", target.model).Int64("version", target.version).Bool("retain", target.retain).Int64("fence", p.Fence).
 		Int64("orders_before", accepted).Int("outcome", int(outcome)).Err(err).Msg("load ordered")
 	switch outcome {
 	case LoadFenced:
@@ -215,43 +219,43 @@
 	return nil
 }
 
-// await polls an engine until it serves the version. An order that isn't under way
-// and wasn't taken ends the wait, so that it can be given again.
-func (x *orders) await(ctx context.Context, u registry.Upstream, model string, version, accepted int64) error {
-	limit := x.options.Now() + loadLimit
+// awaitVersion polls an engine until it serves the version. It returns early if the engine
+// is idle and hasn't accepted the order, so that the order can be sent again.
+func (x *loader) awaitVersion(ctx context.Context, u registry.Upstream, model string, version, accepted int64) error {
+	deadline := x.options.Now() + loadTimeout
 	failures := 0
-	for ctx.Err() == nil && x.options.Now() < limit {
+	for ctx.Err() == nil && x.options.Now() < deadline {
 		report, err := x.options.Engines.Report(ctx, u)
 		switch {
 		case err != nil:
 			failures++
 			if failures == 3 || errors.Is(err, ErrReplaced) {
-				return errors.Join(errLost, err)
+				return errors.Join(errEngineLost, err)
 			}
 		case x.restarted(u, report), report.Orders < accepted:
-			return errRestarted
+			return errEngineRestarted
 		case report.Versions[model] >= version:
 			return nil
 		case !report.Busy && report.Orders == accepted:
-			return errSlowLoad
+			return errNotLoaded
 		}
-		pause.For(ctx, loadPoll)
+		pause.For(ctx, loadPollInterval)
 	}
-	return errors.Join(errSlowLoad, ctx.Err())
+	return errors.Join(errNotLoaded, ctx.Err())
 }
 
 const (
-	// orderPause follows an order that failed.
-	orderPause = 300 * time.Millisecond
+	// loadRetryDelay is the wait after a failed load before the engine gets another order.
+	loadRetryDelay = 300 * time.Millisecond
 )
 
-// orderLocked begins a load of an engine.
-func (r *runner) orderLocked(ctx context.Context, u registry.Upstream, w weights) {
+// startLoadLocked starts a load on an engine in the background.
+func (r *runner) startLoadLocked(ctx context.Context, u registry.Upstream, target loadTarget) {
 	e := r.engineLocked(u.Incarnation())
 	e.loading = true
-	r.work.Go(func() {
+	r.tasks.Go(func() {
 		began := time.Now()
-		err := r.s.orders.load(ctx, u, w, func(l batch.Loaded) error { r.outbox.add(l); return nil })
+		err := r.s.loader.load(ctx, u, target, func(l batch.Loaded) error { r.outbox.add(l); return nil })
 		line := r.log.Info()
 		if err != nil {
 			line = r.log.Warn().Err(err)
@@ -259,21 +263,22 @@
 			loadsDone.Add(1)
 			loadTime.Observe(time.Since(began))
 		}
-		line.Str("upstream", u.Incarnation()).Str("model", w.model).Int64("version", w.version).Dur("took", time.Since(began)).Msg("load ended")
+		line.Str("upstream", u.Incarnation()).Str("model", target.model).Int64("version", target.version).Dur("took", time.Since(began)).Msg("load ended")
 		r.mu.Lock()
 		e.loading = false
 		e.vacantUntil = 0
 		if err != nil {
-			e.orderAfter = r.s.options.Now() + orderPause
+			e.orderAfter = r.s.options.Now() + loadRetryDelay
 		}
 		r.mu.Unlock()
 		r.wake()
 	})
 }
 
-// tellLoaded tells the next owner of a model's partition of a load. It stands among the
-// partition's records: behind each record of the claims' log claims have to be made again.
-func (x *orders) tellLoaded(ctx context.Context, part int, l batch.Loaded) error {
+// appendLoaded records a completed load in the model's partition, for the partition's next
+// owner. It is kept out of the claims log: while claims were conditional on the end of that
+// log, each further record made the claims under way fail.
+func (x *loader) appendLoaded(ctx context.Context, part int, l batch.Loaded) error {
 	data, err := batch.Encode(l)
 	if err != nil {
 		return err
--- a/internal/batchrun/outbox_test.go
+++ b/internal/batchrun/outbox_test.go
@@ -17,18 +17,18 @@
 func TestOwnerDoesNotRushAResettingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 3, "m0")
+		w := newTestCluster(t, 1, 1, 3, "m0")
 		defer w.stop()
-		w.engines.pace = 100 * time.Millisecond
+		w.engines.eventInterval = 100 * time.Millisecond
 		time.Sleep(2 * time.Second)
-		items := w.accept(g, "m0", "step", 2, 4, 1)
+		items := w.submitBatch(g, "m0", "step", 2, 4, 1)
 		time.Sleep(time.Second)
 		const outage = 4 * time.Second
 		before := w.vms[0].client.Calls().Writes
 		w.suffer(w.vms, metastore.Faults{Latency: time.Millisecond, Reset: true}, outage)
 		g.Expect(w.vms[0].client.Calls().Writes - before).To(BeNumerically("<=", 1+int(outage/outboxRetry)))
 		time.Sleep(5 * time.Second)
-		page, err := w.vms[0].current().Results(context.Background(), "b", 0, 0)
+		page, err := w.vms[0].daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(len(items)))
 	})
--- a/internal/batchrun/pace.go
+++ b/internal/batchrun/pace.go
@@ -3,41 +3,41 @@
 import "time"
 
 const (
-	// paceWeight is the part of a new gap in an engine's mean gap between events.
-	// With a dozen samples running it follows a slow-down within half a second.
-	paceWeight = 0.05
-	// paceLife is how long a pace counts without a new event.
-	paceLife = 2 * time.Second
-	// speedLife is the same for the engine's speed, which is a matter of its hardware or
-	// of a disturbance of several seconds.
-	speedLife = 10 * time.Second
+	// gapWeight is the weight of a new gap in an engine's moving average. With a dozen
+	// samples running, the average follows a slowdown within half a second.
+	gapWeight = 0.05
+	// gapMaxAge is how long an average is valid without a new event.
+	gapMaxAge = 2 * time.Second
+	// speedMaxAge is the same for the average at equal load, which changes only with the
+	// engine's hardware or during a disturbance of several seconds.
+	speedMaxAge = 10 * time.Second
 )
 
-// pace is the mean gap between the events of an engine's samples.
-type pace struct {
-	gap time.Duration
-	at  time.Duration
-	n   int
+// gapAverage is a moving average of the time between two events of a sample on an engine.
+type gapAverage struct {
+	average    time.Duration
+	observedAt time.Duration // when the last gap was observed
+	count      int           // of gaps observed
 }
 
-// observe takes the next gap. What was observed longer than life ago is forgotten.
-func (p *pace) observe(gap, now, life time.Duration) {
-	if now-p.at > life {
-		p.gap, p.n = 0, 0
+// observe adds a gap. The average starts again if the last gap is older than maxAge.
+func (g *gapAverage) observe(gap, now, maxAge time.Duration) {
+	if now-g.observedAt > maxAge {
+		g.average, g.count = 0, 0
 	}
-	p.at = now
-	p.n++
-	if p.n == 1 {
-		p.gap = gap
+	g.observedAt = now
+	g.count++
+	if g.count == 1 {
+		g.average = gap
 		return
 	}
-	p.gap += time.Duration(paceWeight * float64(gap-p.gap))
+	g.average += time.Duration(gapWeight * float64(gap-g.average))
 }
 
-// known returns the mean gap, 0 if too little was observed within life.
-func (p *pace) known(now, life time.Duration) time.Duration {
-	if p.n < minPaceEvents || now-p.at > life {
+// mean returns the average, 0 if there are too few gaps or the last is older than maxAge.
+func (g *gapAverage) mean(now, maxAge time.Duration) time.Duration {
+	if g.count < minPaceEvents || now-g.observedAt > maxAge {
 		return 0
 	}
-	return p.gap
+	return g.average
 }
--- a/internal/batchrun/partition.go
+++ b/internal/batchrun/partition.go
@@ -12,43 +12,44 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// partition is the state of one partition of the batches' topic at this daemon.
+// partition is this daemon's view of one partition of the batches topic.
 type partition struct {
 	number   int
-	follower *follow.Held // followed by its owner, and by whoever finds no owner to ask
+	follower *follow.Held // held by the partition's owner, and by calls that reach no owner
 	fleet    *fleet.View
 	now      func() time.Duration
 	log      zerolog.Logger
 
 	mu   sync.Mutex
-	live bool // records are applied as they are written, not replayed
+	live bool // the existing records have been read; further ones are applied as they are written
 
-	fold    *batch.Fold
-	waiters map[string]chan struct{} // by batch, closed at its next change
-	// The owner's; nil if this daemon isn't it. Both are called under mu.
-	wake      func()
-	onIgnored func(sampleKey)
+	state   *batch.Fold              // by the records read so far
+	waiters map[string]chan struct{} // by batch ID, closed at the batch's next change
+	// Callbacks of the owner, nil while this daemon isn't the owner. Called under mu.
+	wakeOwner       func()
+	onResultIgnored func(sampleKey)
 }
 
 func newPartition(number int, o Options) *partition {
-	p := &partition{number: number, fleet: o.View, now: o.Now, log: o.Logger, fold: batch.NewFold(), waiters: map[string]chan struct{}{}}
+	p := &partition{number: number, fleet: o.View, now: o.Now, log: o.Logger, state: batch.NewFold(), waiters: map[string]chan struct{}{}}
 	p.follower = follow.NewHeld(follow.HeldOptions{
-		Options: follow.Options{Log: o.Log, Topic: batchTopic, Part: number, Sink: p, Relaxed: p.relaxed, OnWhole: p.markLive, Now: o.Now, Logger: o.Logger},
-		Linger:  linger, OnForget: p.forget,
+		Options: follow.Options{Log: o.Log, Topic: batchTopic, Part: number, Sink: p, Relaxed: p.hasNoDependents, OnWhole: p.markLive, Now: o.Now, Logger: o.Logger},
+		Linger:  followLinger, OnForget: p.discard,
 	})
 	return p
 }
 
-// linger is how long a partition is followed on after the last need of it: a daemon that
-// had to answer for a batch itself is asked for the same one again within seconds.
-const linger = 10 * time.Second
+// followLinger is how long a partition is still followed after its last hold is released:
+// a daemon that had to answer for a batch itself is asked for the same one again within
+// seconds.
+const followLinger = 10 * time.Second
 
-// forget drops what was read. Nobody holds the view.
-func (p *partition) forget() {
+// discard drops the view's state. It is called when nobody holds the view any more.
+func (p *partition) discard() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.live = false
-	p.fold = batch.NewFold()
+	p.state = batch.NewFold()
 	for id, w := range p.waiters {
 		close(w)
 		delete(p.waiters, id)
@@ -59,101 +60,106 @@
 func (p *partition) Record(offset int64, data []byte) {
 	record, err := batch.Decode(data)
 	if err != nil {
-		p.log.Error().Err(err).Int("part", p.number).Int64("offset", offset).Msg("record skipped")
+		p.log.Error().Err(err).Int("part", p.number).Int64("offset", offset).Msg("skipped a malformed record")
 		return
 	}
 	if l, ok := record.(batch.Loaded); ok {
-		loaded(p.fleet, l)
+		recordLoaded(p.fleet, l)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	changed := p.fold.Apply(record, p.now())
+	changed := p.state.Apply(record, p.now())
 	if changed == nil {
-		p.ignoredLocked(record)
+		p.reportIgnoredLocked(record)
 		return
 	}
 	if _, accepted := record.(batch.Accepted); accepted && !p.live {
-		changed.Backdate(ageOf(changed.AcceptedMS))
+		changed.Backdate(batchAge(changed.AcceptedMS))
 	}
 	if waiter := p.waiters[changed.ID]; waiter != nil {
 		close(waiter)
 		delete(p.waiters, changed.ID)
 	}
-	if p.wake != nil {
-		p.wake()
+	if p.wakeOwner != nil {
+		p.wakeOwner()
 	}
 }
 
-// markLive notes that the oldest records are behind.
+// markLive is called once the existing records have been read.
 func (p *partition) markLive() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.live = true
 }
 
-// maxAge bounds what a wrong clock can make of a batch's age. Batches are run for less.
-const maxAge = time.Minute
+// maxBatchAge bounds a batch's age against wrong clocks. No batch runs for as long.
+const maxBatchAge = time.Minute
 
-// ageOf is how long ago a batch was accepted that is read of now. A daemon that takes a
-// partition over reads all of its batches at one moment; were they all new to it, the last
-// samples of an old step, which is nearly late, would wait behind the first of a new one.
-func ageOf(acceptedMS int64) time.Duration {
+// batchAge returns how long ago a batch was accepted, from the Unix time in ms in its
+// record. A daemon that takes a partition over reads the records of all its batches at
+// once. If it took them all for new, the last samples of an old step, which is nearly
+// late, would wait behind the first samples of a new one.
+func batchAge(acceptedMS int64) time.Duration {
 	if acceptedMS == 0 {
-		return 0 // the record doesn't tell
+		return 0 // not in the record
 	}
 	age := time.Duration(time.Now().UnixMilli()-acceptedMS) * time.Millisecond
-	return min(max(age, 0), maxAge)
+	return min(max(age, 0), maxBatchAge)
 }
 
-// ignoredLocked tells the owner of a result that didn't count: its text went on
-// from another one than what the log keeps, so the sample has to run again.
-func (p *partition) ignoredLocked(record any) {
+// reportIgnoredLocked tells the owner that a result had no effect: its text doesn't
+// continue the one that the log keeps, so the sample has to run again.
+func (p *partition) reportIgnoredLocked(record any) {
 	r, ok := record.(batch.Result)
-	if !ok || p.onIgnored == nil {
+	if !ok || p.onResultIgnored == nil {
 		return
 	}
-	if b := p.fold.Get(r.Batch); b != nil && r.Item < len(b.Samples) && b.Samples[r.Item].State == batch.Open {
-		p.onIgnored(sampleKey{r.Batch, r.Item})
+	if b := p.state.Get(r.Batch); b != nil && r.Item < len(b.Samples) && b.Samples[r.Item].State == batch.Open {
+		p.onResultIgnored(sampleKey{r.Batch, r.Item})
 	}
 }
 
-// Gap: the topic is kept longer than any batch has to be, so what is missing
-// belongs to batches that are over.
+// Gap is called when records before an offset are missing. The topic's retention is longer
+// than any batch has to be kept, so they belong to batches that are over.
 func (p *partition) Gap(first int64) {
-	p.log.Warn().Int("part", p.number).Int64("first_kept", first).Msg("records of old batches are gone")
+	p.log.Warn().Int("part", p.number).Int64("first_kept", first).Msg("records of old batches have expired")
 }
 
-// Reset is never called: the topic has no keys.
+// Reset is never called: the topic isn't keyed.
 func (p *partition) Reset([]store.Entry) {}
 
-// relaxed: neither an owner nor a reader here depends on the partition.
-func (p *partition) relaxed() bool {
+// hasNoDependents reports whether neither an owner nor a reader on this daemon depends on
+// the partition.
+func (p *partition) hasNoDependents() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.wake == nil && len(p.waiters) == 0
+	return p.wakeOwner == nil && len(p.waiters) == 0
 }
 
-func (p *partition) setOwner(wake func(), onIgnored func(sampleKey)) {
+// setOwnerCallbacks sets the callbacks of the partition's owner; nil for none.
+func (p *partition) setOwnerCallbacks(wake func(), onIgnored func(sampleKey)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wake = wake
-	p.onIgnored = onIgnored
+	p.wakeOwner = wake
+	p.onResultIgnored = onIgnored
 }
 
-// view runs a function on a batch under the lock; b is nil if there is none.
-func (p *partition) view(id string, f func(b *batch.Batch)) {
+// withBatch calls a function with a batch under the lock; b is nil if there is no such
+// batch.
+func (p *partition) withBatch(id string, f func(b *batch.Batch)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f(p.fold.Get(id))
+	f(p.state.Get(id))
 }
 
-// batchSize is the number of samples of the model's last batch, 0 if there was none.
-func (p *partition) batchSize(model string) int {
+// lastBatchSize returns the number of samples in the model's last batch, 0 if there was
+// none.
+func (p *partition) lastBatchSize(model string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	size := 0
-	for _, b := range p.fold.All() {
+	for _, b := range p.state.All() {
 		if b.Model == model {
 			size = len(b.Samples)
 		}
@@ -161,13 +167,13 @@
 	return size
 }
 
-func (p *partition) has(id string) bool {
+func (p *partition) hasBatch(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.Get(id) != nil
+	return p.state.Get(id) != nil
 }
 
-// waiter returns a channel that is closed at the batch's next change.
+// waiterLocked returns a channel that is closed at the batch's next change.
 func (p *partition) waiterLocked(id string) <-chan struct{} {
 	w := p.waiters[id]
 	if w == nil {
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -13,60 +13,66 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// serveLocked places a model's waiting samples and looks after its engines' weights.
-func (r *runner) serveLocked(ctx context.Context, config *routes.Config, model string, w *modelWork, now time.Duration) {
-	shape := config.Services[w.service].Engine
-	if shape == nil {
+// reconcileModelLocked starts a model's waiting samples and keeps its engines' weights
+// current.
+func (r *runner) reconcileModelLocked(ctx context.Context, config *routes.Config, model string, w *modelWork, now time.Duration) {
+	settings := config.Services[w.service].Engine
+	if settings == nil {
 		return
 	}
-	share := r.s.shares.of(w.service, shape, r.demand(), model)
-	if r.inTouch() {
-		// A sample that leaves its engine has to be placed again, which waits for the store.
-		r.moveLocked(model, share, w, now)
-		r.placeLocked(ctx, model, share, w, now)
+	engines := r.s.allocator.enginesFor(w.service, settings, r.allocationDemand(), model)
+	if r.inContact() {
+		// Out of contact no sample is moved: it could not be started on another engine
+		// before the store is back.
+		r.moveLocked(model, engines, w, now)
+		r.scheduleLocked(ctx, model, engines, w, now)
 	}
-	r.loadLocked(ctx, model, share, w, now)
+	r.planLoadsLocked(ctx, model, engines, w, now)
 }
 
-// demand returns by what the engines are divided, nil for equally.
-func (r *runner) demand() map[string]int {
+// allocationDemand returns the demand by model by which engines are allocated, nil for an
+// equal split.
+func (r *runner) allocationDemand() map[string]int {
 	if !r.s.options.Policy.On(policy.Demand) {
 		return nil
 	}
-	return r.s.homes.demand()
+	return r.s.modelPartitions.demand()
 }
 
-func (r *runner) placeLocked(ctx context.Context, model string, share []registry.Upstream, w *modelWork, now time.Duration) {
+// scheduleLocked starts waiting samples on engines as the policy plans, and at most one
+// trial.
+func (r *runner) scheduleLocked(ctx context.Context, model string, engines []registry.Upstream, w *modelWork, now time.Duration) {
 	if len(w.waiting) == 0 {
 		return
 	}
-	speeds := r.speedsLocked(share, now)
-	var engines []batch.Engine
-	for _, u := range share {
+	speeds := r.speedsLocked(engines, now)
+	var candidates []batch.Engine
+	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
 		if r.unusableLocked(u.Incarnation(), now) {
 			continue
 		}
-		engines = append(engines, batch.Engine{ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Pace: speeds[u.Incarnation()]})
+		candidates = append(candidates, batch.Engine{ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Pace: speeds[u.Incarnation()]})
 	}
-	ordinary, trials := r.trialsLocked(w.waiting)
-	for _, start := range r.s.options.Policy.Plan(ordinary, engines, now) {
-		at := slices.IndexFunc(share, func(u registry.Upstream) bool { return u.Incarnation() == start.Engine })
-		r.startLocked(ctx, model, share[at], start.Waiting)
+	ordinary, trials := r.splitTrialsLocked(w.waiting)
+	for _, start := range r.s.options.Policy.PlanSamples(ordinary, candidates, now) {
+		at := slices.IndexFunc(engines, func(u registry.Upstream) bool { return u.Incarnation() == start.Engine })
+		r.startLocked(ctx, model, engines[at], start.Waiting)
 	}
-	r.tryLocked(ctx, model, share, trials, now)
+	r.startTrialLocked(ctx, model, engines, trials, now)
 	w.waiting = slices.DeleteFunc(w.waiting, func(x batch.Waiting) bool {
 		return r.runs[sampleKey{x.Batch, x.Index}] != nil
 	})
 }
 
-func (r *runner) loadLocked(ctx context.Context, model string, share []registry.Upstream, w *modelWork, now time.Duration) {
-	if r.s.orders.follower.Age() > follow.StaleAfter {
-		// No claim can be written now. Engines would be vacated for loads that fail, and
-		// their samples move from one to the other until the store is back.
+// planLoadsLocked starts the loads and evictions that the policy plans.
+func (r *runner) planLoadsLocked(ctx context.Context, model string, engines []registry.Upstream, w *modelWork, now time.Duration) {
+	if r.s.loader.follower.Age() > follow.StaleAfter {
+		// No claim can be appended now. Samples would be evicted from one engine after
+		// another for loads that fail, until the store is back.
 		return
 	}
-	in := loads.Input{Newest: r.s.options.View.Published()[model], Next: w.next, Waiting: len(w.waiting), Active: w.active,
+	in := loads.Input{Newest: r.s.options.View.Published()[model], Next: w.nextMinVersion, Waiting: len(w.waiting), Active: w.active,
 		Retain: !w.singleVersion && r.s.options.Policy.On(policy.Retain)}
 	if !r.s.options.Policy.On(policy.SparedLoads) {
 		in.Next = 0
@@ -74,31 +80,32 @@
 	for _, x := range w.waiting {
 		in.Needed = max(in.Needed, x.MinVersion)
 	}
-	for _, u := range share {
+	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
 		in.Engines = append(in.Engines, loads.Engine{
 			ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Loading: e.loading, Vacated: now < e.vacantUntil,
 			Usable: !r.suspect(u.Incarnation(), now) && now >= e.orderAfter,
 		})
 	}
-	plan := r.s.options.Policy.Loads(in)
+	plan := r.s.options.Policy.PlanLoads(in)
 	for _, id := range plan.Load {
-		at := slices.IndexFunc(share, func(u registry.Upstream) bool { return u.Incarnation() == id })
-		r.orderLocked(ctx, share[at], weights{model, in.Newest, in.Retain, r.part.number})
+		at := slices.IndexFunc(engines, func(u registry.Upstream) bool { return u.Incarnation() == id })
+		r.startLoadLocked(ctx, engines[at], loadTarget{model, in.Newest, in.Retain, r.partition.number})
 	}
 	for _, id := range plan.Vacate {
-		r.vacateLocked(id, now)
+		r.evictLocked(id, now)
 	}
 }
 
-// vacateTime is how long a vacated engine gets no samples: its load follows as
-// soon as its last run has ended.
-const vacateTime = 500 * time.Millisecond
+// evictionTime is how long an engine gets no samples after its runs were evicted. Its load
+// starts as soon as the last of them has ended.
+const evictionTime = 500 * time.Millisecond
 
-func (r *runner) vacateLocked(id string, now time.Duration) {
-	r.engineLocked(id).vacantUntil = now + vacateTime
+// evictLocked moves all runs off an engine, given by its incarnation.
+func (r *runner) evictLocked(incarnation string, now time.Duration) {
+	r.engineLocked(incarnation).vacantUntil = now + evictionTime
 	for _, x := range r.runs {
-		if x.engine == id {
+		if x.incarnation == incarnation {
 			x.cancel(errMoved)
 		}
 	}
--- a/internal/batchrun/policy.go
+++ b/internal/batchrun/policy.go
@@ -8,28 +8,29 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/policy"
 )
 
-// Policy is the set of decisions on which samples run where and which engines load.
+// Policy decides which samples run where and which engines load weights.
 type Policy struct {
-	policy.Set
-	// Plan chooses which waiting samples start now.
-	Plan func(waiting []batch.Waiting, engines []batch.Engine, now time.Duration) []batch.Start
-	// Loads chooses the engines that load weights now.
-	Loads func(loads.Input) loads.Plan
+	policy.Set // which mechanisms are on
+	// PlanSamples chooses which waiting samples start now.
+	PlanSamples func(waiting []batch.Waiting, engines []batch.Engine, now time.Duration) []batch.Start
+	// PlanLoads chooses the engines that load weights now.
+	PlanLoads func(loads.Input) loads.Plan
 }
 
-// Ours is the policy that daemons run, with some mechanisms off for a measurement.
+// Ours returns the policy that daemons run. For measurements a set may switch some of its
+// mechanisms off.
 func Ours(set policy.Set) Policy {
 	planner := batch.Planner{
 		Arrival: !set.On(policy.LatestStart), AnyVersion: !set.On(policy.Fitting), AnySpeed: !set.On(policy.Hardware),
 	}
-	return Policy{Set: set, Plan: planner.Plan, Loads: loads.Decide}
+	return Policy{Set: set, PlanSamples: planner.Plan, PlanLoads: loads.Decide}
 }
 
-// Naive is what a first version would do; it keeps every promise. It is the baseline
-// that Ours is measured against.
+// Naive returns a simple policy that gives all the same guarantees. It is the baseline that
+// Ours is measured against.
 func Naive() Policy {
 	return Policy{
-		Set:  policy.Without(policy.Moves, policy.Hardware, policy.Demand, policy.Retain, policy.SparedLoads, policy.Suspicion, policy.Trials),
-		Plan: batch.PlanInTurn, Loads: loads.DecideAtOnce,
+		Set:         policy.Without(policy.Moves, policy.Hardware, policy.Demand, policy.Retain, policy.SparedLoads, policy.Suspicion, policy.Trials),
+		PlanSamples: batch.PlanInTurn, PlanLoads: loads.DecideAtOnce,
 	}
 }
--- a/internal/batchrun/promises_test.go
+++ b/internal/batchrun/promises_test.go
@@ -28,7 +28,7 @@
 }
 
 // follow reads a batch on at a VM and compares what was read before.
-func (l *trainerLog) follow(w *world, s *Service, from int, wait time.Duration) {
+func (l *trainerLog) follow(w *testCluster, s *Service, from int, wait time.Duration) {
 	page, err := s.Results(context.Background(), l.id, from, wait)
 	if err != nil {
 		if errors.Is(err, ErrNotFound) && time.Since(l.accepted) > time.Second {
@@ -44,7 +44,7 @@
 	}
 }
 
-func (l *trainerLog) compare(w *world, at int, r Result) {
+func (l *trainerLog) compare(w *testCluster, at int, r Result) {
 	if at < len(l.results) {
 		if before := l.results[at]; before.ID != r.ID || before.State != r.State || before.Text != r.Text || before.Score != r.Score {
 			w.t.Errorf("batch %s: position %d was %s, is %s", l.id, at, before.ID, r.ID)
@@ -66,7 +66,7 @@
 }
 
 // trainer submits, reads and ends batches at any VM, one after the other.
-func (w *world) trainer(model string, random *rand.Rand, steps int) []*trainerLog {
+func (w *testCluster) trainer(model string, random *rand.Rand, steps int) []*trainerLog {
 	var logs []*trainerLog
 	version := int64(1)
 	for step := range steps {
@@ -88,10 +88,12 @@
 	return logs
 }
 
-func (w *world) any(random *rand.Rand) *Service { return w.vms[random.IntN(len(w.vms))].current() }
+func (w *testCluster) any(random *rand.Rand) *Service {
+	return w.vms[random.IntN(len(w.vms))].daemon()
+}
 
-func (w *world) submit(l *trainerLog, random *rand.Rand, minVersion int64) {
-	head, items, requests := sampleBatch(l.model, l.id, 3, 4, minVersion)
+func (w *testCluster) submit(l *trainerLog, random *rand.Rand, minVersion int64) {
+	head, items, requests := newBatch(l.model, l.id, 3, 4, minVersion)
 	l.samples = len(items)
 	for range 8 {
 		s := w.any(random)
@@ -112,7 +114,7 @@
 	}
 }
 
-func (w *world) readOn(l *trainerLog, random *rand.Rand) {
+func (w *testCluster) readOn(l *trainerLog, random *rand.Rand) {
 	limit := time.Now().Add(12 * time.Second)
 	for time.Now().Before(limit) && len(l.results) < l.samples {
 		if s := w.any(random); s != nil {
@@ -123,7 +125,7 @@
 	}
 }
 
-func (w *world) end(l *trainerLog, random *rand.Rand) {
+func (w *testCluster) end(l *trainerLog, random *rand.Rand) {
 	for range 5 {
 		if s := w.any(random); s != nil && s.End(context.Background(), l.id) == nil {
 			l.ended = true
@@ -134,24 +136,24 @@
 }
 
 // trouble plays faults until the time is up, and heals everything.
-func (w *world) trouble(random *rand.Rand, until time.Time) {
+func (w *testCluster) trouble(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(300+random.IntN(2500)) * time.Millisecond)
 		v := w.vms[random.IntN(len(w.vms))]
 		lasting := time.Duration(200+random.IntN(4000)) * time.Millisecond
 		switch random.IntN(9) {
 		case 0:
-			w.killAll([]*vm{v}, lasting/2)
+			w.killAll([]*testVM{v}, lasting/2)
 		case 1:
 			w.killAll(w.vms, lasting/4)
 		case 2:
-			w.suffer([]*vm{v}, metastore.Faults{Cut: true}, lasting)
+			w.suffer([]*testVM{v}, metastore.Faults{Cut: true}, lasting)
 		case 3:
-			w.suffer(w.vms, metastore.Faults{Refuse: true, Latency: storeAnswer}, lasting)
+			w.suffer(w.vms, metastore.Faults{Refuse: true, Latency: storeLatency}, lasting)
 		case 4:
 			w.suffer(w.vms, metastore.Faults{Latency: 240 * time.Millisecond}, lasting)
 		case 5:
-			w.suffer(w.vms, metastore.Faults{Latency: storeAnswer, LoseAnswer: func() bool { return w.engines.chance(0.4) }}, lasting)
+			w.suffer(w.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return w.engines.chance(0.4) }}, lasting)
 		case 6:
 			late := func(string) time.Duration {
 				if w.engines.chance(0.35) {
@@ -159,7 +161,7 @@
 				}
 				return 0
 			}
-			w.suffer(w.vms, metastore.Faults{Latency: storeAnswer, Late: late}, lasting)
+			w.suffer(w.vms, metastore.Faults{Latency: storeLatency, Late: late}, lasting)
 		case 7:
 			w.store.Redeal(ownersGroup)
 		case 8:
@@ -168,7 +170,7 @@
 	}
 }
 
-func (w *world) killAll(list []*vm, down time.Duration) {
+func (w *testCluster) killAll(list []*testVM, down time.Duration) {
 	for _, v := range list {
 		w.kill(v)
 	}
@@ -178,19 +180,19 @@
 	}
 }
 
-func (w *world) suffer(list []*vm, f metastore.Faults, lasting time.Duration) {
+func (w *testCluster) suffer(list []*testVM, f metastore.Faults, lasting time.Duration) {
 	for _, v := range list {
 		v.client.SetFaults(f)
 	}
 	time.Sleep(lasting)
 	for _, v := range list {
-		v.client.SetFaults(metastore.Faults{Latency: storeAnswer})
+		v.client.SetFaults(metastore.Faults{Latency: storeLatency})
 	}
 }
 
-func (w *world) drain(v *vm) {
-	v.current().Drain(context.Background())
-	w.killAll([]*vm{v}, 0)
+func (w *testCluster) drain(v *testVM) {
+	v.daemon().Drain(context.Background())
+	w.killAll([]*testVM{v}, 0)
 }
 
 // A trainer's step goes through daemons that die, stop and start, over a store that
@@ -220,7 +222,7 @@
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, seed, 3, 4, "m0", "m1")
+				w := newTestCluster(t, seed, 3, 4, "m0", "m1")
 				go w.crashEngines(rand.New(rand.NewPCG(seed, 4)), time.Now().Add(30*time.Second))
 				w.playPromises(seed)
 			})
@@ -228,7 +230,7 @@
 	}
 }
 
-func (w *world) crashEngines(random *rand.Rand, until time.Time) {
+func (w *testCluster) crashEngines(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 		if id := fmt.Sprint("e", random.IntN(4)); !w.engines.isDown(id) {
@@ -238,12 +240,12 @@
 }
 
 func playPromises(t *testing.T, seed uint64, policy Policy) {
-	newWorldWith(t, policy, seed, 4, 3, 4, "m0", "m1").playPromises(seed)
+	newTestClusterWithPolicy(t, policy, seed, 4, 3, 4, "m0", "m1").playPromises(seed)
 }
 
-func (w *world) playPromises(seed uint64) {
+func (w *testCluster) playPromises(seed uint64) {
 	g := NewWithT(w.t)
-	w.engines.broken, w.engines.refuses, w.engines.buffered = 0.01, 0.05, 0.5
+	w.engines.breakRate, w.engines.refuseRate, w.engines.bufferedRate = 0.01, 0.05, 0.5
 	w.scorer.broken = 0.1
 	var trainers sync.WaitGroup
 	var mu sync.Mutex
@@ -276,16 +278,16 @@
 }
 
 // checkAtEnd reads a batch from the start at a VM that is in touch.
-func (w *world) checkAtEnd(l *trainerLog, v *vm) {
+func (w *testCluster) checkAtEnd(l *trainerLog, v *testVM) {
 	g := NewWithT(w.t)
 	if l.accepted.IsZero() {
-		_, err := v.current().Results(context.Background(), l.id, 0, 0)
+		_, err := v.daemon().Results(context.Background(), l.id, 0, 0)
 		g.Expect(err).To(MatchError(ErrNotFound), "batch %s was refused as not run", l.id)
 		return
 	}
 	for from := 0; from < len(l.results); {
 		before := from
-		page, err := v.current().Results(context.Background(), l.id, from, 0)
+		page, err := v.daemon().Results(context.Background(), l.id, from, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		for i, r := range page.Results {
 			l.compare(w, from+i, r)
@@ -293,9 +295,9 @@
 		from = page.Next
 		g.Expect(from).To(BeNumerically(">", before))
 	}
-	l.follow(w, v.current(), len(l.results), 0)
+	l.follow(w, v.daemon(), len(l.results), 0)
 	if !l.ended {
 		g.Expect(l.results).To(HaveLen(l.samples), "batch %s is whole in the end", l.id)
 	}
-	g.Expect(dead(l.results)).To(BeZero(), "no sample failed, so none is given up")
+	g.Expect(countGivenUp(l.results)).To(BeZero(), "no sample failed, so none is given up")
 }
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -57,7 +57,7 @@
 // partition that is owned here has each record within some ms. A store that doesn't answer
 // in time leaves the view as it is: what it has is true.
 func (s *Service) freshen(ctx context.Context, p *partition) {
-	if !p.relaxed() || p.follower.Age() <= freshAge || !p.follower.InContact() || !s.options.Policy.On(policy.Closing) {
+	if !p.hasNoDependents() || p.follower.Age() <= freshAge || !p.follower.InContact() || !s.options.Policy.On(policy.Closing) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, freshWait)
@@ -145,7 +145,7 @@
 
 func (p *partition) count(id string) int {
 	n := 0
-	p.view(id, func(b *batch.Batch) {
+	p.withBatch(id, func(b *batch.Batch) {
 		if b != nil {
 			n = len(b.Listed)
 		}
@@ -157,7 +157,7 @@
 func (p *partition) list(id string, after int) (l Listing, changed <-chan struct{}, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.fold.Get(id)
+	b := p.state.Get(id)
 	if b == nil {
 		return Listing{}, nil, false
 	}
@@ -252,7 +252,7 @@
 	defer release()
 	found := false
 	out := BodyAt{Part: p.number}
-	p.view(id, func(b *batch.Batch) {
+	p.withBatch(id, func(b *batch.Batch) {
 		if b == nil {
 			return
 		}
--- a/internal/batchrun/read_test.go
+++ b/internal/batchrun/read_test.go
@@ -14,9 +14,9 @@
 )
 
 // ownsHomeOf reports whether a daemon runs the batches of a model.
-func (v *vm) ownsHomeOf(model string) bool {
-	s := v.current()
-	home := s.partitionOf(model)
+func (v *testVM) ownsHomeOf(model string) bool {
+	s := v.daemon()
+	home := s.partitionForModel(model)
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
 	return home != nil && s.owner.runners[home.number] != nil
@@ -29,37 +29,37 @@
 func TestNoResultYetIsConfirmedOnAnOldView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 2, "m0")
+		w := newTestCluster(t, 1, 2, 2, "m0")
 		defer w.stop()
-		w.engines.pace = 400 * time.Millisecond
+		w.engines.eventInterval = 400 * time.Millisecond
 		time.Sleep(2 * time.Second)
 		name := "old"
-		for length("m0-"+name+"-0-0") > 3 { // the result is due some 1.2 s after submission
+		for sampleLength("m0-"+name+"-0-0") > 3 { // the result is due some 1.2 s after submission
 			name += "y"
 		}
-		w.accept(g, "m0", name, 1, 1, 1)
+		w.submitBatch(g, "m0", name, 1, 1, 1)
 		time.Sleep(200 * time.Millisecond)
 		owner, reader := w.vms[0], w.vms[1]
 		if reader.ownsHomeOf("m0") {
 			owner, reader = reader, owner
 		}
-		part := reader.current().partitionOf("m0")
+		part := reader.daemon().partitionForModel("m0")
 		defer part.follower.Hold()() // it answered for the batch a moment ago
 		time.Sleep(100 * time.Millisecond)
 		reader.client.SetFaults(metastore.Faults{Cut: true})
 		time.Sleep(follow.PollWait + 10*time.Millisecond) // reads hang from here on
 		listed := func() int {
-			page, err := owner.current().Results(context.Background(), "b", 0, 0)
+			page, err := owner.daemon().Results(context.Background(), "b", 0, 0)
 			g.Expect(err).NotTo(HaveOccurred())
 			return len(page.Results)
 		}
 		for listed() == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		reader.client.SetFaults(metastore.Faults{Latency: storeAnswer})
+		reader.client.SetFaults(metastore.Faults{Latency: storeLatency})
 		g.Expect(part.count("b")).To(BeZero(), "the reader's own view lacks the result")
 		g.Expect(part.follower.Age()).To(BeNumerically("<", follow.StaleAfter), "and isn't out of touch")
-		page, err := reader.current().Results(context.Background(), "b", 0, 0)
+		page, err := reader.daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).NotTo(BeEmpty())
 	})
@@ -71,12 +71,12 @@
 func TestReadWaitsForTheLastScore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 4, scoredModel)
+		w := newTestCluster(t, 1, 2, 4, scoredModel)
 		defer w.stop()
-		w.scorer.takes = scoreTakes / 2
+		w.scorer.takes = scoreDuration / 2
 		w.scorer.fails["m1-last-0-1"] = 1 // its score comes one call later than the others
 		items := submitScored(g, w, "last", 2)
-		page, err := w.vms[1].current().Results(context.Background(), "b", 0, 20*time.Second)
+		page, err := w.vms[1].daemon().Results(context.Background(), "b", 0, 20*time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(len(items)))
 	})
@@ -87,7 +87,7 @@
 func TestReadDoesNotWaitLongForAScore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 4, scoredModel)
+		w := newTestCluster(t, 1, 1, 4, scoredModel)
 		defer w.stop()
 		w.scorer.fails["m1-never-0-1"] = 9
 		w.scorer.takes = 2 * time.Second
@@ -96,7 +96,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		began := time.Now()
-		page, err := w.vms[0].current().Results(context.Background(), "b", 0, 20*time.Second)
+		page, err := w.vms[0].daemon().Results(context.Background(), "b", 0, 20*time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(1))
 		g.Expect(time.Since(began)).To(BeNumerically("<=", closingWait+50*time.Millisecond))
@@ -109,10 +109,10 @@
 func TestReadSeesTheNewestResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 3, 4, scoredModel)
+		w := newTestCluster(t, 1, 3, 4, scoredModel)
 		defer w.stop()
 		items := submitScored(g, w, "newest", 2)
-		var owner, idle *vm
+		var owner, idle *testVM
 		for _, v := range w.vms {
 			if v.ownsHomeOf(scoredModel) {
 				owner = v
@@ -128,9 +128,9 @@
 }
 
 // listed is what a daemon's view has of a batch's results.
-func (v *vm) listed(id string) (out []int) {
-	if p := v.current().find(id); p != nil {
-		p.view(id, func(b *batch.Batch) { out = b.Listed })
+func (v *testVM) listed(id string) (out []int) {
+	if p := v.daemon().partitionForBatch(id); p != nil {
+		p.withBatch(id, func(b *batch.Batch) { out = b.Listed })
 	}
 	return out
 }
@@ -141,12 +141,12 @@
 func TestTextsAtHandAreGivenWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 2, "m0")
+		w := newTestCluster(t, 1, 1, 2, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		ctx := context.Background()
-		head, items, requests := sampleBatch("m0", "hand", 1, 2, 1)
-		s := w.vms[0].current()
+		head, items, requests := newBatch("m0", "hand", 1, 2, 1)
+		s := w.vms[0].daemon()
 		g.Expect(s.Submit(ctx, "b", head, items, requests)).To(Succeed())
 		time.Sleep(10 * time.Second)
 		l, err := s.Here().List(ctx, "b", 0, 0)
--- a/internal/batchrun/requests.go
+++ b/internal/batchrun/requests.go
@@ -21,7 +21,7 @@
 	}
 	r.requests[b.ID] = nil
 	head, id, samples := b.Head, b.ID, len(b.Samples)
-	r.work.Go(func() { r.readRequests(ctx, id, head, samples) })
+	r.tasks.Go(func() { r.readRequests(ctx, id, head, samples) })
 	return nil
 }
 
@@ -30,7 +30,7 @@
 	for i := range head.RequestCounts {
 		offsets = append(offsets, head.RequestsAt+int64(i))
 	}
-	found, err := r.s.blobs.get(ctx, r.part.number, offsets, nil)
+	found, err := r.s.blobs.get(ctx, r.partition.number, offsets, nil)
 	var requests []batch.Request
 	for _, at := range offsets {
 		if err != nil {
--- a/internal/batchrun/rescue.go
+++ b/internal/batchrun/rescue.go
@@ -40,7 +40,7 @@
 func (r *runner) speedsLocked(share []registry.Upstream, now time.Duration) map[string]float64 {
 	var speeds []batch.Pace
 	for _, u := range share {
-		speeds = append(speeds, batch.Pace{Engine: u.Incarnation(), Gap: r.engineLocked(u.Incarnation()).speed.known(now, speedLife)})
+		speeds = append(speeds, batch.Pace{Engine: u.Incarnation(), Gap: r.engineLocked(u.Incarnation()).speed.mean(now, speedMaxAge)})
 	}
 	return batch.Relative(speeds)
 }
@@ -64,7 +64,7 @@
 			if room == 0 {
 				return
 			}
-			if now-x.began >= tailAge {
+			if now-x.startedAt >= tailAge {
 				x.cancel(errMoved)
 				room--
 			}
@@ -79,7 +79,7 @@
 	room := 0
 	for _, u := range share {
 		e := r.engineLocked(u.Incarnation())
-		paces = append(paces, batch.Pace{Engine: u.Incarnation(), Gap: e.pace.known(now, paceLife)})
+		paces = append(paces, batch.Pace{Engine: u.Incarnation(), Gap: e.pace.mean(now, gapMaxAge)})
 		if !r.unusableLocked(u.Incarnation(), now) {
 			room += max(0, u.Slots-e.running)
 		}
@@ -92,13 +92,13 @@
 		e.slowTo = now + slowAvoidance
 		own := r.runsOnLocked(id)
 		moved := min(len(own), room)
-		r.log.Info().Str("upstream", id).Str("model", model).Dur("gap", e.pace.gap).Int("running", len(own)).
+		r.log.Info().Str("upstream", id).Str("model", model).Dur("gap", e.pace.average).Int("running", len(own)).
 			Int("moved", moved).Msg("engine is slow, moving samples")
 		for _, x := range own[:moved] {
 			x.cancel(errMoved)
 		}
 		room -= moved
-		e.pace = pace{}
+		e.pace = gapAverage{}
 	}
 }
 
@@ -107,10 +107,10 @@
 func (r *runner) runsOnLocked(id string) []*run {
 	var out []*run
 	for _, x := range r.runs {
-		if x.engine == id {
+		if x.incarnation == id {
 			out = append(out, x)
 		}
 	}
-	slices.SortFunc(out, func(a, b *run) int { return cmp.Compare(b.began, a.began) })
+	slices.SortFunc(out, func(a, b *run) int { return cmp.Compare(b.startedAt, a.startedAt) })
 	return out
 }
--- a/internal/batchrun/rescue_test.go
+++ b/internal/batchrun/rescue_test.go
@@ -22,14 +22,14 @@
 func TestLongSamplesLeaveSlowerHardware(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 3, "m0")
+		w := newTestCluster(t, 1, 2, 3, "m0")
 		defer w.stop()
-		w.engines.pace = 100 * time.Millisecond
-		w.engines.slower["e0"] = 1.4
+		w.engines.eventInterval = 100 * time.Millisecond
+		w.engines.slowdown["e0"] = 1.4
 		time.Sleep(2 * time.Second)
 		submit := func(name string, samples int) {
-			head, items, requests := sampleBatch("m0", name, 1, samples, 1)
-			g.Expect(w.vms[0].current().Submit(context.Background(), name, head, items, requests)).To(Succeed())
+			head, items, requests := newBatch("m0", name, 1, samples, 1)
+			g.Expect(w.vms[0].daemon().Submit(context.Background(), name, head, items, requests)).To(Succeed())
 			time.Sleep(10 * time.Second)
 		}
 		submit("first", 24) // every engine gets some, and its speed shows
@@ -67,8 +67,8 @@
 			}
 		}
 		ctx, cancel := context.WithCancelCause(context.Background())
-		r.runs[sampleKey{"b", 0}] = &run{ctx: ctx, cancel: cancel, engine: "e0", began: time.Minute - time.Second}
-		r.serveLocked(context.Background(), config, "m0", &modelWork{service: "engines"}, time.Minute)
+		r.runs[sampleKey{"b", 0}] = &run{ctx: ctx, cancel: cancel, incarnation: "e0", startedAt: time.Minute - time.Second}
+		r.reconcileModelLocked(context.Background(), config, "m0", &modelWork{service: "engines"}, time.Minute)
 		g.Expect(ctx.Err() != nil).To(Equal(inTouch))
 	}
 }
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -18,116 +18,121 @@
 )
 
 const (
-	// checkpointInterval is between two records of unfinished text: what a sample
-	// loses at most when its owner dies, beside the time until the next owner has it.
+	// checkpointInterval is the time between two checkpoints of unfinished text. It is the
+	// most generation time that a sample loses when its owner dies, apart from the time
+	// until the next owner takes it over.
 	checkpointInterval = 400 * time.Millisecond
-	// idleLook is between two looks at a partition without work.
-	idleLook = 1000 * time.Millisecond
+	// idleInterval is the time between two reconcile passes of a partition without work.
+	idleInterval = 1000 * time.Millisecond
 )
 
-// runner runs the samples of one partition and orders its models' engines.
+// runner runs the samples of one partition and orders its models' engines to load weights.
 type runner struct {
-	s       *Service
-	part    *partition
-	outbox  *outbox
-	inTouch func() bool
-	log     zerolog.Logger
-	wakes   chan struct{}
-	cancel  context.CancelFunc
-	loop    sync.WaitGroup
-	work    sync.WaitGroup // streams and orders
-
-	mu       sync.Mutex
-	stopping bool
-	settling bool // a model without a partition is being given one
-	// upstreams is the release of the hold on all upstreams, nil while none is needed.
-	upstreams func()
-	noteAt    map[string]time.Duration // by model: not before its demand may be noted again
-	runs      map[sampleKey]*run
-	texts     map[sampleKey]*text
-	scores    map[sampleKey]*scoring
-	// estimator learns how long samples run, all models' alike: they share engines.
-	estimator *batch.Estimator
-	finished  map[sampleKey]bool // a result is on its way to the log
-	retries   map[sampleKey]rerun
-	crashes   *crashes.Samples[sampleKey]
-	checks    map[string][]brokenRun // by incarnation: runs that broke there while it is looked at
-	engines   map[string]*engine
-	requests  map[string][]batch.Request // of open batches; nil while they are read
-	rejected  []sampleKey                // results that didn't count, under rejectedMu
-
-	rejectedMu sync.Mutex // taken under the partition's lock, so it isn't mu
+	s         *Service
+	partition *partition
+	outbox    *outbox
+	inContact func() bool // reports whether the group has answered recently
+	log       zerolog.Logger
+	wakeups   chan struct{} // requests a reconcile pass
+	cancel    context.CancelFunc
+	loops     sync.WaitGroup
+	tasks     sync.WaitGroup // runs, loads and calls in the background
+
+	mu        sync.Mutex
+	stopping  bool
+	assigning bool // a partition is being assigned to a model that has none
+	// releaseUpstreams releases the hold on all upstreams, nil while it isn't held.
+	releaseUpstreams func()
+	demandNotBefore  map[string]time.Duration // by model, when its demand may be recorded again
+	runs             map[sampleKey]*run
+	texts            map[sampleKey]*text
+	scores           map[sampleKey]*scoring
+	// estimator learns how long samples run. It is common to all models, since they share
+	// engines.
+	estimator      *batch.Estimator
+	finished       map[sampleKey]bool // their result is in the outbox
+	retries        map[sampleKey]retryState
+	crashes        *crashes.Samples[sampleKey]
+	crashChecks    map[string][]brokenRun     // by incarnation being checked, the runs that broke there
+	engines        map[string]*engine         // by incarnation
+	requests       map[string][]batch.Request // by ID of an open batch, nil while they are read
+	ignoredResults []sampleKey                // of results that had no effect, under ignoredMu
+
+	ignoredMu sync.Mutex // separate from mu, because it is locked under the partition's lock
 }
 
+// sampleKey identifies a sample by its batch's ID and its index there.
 type sampleKey struct {
 	batch string
 	index int
 }
 
-// text is what this owner has of a sample's text: the events since the log's text
-// that it began with.
+// text is what this owner has of a sample's text: a base, which it took from the log, and
+// the events that follow.
 type text struct {
-	base     int // events of the log's text that this owner went on from
-	after    string
-	writer   string // of this owner's work on the sample
-	versions []batch.VersionRun
-	events   []batch.Event // behind base
-	saved    int           // of events, how many are in the log or the outbox
-	whole    bool          // nothing follows
+	baseEvents  int                // number of events in the base
+	baseWriter  string             // writer of the base's last segment
+	writer      string             // ID of this owner's part of the text
+	versions    []batch.VersionRun // weights versions of the base
+	events      []batch.Event      // after the base
+	savedEvents int                // how many of events are in the log or the outbox
+	complete    bool               // no event follows
 }
 
-// had is the number of events before the next one.
-func (t *text) had() int { return t.base + len(t.events) }
+// eventCount returns the number of events received so far, including the base.
+func (t *text) eventCount() int { return t.baseEvents + len(t.events) }
 
-// link is where the events that aren't saved yet belong.
-func (t *text) link() batch.Link {
-	return batch.Link{From: t.base + t.saved, Writer: t.writer, After: t.after, Base: t.base}
+// nextLink returns where in the sample's text the unsaved events belong.
+func (t *text) nextLink() batch.Link {
+	return batch.Link{From: t.baseEvents + t.savedEvents, Writer: t.writer, After: t.baseWriter, Base: t.baseEvents}
 }
 
-// rerun is why and until when a sample isn't started again.
-type rerun struct {
-	notBefore time.Duration
-	avoid     string
+// retryState is how a sample may be started again after a run of it failed.
+type retryState struct {
+	notBefore   time.Duration
+	avoidEngine string // incarnation of the engine that failed, "" if it isn't at fault
 }
 
 // run is a sample's run on an engine.
 type run struct {
-	ctx      context.Context
-	key      sampleKey
-	id       string // the sample's
-	upstream registry.Upstream
-	engine   string // its incarnation
-	model    string
-	scored   bool // a reward call follows
-	expected int  // tokens by its caller's estimate
-	text     *text
-	began    time.Duration
-	cancel   context.CancelCauseFunc
-	trial    bool          // alone on its engine, see crashes.Samples
-	started  int           // events had when the run began
-	lastAt   time.Duration // of the last event
+	ctx            context.Context
+	key            sampleKey
+	sampleID       string
+	upstream       registry.Upstream
+	incarnation    string // of upstream
+	model          string
+	hasReward      bool // a reward call follows
+	expectedTokens int  // estimated by the caller
+	text           *text
+	startedAt      time.Duration
+	cancel         context.CancelCauseFunc
+	trial          bool          // alone on its engine, see crashes.Samples
+	startEvents    int           // number of events received before this run
+	lastEventAt    time.Duration // when the last event arrived, or startedAt
 }
 
-func newRunner(s *Service, p *partition, inTouch func() bool) *runner {
+func newRunner(s *Service, p *partition, inContact func() bool) *runner {
 	log := s.options.Logger.With().Int("part", p.number).Logger()
 	return &runner{
-		s: s, part: p, outbox: newOutbox(s.options.Log, s.blobs, p.number, log), inTouch: inTouch, log: log,
-		wakes: make(chan struct{}, 1), runs: map[sampleKey]*run{}, texts: map[sampleKey]*text{}, scores: map[sampleKey]*scoring{}, estimator: batch.NewEstimator(),
-		noteAt: map[string]time.Duration{}, requests: map[string][]batch.Request{}, finished: map[sampleKey]bool{}, retries: map[sampleKey]rerun{}, engines: map[string]*engine{},
-		crashes: crashes.NewSamples[sampleKey](), checks: map[string][]brokenRun{},
+		s: s, partition: p, outbox: newOutbox(s.options.Log, s.blobs, p.number, log), inContact: inContact, log: log,
+		wakeups: make(chan struct{}, 1), runs: map[sampleKey]*run{}, texts: map[sampleKey]*text{}, scores: map[sampleKey]*scoring{}, estimator: batch.NewEstimator(),
+		demandNotBefore: map[string]time.Duration{}, requests: map[string][]batch.Request{}, finished: map[sampleKey]bool{}, retries: map[sampleKey]retryState{}, engines: map[string]*engine{},
+		crashes: crashes.NewSamples[sampleKey](), crashChecks: map[string][]brokenRun{},
 	}
 }
 
+// start runs the partition's samples until stop is called or the context ends.
 func (r *runner) start(ctx context.Context) {
 	ctx, r.cancel = context.WithCancel(ctx)
-	r.part.setOwner(r.wake, r.ignored)
-	r.loop.Go(func() { r.outbox.run(ctx) })
-	r.loop.Go(func() { r.run(ctx) })
+	r.partition.setOwnerCallbacks(r.wake, r.onResultIgnored)
+	r.loops.Go(func() { r.outbox.run(ctx) })
+	r.loops.Go(func() { r.run(ctx) })
 }
 
-// stop ends all runs, waits until how far they came is in the log, and returns.
+// stop cancels all runs and reward calls, and waits until the runs' progress is in the log
+// or the context ends.
 func (r *runner) stop(ctx context.Context) {
-	r.part.setOwner(nil, nil)
+	r.partition.setOwnerCallbacks(nil, nil)
 	r.mu.Lock()
 	r.stopping = true
 	for _, x := range r.runs {
@@ -140,26 +145,28 @@
 	r.mu.Unlock()
 	r.outbox.flush(ctx)
 	r.cancel()
-	r.loop.Wait()
-	if r.upstreams != nil {
-		r.upstreams()
+	r.loops.Wait()
+	if r.releaseUpstreams != nil {
+		r.releaseUpstreams()
 	}
 }
 
+// wake requests a reconcile pass.
 func (r *runner) wake() {
 	select {
-	case r.wakes <- struct{}{}:
+	case r.wakeups <- struct{}{}:
 	default:
 	}
 }
 
+// run makes reconcile passes and checkpoints until the context ends.
 func (r *runner) run(ctx context.Context) {
 	last := r.s.options.Now()
 	for ctx.Err() == nil {
 		changed := r.s.options.View.Changed()
 		began := time.Now()
-		r.look(ctx)
-		pause.For(ctx, min(lookRest*time.Since(began), lookInterval))
+		r.reconcile(ctx)
+		pause.For(ctx, min(restFactor*time.Since(began), reconcileInterval))
 		if now := r.s.options.Now(); now-last >= checkpointInterval && r.s.options.Policy.On(policy.Checkpoints) {
 			r.mu.Lock()
 			r.checkpointLocked()
@@ -169,7 +176,7 @@
 		timer := time.NewTimer(r.interval())
 		select {
 		case <-ctx.Done():
-		case <-r.wakes:
+		case <-r.wakeups:
 		case <-changed:
 		case <-timer.C:
 		}
@@ -177,66 +184,69 @@
 	}
 }
 
+// interval returns the longest wait until the next reconcile pass.
 func (r *runner) interval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.runs) > 0 || len(r.retries) > 0 || len(r.scores) > 0 {
-		return lookInterval
+		return reconcileInterval
 	}
-	return idleLook
+	return idleInterval
 }
 
-// lookRest is how many times as long as a look took is waited before the next. A look
-// goes over all engines of its models, and every event may cause one: with thousands of
-// engines an owner would do nothing else. A fifth of its time goes to looks at most.
-const lookRest = 4
+// restFactor is the pause after a reconcile pass, as a multiple of the pass's duration. A
+// pass goes over all engines of the partition's models, and every event may cause one: with
+// thousands of engines an owner would do nothing else. With the pause, passes take a fifth
+// of its time at most.
+const restFactor = 4
 
-// lookInterval is between two looks while there is work, beside those that events
-// cause: engines under suspicion come back, slow ones show.
-const lookInterval = 100 * time.Millisecond
+// reconcileInterval is the time between two reconcile passes while there is work, besides
+// those that events cause. It bounds how late it is noticed that a suspect engine may be
+// used again or that an engine has become slow.
+const reconcileInterval = 100 * time.Millisecond
 
-// checkpointLocked writes the new events of all running samples.
+// checkpointLocked saves the new events of all running samples.
 func (r *runner) checkpointLocked() {
 	for key, x := range r.runs {
-		r.saveLocked(key, x.text)
+		r.saveProgressLocked(key, x.text)
 	}
 }
 
-func (r *runner) saveLocked(key sampleKey, t *text) {
-	if t.saved < len(t.events) {
-		r.writeLocked(t, func(l batch.Link, s batch.Segment) any {
+// saveProgressLocked queues a record with the events of a text that aren't saved yet.
+func (r *runner) saveProgressLocked(key sampleKey, t *text) {
+	if t.savedEvents < len(t.events) {
+		r.queueTextLocked(t, func(l batch.Link, s batch.Segment) any {
 			return batch.Progress{Batch: key.batch, Item: key.index, Link: l, Segment: s}
 		})
 	}
 }
 
-// saveWholeLocked writes the end of a text that is scored next.
-func (r *runner) saveWholeLocked(key sampleKey, t *text) {
-	t.whole = true
-	r.writeLocked(t, func(l batch.Link, s batch.Segment) any {
+// saveCompleteTextLocked queues the end of a text that is scored next.
+func (r *runner) saveCompleteTextLocked(key sampleKey, t *text) {
+	t.complete = true
+	r.queueTextLocked(t, func(l batch.Link, s batch.Segment) any {
 		return batch.Progress{Batch: key.batch, Item: key.index, Link: l, Segment: s, Whole: true}
 	})
 }
 
-// writeLocked queues a record with the events that aren't saved yet.
-func (r *runner) writeLocked(t *text, record func(batch.Link, batch.Segment) any) {
-	link := t.link()
-	if t.saved == len(t.events) {
+// queueTextLocked queues a record with the events that aren't saved yet.
+func (r *runner) queueTextLocked(t *text, record func(batch.Link, batch.Segment) any) {
+	link := t.nextLink()
+	if t.savedEvents == len(t.events) {
 		r.outbox.add(record(link, batch.Segment{At: noBlob}))
 		return
 	}
-	r.outbox.addText(t.events[t.saved:len(t.events):len(t.events)], func(s batch.Segment) any { return record(link, s) })
-	t.saved = len(t.events)
+	r.outbox.addText(t.events[t.savedEvents:len(t.events):len(t.events)], func(s batch.Segment) any { return record(link, s) })
+	t.savedEvents = len(t.events)
 }
 
-// textLocked returns what is had of a sample: the longer of this owner's text and
-// the log's.
+// textLocked returns a sample's text so far: the longer of this owner's and the log's.
 func (r *runner) textLocked(key sampleKey, s *batch.Sample) *text {
 	t := r.texts[key]
-	if t != nil && t.had() >= s.Text.Events {
+	if t != nil && t.eventCount() >= s.Text.Events {
 		return t
 	}
-	t = &text{base: s.Text.Events, after: s.Text.Writer, writer: uuid.NewString()}
+	t = &text{baseEvents: s.Text.Events, baseWriter: s.Text.Writer, writer: uuid.NewString()}
 	for _, segment := range s.Text.Segments {
 		t.versions = append(t.versions, segment.Versions...)
 	}
@@ -244,22 +254,23 @@
 	return t
 }
 
-// ignored notes a result that didn't count.
-func (r *runner) ignored(key sampleKey) {
-	r.rejectedMu.Lock()
-	r.rejected = append(r.rejected, key)
-	r.rejectedMu.Unlock()
+// onResultIgnored is called when a result of this owner had no effect.
+func (r *runner) onResultIgnored(key sampleKey) {
+	r.ignoredMu.Lock()
+	r.ignoredResults = append(r.ignoredResults, key)
+	r.ignoredMu.Unlock()
 	r.wake()
 }
 
-// takeRejectedLocked forgets what was had of samples whose results didn't count.
-func (r *runner) takeRejectedLocked() {
-	r.rejectedMu.Lock()
-	keys := r.rejected
-	r.rejected = nil
-	r.rejectedMu.Unlock()
+// resetIgnoredLocked forgets this owner's texts of samples whose results had no effect, so
+// that they run again.
+func (r *runner) resetIgnoredLocked() {
+	r.ignoredMu.Lock()
+	keys := r.ignoredResults
+	r.ignoredResults = nil
+	r.ignoredMu.Unlock()
 	for _, key := range keys {
-		r.log.Warn().Str("batch", key.batch).Int("item", key.index).Msg("result didn't count, running the sample again")
+		r.log.Warn().Str("batch", key.batch).Int("item", key.index).Msg("result had no effect, running the sample again")
 		delete(r.finished, key)
 		delete(r.texts, key)
 		r.dropScoreLocked(key)
@@ -268,28 +279,29 @@
 
 var (
 	samplesCompleted = metrics.Counter("samples_completed")
-	samplesDead      = metrics.Counter("samples_given_up")
+	samplesGivenUp   = metrics.Counter("samples_given_up")
 	samplesResumed   = metrics.Counter("samples_resumed")
-	samplesBroken    = metrics.Counter("sample_runs_broken")
-	sampleTime       = metrics.Latency("sample_run_ms")
+	sampleRunsBroken = metrics.Counter("sample_runs_broken")
+	sampleRunTime    = metrics.Latency("sample_run_ms")
 )
 
-// completeLocked lists a sample with the rest of its text, and the score of its
+// completeLocked queues a sample's result with the rest of its text, and the score of its
 // reward call if it has one.
 func (r *runner) completeLocked(key sampleKey, t *text, score string) {
 	r.finished[key] = true
 	samplesCompleted.Add(1)
-	r.writeLocked(t, func(l batch.Link, s batch.Segment) any {
+	r.queueTextLocked(t, func(l batch.Link, s batch.Segment) any {
 		return batch.Result{Batch: key.batch, Item: key.index, State: batch.Completed, Link: l, Segment: s, Score: score}
 	})
 }
 
-// noBlob stands in a segment without events.
+// noBlob is the blob offset of a segment without events.
 const noBlob = -1
 
+// giveUpLocked queues the result of a sample that won't be completed.
 func (r *runner) giveUpLocked(key sampleKey, id, why string) {
 	r.finished[key] = true
 	r.outbox.add(batch.Result{Batch: key.batch, Item: key.index, State: batch.Dead})
-	samplesDead.Add(1)
+	samplesGivenUp.Add(1)
 	r.log.Warn().Str("batch", key.batch).Str("sample", id).Str("why", why).Msg("sample given up")
 }
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -96,7 +96,7 @@
 	ctx, x.cancel = context.WithCancel(ctx)
 	cancel := x.cancel
 	rewardCalls.Add(1)
-	r.work.Go(func() {
+	r.tasks.Go(func() {
 		began := r.s.options.Now()
 		verdict := r.s.options.Scorer.Score(ctx, route, call)
 		cancelled := ctx.Err() != nil
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -14,15 +14,15 @@
 )
 
 // submitScored hands a batch of scored samples in and returns their IDs.
-func submitScored(g Gomega, w *world, name string, size int) []batch.Item {
+func submitScored(g Gomega, w *testCluster, name string, size int) []batch.Item {
 	time.Sleep(2 * time.Second)
-	items := w.accept(g, scoredModel, name, 1, size, 1)
+	items := w.submitBatch(g, scoredModel, name, 1, size, 1)
 	return items
 }
 
 // results reads batch b at a VM that is in touch.
-func results(g Gomega, v *vm) []Result {
-	page, err := v.current().Results(context.Background(), "b", 0, 0)
+func results(g Gomega, v *testVM) []Result {
+	page, err := v.daemon().Results(context.Background(), "b", 0, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	return page.Results
 }
@@ -33,7 +33,7 @@
 func TestSamplesAreListedWithTheirScores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 2, scoredModel)
+		w := newTestCluster(t, 1, 2, 2, scoredModel)
 		defer w.stop()
 		w.scorer.broken = 0.3
 		w.scorer.fails["m1-scores-0-0"] = 3 // one less than the attempts
@@ -61,14 +61,14 @@
 func TestWholeTextOutlivesItsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 4, scoredModel)
+		w := newTestCluster(t, 1, 2, 4, scoredModel)
 		defer w.stop()
 		w.scorer.takes = 4 * time.Second
 		items := submitScored(g, w, "outlives", 4)
 		time.Sleep(3 * time.Second)
 		g.Expect(results(g, w.vms[1])).To(BeEmpty())
 		runs := len(w.engines.runs)
-		w.scorer.takes = scoreTakes
+		w.scorer.takes = scoreDuration
 		w.killAll(w.vms, 100*time.Millisecond)
 		time.Sleep(3500 * time.Millisecond)
 		list := results(g, w.vms[1])
@@ -85,12 +85,12 @@
 func TestNoRewardCallAfterTheBatchEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 4, scoredModel)
+		w := newTestCluster(t, 1, 2, 4, scoredModel)
 		defer w.stop()
 		w.scorer.broken = 1
 		items := submitScored(g, w, "ended", 4)
 		time.Sleep(3 * time.Second)
-		g.Expect(w.vms[1].current().End(context.Background(), "b")).To(Succeed())
+		g.Expect(w.vms[1].daemon().End(context.Background(), "b")).To(Succeed())
 		time.Sleep(500 * time.Millisecond)
 		before := w.scorer.made(items[0].ID)
 		g.Expect(before).To(BeNumerically(">", 1), "a call that brought no score is made again")
@@ -105,7 +105,7 @@
 func TestTwoOwnersScoreAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 3, 4, scoredModel)
+		w := newTestCluster(t, 1, 3, 4, scoredModel)
 		defer w.stop()
 		w.scorer.takes = 1500 * time.Millisecond
 		items := submitScored(g, w, "both", 4)
@@ -131,14 +131,14 @@
 func TestScoresOutliveAnOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 4, scoredModel)
+		w := newTestCluster(t, 1, 1, 4, scoredModel)
 		defer w.stop()
 		w.scorer.takes = time.Second
 		items := submitScored(g, w, "outage", 4)
 		time.Sleep(1800 * time.Millisecond)
-		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeAnswer})
+		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeLatency})
 		time.Sleep(2 * time.Second)
-		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeAnswer})
+		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency})
 		time.Sleep(1500 * time.Millisecond)
 		g.Expect(results(g, w.vms[0])).To(HaveLen(len(items)))
 		for _, i := range items {
@@ -153,17 +153,17 @@
 func TestTextsAreScoredWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 4, scoredModel)
+		w := newTestCluster(t, 1, 1, 4, scoredModel)
 		defer w.stop()
-		w.engines.pace = 150 * time.Millisecond
+		w.engines.eventInterval = 150 * time.Millisecond
 		items := submitScored(g, w, "away", 4)
 		time.Sleep(200 * time.Millisecond)
-		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeAnswer})
-		time.Sleep(outOfTouch + 4*time.Second)
+		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeLatency})
+		time.Sleep(contactTimeout + 4*time.Second)
 		for _, i := range items {
 			g.Expect(w.scorer.made(i.ID)).To(Equal(1))
 		}
-		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeAnswer})
+		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency})
 		time.Sleep(time.Second)
 		g.Expect(results(g, w.vms[0])).To(HaveLen(len(items)))
 	})
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -16,141 +16,145 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// Topics of the shared log.
+// Topics of the shared log, and the group that divides their partitions.
 const (
-	batchTopic  = "batches"                   // records, which the owners of the partitions follow
-	textTopic   = "texts"                     // blobs that the records name
-	claimsTopic = "claims"                    // on engines and duties, wishes for loads: of owners only
-	homesTopic  = store.KeyedPrefix + "homes" // partitions of models, which every daemon follows
-	ownersGroup = "batch-owners"
+	batchTopic           = "batches"                   // records of batches, followed by the partition's owner
+	textTopic            = "texts"                     // blobs that these records refer to
+	claimsTopic          = "claims"                    // claims on engines and duties, and delegated loads, followed by owners
+	modelPartitionsTopic = store.KeyedPrefix + "homes" // partition of each model, followed by every daemon
+	ownersGroup          = "batch-owners"
 )
 
-// Errors of the calls below.
+// Errors of a Service's calls.
 var (
-	// ErrNotRun: the batch was not accepted and never will be by this call.
+	// ErrNotRun means that the batch was not accepted, and never will be by this call.
 	ErrNotRun = errors.New("batchrun: not accepted")
-	// ErrUnknown: the outcome can't be told; the call may take effect later.
+	// ErrUnknown means that the outcome is unknown: the call may take effect later.
 	ErrUnknown = errors.New("batchrun: outcome unknown")
-	// ErrTooLarge: the store can't hold the batch.
+	// ErrTooLarge means that the batch exceeds the store's limits.
 	ErrTooLarge = errors.New("batchrun: batch too large")
-	// ErrNotFound: certain that no such batch or sample was accepted.
+	// ErrNotFound means that certainly no such batch or sample was accepted.
 	ErrNotFound = errors.New("batchrun: no such batch")
-	// ErrUnsure: this daemon can't be sure that its view is up to date.
+	// ErrUnsure means that this daemon's view may not be up to date.
 	ErrUnsure = errors.New("batchrun: view not up to date")
 )
 
 // Options of a Service.
 type Options struct {
-	VM          string
+	VM          string // name of this VM
 	Log         store.Log
 	Membership  store.Membership
 	Engines     Engines
 	Scorer      Scorer
 	View        *fleet.View
-	Upstreams   Upstreams        // nil: View has every upstream
-	Suspects    *health.Suspects // shared with whatever else sends to upstreams
+	Upstreams   Upstreams        // nil if View always has every upstream
+	Suspects    *health.Suspects // shared with all other senders to upstreams
 	Policy      Policy
-	Small       bool          // this VM owns partitions only if no larger one does
-	Parts       int           // partitions of a topic
-	RecordBytes int           // largest record
-	CallBytes   int           // largest append
-	MemberTTL   time.Duration // silence after which an owner's partitions go to others
-	OrderLease  time.Duration // within which an engine may not hear of two holders
-	Address     string        // ip:port where other daemons' Peers reach this one, "": nowhere
+	Small       bool          // this VM owns partitions only while no larger one does
+	Parts       int           // number of partitions of a topic
+	RecordBytes int           // size limit of a record
+	CallBytes   int           // size limit of an append
+	MemberTTL   time.Duration // silence after which an owner's partitions are reassigned
+	OrderLease  time.Duration // within which an engine must not get orders of two VMs
+	Address     string        // ip:port where other daemons' Peers reach this one, "" for none
 	Peers       Peers
-	Now         func() time.Duration // a clock that goes on while the VM is suspended
+	Now         func() time.Duration // a clock that keeps running while the VM is suspended
 	Logger      zerolog.Logger
 }
 
-// Upstreams keeps every upstream known, not only those that calls go to.
+// Upstreams lets a Service request that View has every upstream, not only those that calls
+// go to.
 type Upstreams interface {
-	// Hold has all of them read until release is called.
+	// Hold has all upstreams read until release is called.
 	Hold() (release func())
-	// Whole reports whether all are known.
+	// Whole reports whether all upstreams are known.
 	Whole() bool
 }
 
-// Service takes trainers' batches in and answers for them. It is safe for concurrent use.
+// Service accepts trainers' batches and answers calls about them. It is safe for concurrent
+// use.
 type Service struct {
-	options   Options
-	parts     []*partition
-	blobs     *blobs
-	orders    *orders
-	homes     *homes
-	owner     *owner
-	directory *directory
-	shares    *shares
+	options         Options
+	partitions      []*partition
+	blobs           *blobs
+	loader          *loader
+	modelPartitions *modelPartitions
+	owner           *owner
+	directory       *directory
+	allocator       *engineAllocator
 }
 
-// New returns a Service that has read nothing.
+// New returns a Service that hasn't read anything yet.
 func New(o Options) *Service {
 	s := &Service{options: o, blobs: newBlobs(o.Log, o.Parts)}
 	for n := range o.Parts {
-		s.parts = append(s.parts, newPartition(n, o))
+		s.partitions = append(s.partitions, newPartition(n, o))
 	}
-	s.orders = newOrders(o)
-	s.homes = newHomes(o)
+	s.loader = newLoader(o)
+	s.modelPartitions = newModelPartitions(o)
 	s.owner = newOwner(s)
-	s.orders.relaxed = s.owner.idle
+	s.loader.ownsNothing = s.owner.ownsNothing
 	s.directory = newDirectory(o.Membership)
-	s.shares = newShares(o.View)
+	s.allocator = newEngineAllocator(o.View)
 	return s
 }
 
-// Run runs the batches of the partitions that this daemon owns, and follows these
-// partitions, until the context ends.
+// Run keeps this daemon in the owners group, and runs the batches of the partitions that it
+// owns, until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var g errgroup.Group
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		g.Go(func() error { p.follower.Run(ctx); return nil })
 	}
-	g.Go(func() error { s.homes.follower.Run(ctx); return nil })
-	g.Go(func() error { s.orders.follower.Run(ctx); return nil })
+	g.Go(func() error { s.modelPartitions.follower.Run(ctx); return nil })
+	g.Go(func() error { s.loader.follower.Run(ctx); return nil })
 	g.Go(func() error { s.owner.run(ctx); return nil })
-	g.Go(func() error { s.forget(ctx); return nil })
+	g.Go(func() error { s.discardOld(ctx); return nil })
 	_ = g.Wait() // none of them returns an error
 }
 
-// Claim claims a duty for this VM, as an engine is claimed before an order: the next holder
-// is barred until what is sent under the permit can't arrive any more.
+// Claim claims a duty for this VM, as an engine is claimed before an order. Other VMs can't
+// claim it until calls made under the permit can no longer arrive.
 func (s *Service) Claim(ctx context.Context, duty string) (loads.Permit, error) {
-	return s.orders.claimer.claim(ctx, duty)
+	return s.loader.claimer.claim(ctx, duty)
 }
 
-// Barred is how long another VM's claim still bars this one from a duty, 0: it doesn't.
-func (s *Service) Barred(duty string) time.Duration { return s.orders.barred(duty) }
+// Barred returns for how long another VM's claim still keeps this VM from claiming a duty, 0
+// if none does.
+func (s *Service) Barred(duty string) time.Duration { return s.loader.claimBlockedFor(duty) }
 
-// Demand returns the samples of a batch by model, for those that are known.
-func (s *Service) Demand() map[string]int { return s.homes.demand() }
+// Demand returns the number of samples in a batch by model, for the models where it is known.
+func (s *Service) Demand() map[string]int { return s.modelPartitions.demand() }
 
 // Drain hands the owned partitions over to other daemons.
 func (s *Service) Drain(ctx context.Context) { s.owner.drain(ctx) }
 
 const (
-	// keepBatches is how long a batch is kept after it was read of: its results must
+	// batchKeepTime is how long a batch is kept after its record was read: its results must
 	// be readable for two minutes after submission.
-	keepBatches    = 150 * time.Second
-	forgetInterval = 10 * time.Second
+	batchKeepTime   = 150 * time.Second
+	discardInterval = 10 * time.Second
 )
 
-func (s *Service) forget(ctx context.Context) {
-	pause.Every(ctx, forgetInterval, func() {
-		for _, p := range s.parts {
+// discardOld regularly drops old batches and claims.
+func (s *Service) discardOld(ctx context.Context) {
+	pause.Every(ctx, discardInterval, func() {
+		for _, p := range s.partitions {
 			p.mu.Lock()
-			p.fold.Forget(s.options.Now() - keepBatches)
+			p.state.Forget(s.options.Now() - batchKeepTime)
 			p.mu.Unlock()
 		}
-		s.orders.forget()
+		s.loader.discardOldClaims()
 	})
 }
 
-// Lag is the largest lag of a view that this daemon needs.
+// Lag returns the largest lag of the views that this daemon needs.
 func (s *Service) Lag() time.Duration {
-	largest := s.homes.follower.Lag()
-	if s.orders.follower.Held() && s.orders.follower.Loaded() {
-		largest = max(largest, s.orders.follower.Lag())
+	largest := s.modelPartitions.follower.Lag()
+	if s.loader.follower.Held() && s.loader.follower.Loaded() {
+		largest = max(largest, s.loader.follower.Lag())
 	}
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		if p.follower.Held() && p.follower.Loaded() {
 			largest = max(largest, p.follower.Lag())
 		}
@@ -158,23 +162,25 @@
 	return largest
 }
 
-// Loaded reports whether it is known which partitions have batches, so that any call on
-// one can be answered or passed on.
-func (s *Service) Loaded() bool { return s.homes.follower.Loaded() }
+// Loaded reports whether the models' partitions are known, so that any call about a batch can
+// be answered or forwarded.
+func (s *Service) Loaded() bool { return s.modelPartitions.follower.Loaded() }
 
-// partitionOf is the same for all batches of a model, so that one daemon runs them
-// and reused samples meet their earlier text. It is nil for a model without batches.
-func (s *Service) partitionOf(model string) *partition {
-	part, ok := s.homes.of(model)
+// partitionForModel returns a model's partition, nil if none is assigned. It is the same for
+// all batches of the model, so that one daemon runs them, and samples that come again find
+// their earlier text.
+func (s *Service) partitionForModel(model string) *partition {
+	part, ok := s.modelPartitions.lookup(model)
 	if !ok {
 		return nil
 	}
-	return s.parts[part]
+	return s.partitions[part]
 }
 
-func (s *Service) find(id string) *partition {
-	for _, p := range s.parts {
-		if p.has(id) {
+// partitionForBatch returns the partition that a known batch is in, nil if it isn't known.
+func (s *Service) partitionForBatch(id string) *partition {
+	for _, p := range s.partitions {
+		if p.hasBatch(id) {
 			return p
 		}
 	}
--- a/internal/batchrun/share.go
+++ b/internal/batchrun/share.go
@@ -11,94 +11,97 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// shares holds the live engines of each service as they are divided among its models. An
-// owner asks for its share at each look, dozens of times a second. Made anew at each look,
-// the division of a thousand engines took more than a core; it depends on the addresses of
-// the engines that the models can use, a part of a large fleet's, which change seldom. What
-// the engines serve changes with each load, and is filled in then. It is safe for concurrent
+// engineAllocator allocates the live engines of each service to its models, and caches the
+// result. An owner asks for a model's engines in each reconcile pass, dozens of times a
+// second. Computed in each pass, the split of a thousand engines took more than a core. The
+// split depends on the addresses of the engines that the models can use, which are a part
+// of a large fleet's and rarely change. The weights that engines serve change with each
+// load, and only the engines' entries are looked up again then. It is safe for concurrent
 // use.
-type shares struct {
+type engineAllocator struct {
 	view *fleet.View
 
-	mu        sync.Mutex
-	byService map[string]*share
-	divisions int // made so far
+	mu             sync.Mutex
+	byService      map[string]*allocation
+	splitsComputed int // counts the splits that weren't taken from the cache
 }
 
-// share is what is known of one service.
-type share struct {
-	members uint64 // of the service, see registry.Members
-	input   division
-	ids     map[string][]string // by model, as they were divided
-	filled  map[string]filled   // by model
+// allocation is the cached result for one service.
+type allocation struct {
+	members   uint64 // change count of the service's upstreams, see registry.Members
+	split     split
+	engineIDs map[string][]string        // by model
+	resolved  map[string]resolvedEngines // by model
 }
 
-// filled is a model's engines as they are now.
-type filled struct {
-	changes uint64 // of the upstreams
+// resolvedEngines holds the current entries of a model's engines.
+type resolvedEngines struct {
+	changes uint64 // change count of all upstreams when they were looked up
 	engines []registry.Upstream
 }
 
-// division is what a service's engines are divided by.
-type division struct {
-	shape   *routes.Engine
-	demand  map[string]int // samples of a batch by model, nil: equally
-	engines []string       // addresses, sorted
-	byModel map[string][]string
+// split is how a service's engines are divided among its models, and the inputs of that.
+type split struct {
+	settings  *routes.Engine
+	demand    map[string]int      // samples in a batch by model, nil for an equal split
+	addresses []string            // of the engines, sorted
+	byModel   map[string][]string // addresses of each model's engines
 }
 
-// divide sets byModel, which depends on the other fields alone, and reports whether it had to
-// be made anew.
-func (d *division) divide(before *share) bool {
-	if before != nil && before.input.shape == d.shape && maps.Equal(before.input.demand, d.demand) && slices.Equal(before.input.engines, d.engines) {
-		d.byModel = before.input.byModel
+// compute sets byModel, which depends only on the other fields. It reports false if the
+// result could be taken from the allocation before.
+func (s *split) compute(before *allocation) bool {
+	if before != nil && before.split.settings == s.settings && maps.Equal(before.split.demand, s.demand) && slices.Equal(before.split.addresses, s.addresses) {
+		s.byModel = before.split.byModel
 		return false
 	}
-	d.byModel = loads.Share(d.engines, d.shape.Models, d.demand, d.shape.Slots)
+	s.byModel = loads.Share(s.addresses, s.settings.Models, s.demand, s.settings.Slots)
 	return true
 }
 
-func newShares(view *fleet.View) *shares {
-	return &shares{view: view, byService: map[string]*share{}}
+func newEngineAllocator(view *fleet.View) *engineAllocator {
+	return &engineAllocator{view: view, byService: map[string]*allocation{}}
 }
 
-// of returns the engines that serve a model. The list must not be changed.
-func (s *shares) of(service string, shape *routes.Engine, demand map[string]int, model string) []registry.Upstream {
-	members, changes := s.view.Members(service), s.view.UpstreamChanges()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	known := s.byService[service]
-	if known == nil || known.members != members || known.input.shape != shape || !maps.Equal(known.input.demand, demand) {
-		known = s.divide(service, shape, demand, known)
+// enginesFor returns the engines that are allocated to a model. The list must not be
+// changed. demand is the number of samples in a batch by model, nil for an equal split.
+func (a *engineAllocator) enginesFor(service string, settings *routes.Engine, demand map[string]int, model string) []registry.Upstream {
+	members, changes := a.view.Members(service), a.view.UpstreamChanges()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	known := a.byService[service]
+	if known == nil || known.members != members || known.split.settings != settings || !maps.Equal(known.split.demand, demand) {
+		known = a.allocate(service, settings, demand, known)
 		known.members = members
-		s.byService[service] = known
+		a.byService[service] = known
 	}
-	if f, ok := known.filled[model]; ok && f.changes == changes {
+	if f, ok := known.resolved[model]; ok && f.changes == changes {
 		return f.engines
 	}
-	engines := s.view.List(known.ids[model])
+	engines := a.view.List(known.engineIDs[model])
 	for i := range engines {
 		if engines[i].Slots == 0 {
-			engines[i].Slots = shape.Slots
+			engines[i].Slots = settings.Slots
 		}
 	}
-	known.filled[model] = filled{changes, engines}
+	known.resolved[model] = resolvedEngines{changes, engines}
 	return engines
 }
 
-// divide divides a service's engines, by addresses that divided before as they were then.
-func (s *shares) divide(service string, shape *routes.Engine, demand map[string]int, before *share) *share {
+// allocate splits a service's engines among its models. The split of the allocation before
+// is used again if its inputs are the same.
+func (a *engineAllocator) allocate(service string, settings *routes.Engine, demand map[string]int, before *allocation) *allocation {
 	byAddress := map[string]string{}
-	for _, u := range s.view.Sample(service, loads.Useful(shape.Models, demand, shape.Slots)) {
+	for _, u := range a.view.Sample(service, loads.Useful(settings.Models, demand, settings.Slots)) {
 		byAddress[u.Address] = u.ID
 	}
-	out := &share{input: division{shape: shape, demand: demand, engines: slices.Sorted(maps.Keys(byAddress))}, ids: map[string][]string{}, filled: map[string]filled{}}
-	if out.input.divide(before) {
-		s.divisions++
+	out := &allocation{split: split{settings: settings, demand: demand, addresses: slices.Sorted(maps.Keys(byAddress))}, engineIDs: map[string][]string{}, resolved: map[string]resolvedEngines{}}
+	if out.split.compute(before) {
+		a.splitsComputed++
 	}
-	for model, addresses := range out.input.byModel {
-		for _, a := range addresses {
-			out.ids[model] = append(out.ids[model], byAddress[a])
+	for model, addresses := range out.split.byModel {
+		for _, address := range addresses {
+			out.engineIDs[model] = append(out.engineIDs[model], byAddress[address])
 		}
 	}
 	return out
--- a/internal/batchrun/share_test.go
+++ b/internal/batchrun/share_test.go
@@ -18,17 +18,17 @@
 	return registry.Upstream{ID: fmt.Sprint("e", i), Service: "engines", Address: fmt.Sprint("10.0.0.", i), Slots: i % 3, Models: map[string]int64{"m0": version}}
 }
 
-// Engines come, leave, load and restart. An owner whose share is out of date sends samples
-// to engines that left, or orders engines of another model. Compared with dividing anew at
-// each look.
-func TestShareAgreesWithDividingAnew(t *testing.T) {
+// Guards against a cached allocation that is out of date while engines join, leave, load and
+// restart: its owner would send samples to engines that have left, or send orders to engines
+// of another model. Compares the cached allocation with one computed from scratch.
+func TestCachedAllocationEqualsNewOne(t *testing.T) {
 	for seed := range uint64(30) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(seed, 4))
 		view := fleet.New(func() time.Duration { return 0 })
-		ours := newShares(view)
-		shapes := []*routes.Engine{{Slots: 8, Models: []string{"m0", "m1"}}, {Slots: 4, Models: []string{"m0", "m1", "m2"}}}
-		shape, demand := shapes[0], map[string]int{"m0": 10, "m1": 20}
+		allocator := newEngineAllocator(view)
+		allSettings := []*routes.Engine{{Slots: 8, Models: []string{"m0", "m1"}}, {Slots: 4, Models: []string{"m0", "m1", "m2"}}}
+		settings, demand := allSettings[0], map[string]int{"m0": 10, "m1": 20}
 		for range 200 {
 			i := random.IntN(12)
 			view.Upstreams(func(r *registry.Registry, now time.Duration) {
@@ -45,26 +45,26 @@
 					r.Put(u)
 				case 5:
 					u := engineAt(i, 1)
-					u.ID += "-next" // at the address of one whose entry hasn't lapsed
+					u.ID += "-next" // at the address of one whose entry hasn't expired
 					r.Put(u)
 				}
 			})
 			if random.IntN(20) == 0 {
-				shape = shapes[random.IntN(2)]
+				settings = allSettings[random.IntN(2)]
 			}
 			if random.IntN(20) == 0 {
 				demand = map[string]int{"m0": 1 + random.IntN(3), "m1": 20}
 			}
-			for _, m := range shape.Models {
-				g.Expect(ours.of("engines", shape, demand, m)).To(Equal(newShares(view).of("engines", shape, demand, m)), "seed %d", seed)
+			for _, m := range settings.Models {
+				g.Expect(allocator.enginesFor("engines", settings, demand, m)).To(Equal(newEngineAllocator(view).enginesFor("engines", settings, demand, m)), "seed %d", seed)
 			}
 		}
 	}
 }
 
-// BenchmarkShare is an owner's question at each look while no engine changes. Its time
-// mustn't grow with the engines.
-func BenchmarkShare(b *testing.B) {
+// BenchmarkEnginesFor measures the lookup that an owner makes in each reconcile pass, while no
+// engine changes. Its time must not grow with the number of engines.
+func BenchmarkEnginesFor(b *testing.B) {
 	for _, engines := range []int{50, 1000, 12000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			view := fleet.New(func() time.Duration { return 0 })
@@ -73,22 +73,22 @@
 					r.Put(engineAt(i, 1))
 				}
 			})
-			shape := &routes.Engine{Slots: 8, Models: []string{"m0", "m1", "m2"}}
-			s := newShares(view)
+			settings := &routes.Engine{Slots: 8, Models: []string{"m0", "m1", "m2"}}
+			s := newEngineAllocator(view)
 			for b.Loop() {
-				s.of("engines", shape, nil, "m0")
+				s.enginesFor("engines", settings, nil, "m0")
 			}
 		})
 	}
 }
 
-// Guards against a look of an owner that walks every engine of the fleet because the weights
-// of one have changed, or because one that it doesn't use has come or gone: at thousands of
-// loads and hundreds of replaced engines its samples wait for it. What a look allocates, and
-// how often engines are divided, may not grow with the engines.
-func TestLookDoesNotGrowWithTheFleet(t *testing.T) {
+// Guards against a lookup that walks every engine of the fleet because the weights of one have
+// changed, or because one that the owner doesn't use has joined or left: with thousands of
+// loads and hundreds of replaced engines its samples would wait for that. Neither the
+// allocations of a lookup nor the number of splits may grow with the number of engines.
+func TestAllocationCostDoesNotGrowWithTheFleet(t *testing.T) {
 	const models, samples, slots = 8, 160, 6
-	perLook := map[int]float64{}
+	allocsPerCall := map[int]float64{}
 	for _, engines := range []int{10_000, 20_000} {
 		g := NewWithT(t)
 		view := fleet.New(func() time.Duration { return 0 })
@@ -100,34 +100,34 @@
 				r.Put(at(i))
 			}
 		})
-		shape, demand := &routes.Engine{Slots: slots}, map[string]int{}
+		settings, demand := &routes.Engine{Slots: slots}, map[string]int{}
 		for i := range models {
 			m := fmt.Sprint("m", i)
-			shape.Models, demand[m] = append(shape.Models, m), samples
+			settings.Models, demand[m] = append(settings.Models, m), samples
 		}
-		s := newShares(view)
-		first := s.of("engines", shape, demand, "m0")
+		s := newEngineAllocator(view)
+		first := s.enginesFor("engines", settings, demand, "m0")
 		g.Expect(first).To(HaveLen(loads.Useful([]string{"m0"}, demand, slots)))
 		version := int64(1)
-		perLook[engines] = testing.AllocsPerRun(100, func() {
+		allocsPerCall[engines] = testing.AllocsPerRun(100, func() {
 			version++
 			view.Upstreams(func(r *registry.Registry, _ time.Duration) { r.Loaded("e17", 0, "m0", version) })
-			s.of("engines", shape, demand, "m0")
+			s.enginesFor("engines", settings, demand, "m0")
 		})
-		g.Expect(perLook[engines]).To(BeNumerically("<", 100), "a load elsewhere, %d engines", engines)
+		g.Expect(allocsPerCall[engines]).To(BeNumerically("<", 100), "after a load on another engine, %d engines", engines)
 
-		before := s.divisions
-		const replaced = 200 // of which few are among those that the models use
+		before := s.splitsComputed
+		const replaced = 200 // few of these engines are used by the models
 		for i := range replaced {
 			view.Upstreams(func(r *registry.Registry, now time.Duration) {
 				r.Remove(fmt.Sprint("e", i), now)
 				r.Put(at(engines + i))
 			})
-			s.of("engines", shape, demand, "m0")
+			s.enginesFor("engines", settings, demand, "m0")
 		}
 		used := float64(models*len(first)) / float64(engines)
-		// Each of them leaves one place and takes another.
-		g.Expect(float64(s.divisions-before)).To(BeNumerically("<", 2*2*replaced*used), "%d engines", engines)
+		// Each replacement of a used engine removes one address and adds another.
+		g.Expect(float64(s.splitsComputed-before)).To(BeNumerically("<", 2*2*replaced*used), "%d engines", engines)
 	}
-	NewWithT(t).Expect(perLook[20_000]).To(BeNumerically("<=", perLook[10_000]+1))
+	NewWithT(t).Expect(allocsPerCall[20_000]).To(BeNumerically("<=", allocsPerCall[10_000]+1))
 }
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -40,14 +40,14 @@
 	loading     bool
 	orderAfter  time.Duration // no order before
 	trial       bool          // a sample runs alone there, or is about to
-	pace        pace
-	speed       pace // as if it ran one sample: its hardware's, whatever the load
+	pace        gapAverage
+	speed       gapAverage // as if it ran one sample: its hardware's, whatever the load
 }
 
 // observe takes the gap between two events of one of its samples.
 func (e *engine) observe(gap, now time.Duration) {
-	e.pace.observe(gap, now, paceLife)
-	e.speed.observe(batch.GapAlone(gap, e.running), now, speedLife)
+	e.pace.observe(gap, now, gapMaxAge)
+	e.speed.observe(batch.GapAlone(gap, e.running), now, speedMaxAge)
 }
 
 func (r *runner) engineLocked(id string) *engine {
@@ -76,27 +76,27 @@
 // startLocked begins a run.
 func (r *runner) startLocked(ctx context.Context, model string, u registry.Upstream, w batch.Waiting) {
 	key := sampleKey{w.Batch, w.Index}
-	r.part.mu.Lock()
-	b := r.part.fold.Get(w.Batch)
+	r.partition.mu.Lock()
+	b := r.partition.state.Get(w.Batch)
 	requests := r.requests[w.Batch]
 	if b == nil || requests == nil {
-		r.part.mu.Unlock()
+		r.partition.mu.Unlock()
 		return
 	}
 	head := b.Head
 	s := b.Samples[w.Index]
 	t := r.textLocked(key, &s)
-	r.part.mu.Unlock()
+	r.partition.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	now := r.s.options.Now()
-	x := &run{ctx: ctx, key: key, id: s.ID, upstream: u, engine: u.Incarnation(), model: model, scored: s.Reward != "", expected: s.Expected, text: t, began: now, cancel: cancel, started: t.had(), lastAt: now}
+	x := &run{ctx: ctx, key: key, sampleID: s.ID, upstream: u, incarnation: u.Incarnation(), model: model, hasReward: s.Reward != "", expectedTokens: s.Expected, text: t, startedAt: now, cancel: cancel, startEvents: t.eventCount(), lastEventAt: now}
 	r.runs[key] = x
 	r.engineLocked(u.Incarnation()).running++
-	ask := SampleRun{ID: s.ID, Host: head.Host, Customer: head.Customer, Request: requests[w.Index], After: t.had()}
+	ask := SampleRun{ID: s.ID, Host: head.Host, Customer: head.Customer, Request: requests[w.Index], After: t.eventCount()}
 	if ask.After > 0 {
 		samplesResumed.Add(1)
 	}
-	r.work.Go(func() {
+	r.tasks.Go(func() {
 		err := r.s.options.Engines.Run(ctx, u, ask, func(e batch.Event) { r.emit(x, head, e) })
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause // also of a stream that reached its end: emit dropped events since
@@ -114,7 +114,7 @@
 	if r.stopping || x.ctx.Err() != nil {
 		return
 	}
-	first := x.text.had() == x.started
+	first := x.text.eventCount() == x.startEvents
 	if first {
 		r.s.options.View.Upstreams(func(reg *registry.Registry, _ time.Duration) {
 			reg.Serves(x.upstream.ID, x.upstream.Started, x.model, e.Version)
@@ -129,11 +129,11 @@
 		return
 	}
 	if !first {
-		r.engineLocked(x.engine).observe(now-x.lastAt, now)
+		r.engineLocked(x.incarnation).observe(now-x.lastEventAt, now)
 	}
-	x.lastAt = now
+	x.lastEventAt = now
 	x.text.events = append(x.text.events, e)
-	r.progressedLocked(x)
+	r.endTrialIfPassedLocked(x)
 }
 
 // ended takes a run's end.
@@ -143,36 +143,36 @@
 	defer r.mu.Unlock()
 	defer r.wake()
 	delete(r.runs, x.key)
-	e := r.engineLocked(x.engine)
+	e := r.engineLocked(x.incarnation)
 	e.running--
 	e.trial = e.trial && !x.trial
 	r.logEnd(x, err, now)
-	sampleTime.Observe(now - x.began)
+	sampleRunTime.Observe(now - x.startedAt)
 	if err == nil {
-		r.s.options.Suspects.Worked(x.engine)
-		if x.started == 0 {
-			r.estimator.Observe(x.expected, x.text.had(), now-x.began)
+		r.s.options.Suspects.Worked(x.incarnation)
+		if x.startEvents == 0 {
+			r.estimator.Observe(x.expectedTokens, x.text.eventCount(), now-x.startedAt)
 		}
-		if x.scored {
-			r.saveWholeLocked(x.key, x.text) // the next look makes its reward call
+		if x.hasReward {
+			r.saveCompleteTextLocked(x.key, x.text) // the next look makes its reward call
 			return
 		}
 		r.completeLocked(x.key, x.text, "")
 		delete(r.texts, x.key)
 		return
 	}
-	r.saveLocked(x.key, x.text)
+	r.saveProgressLocked(x.key, x.text)
 	r.after(x, e, err, now)
 }
 
 // after decides what a broken run means for its sample and its engine.
 func (r *runner) after(x *run, e *engine, err error, now time.Duration) {
-	again := rerun{notBefore: now + retryPause, avoid: x.engine}
+	again := retryState{notBefore: now + retryPause, avoidEngine: x.incarnation}
 	switch {
 	case errors.Is(err, errHandedOver), errors.Is(err, errUnwanted):
 		return
 	case errors.Is(err, ErrImpossible):
-		r.giveUpLocked(x.key, x.id, "an engine says that it can't be done")
+		r.giveUpLocked(x.key, x.sampleID, "an engine says that it can't be done")
 		return
 	case errors.Is(err, ErrFailed):
 		r.outbox.add(batch.Failed{Batch: x.key.batch, Item: x.key.index, Attempt: uuid.NewString()})
@@ -182,24 +182,24 @@
 	case errors.Is(err, errMoved):
 		again.notBefore = 0
 	case errors.Is(err, errOvertaken):
-		again = rerun{}
+		again = retryState{}
 	case errors.Is(err, ErrIdleBroke):
-		again.avoid = "" // the engine isn't to blame
+		again.avoidEngine = "" // the engine isn't to blame
 	case errors.Is(err, errTooOld):
 		again.notBefore = now + engineRefusedPause
 	case errors.Is(err, errMixed):
 		delete(r.texts, x.key)
 	default:
-		samplesBroken.Add(1)
-		if x.text.had() > x.started {
-			r.s.options.Suspects.Worked(x.engine) // until then
+		sampleRunsBroken.Add(1)
+		if x.text.eventCount() > x.startEvents {
+			r.s.options.Suspects.Worked(x.incarnation) // until then
 		}
 		if r.s.options.Policy.On(policy.Suspicion) {
-			r.s.options.Suspects.Failed(x.engine, now)
+			r.s.options.Suspects.Failed(x.incarnation, now)
 		}
 		if r.s.options.Policy.On(policy.Trials) && !errors.Is(err, ErrDown) {
-			again.notBefore = now + checkWait
-			r.checkLocked(x)
+			again.notBefore = now + crashCheckDelay
+			r.checkCrashLocked(x)
 		}
 	}
 	r.retries[x.key] = again
@@ -210,8 +210,8 @@
 	if err != nil {
 		line = r.log.Warn().Err(err)
 	}
-	line.Str("batch", x.key.batch).Str("sample", x.id).Str("upstream", x.engine).Int("after", x.started).
-		Int("events", x.text.had()).Dur("took", now-x.began).Dur("since_event", now-x.lastAt).Msg("sample run ended")
+	line.Str("batch", x.key.batch).Str("sample", x.sampleID).Str("upstream", x.incarnation).Int("after", x.startEvents).
+		Int("events", x.text.eventCount()).Dur("took", now-x.startedAt).Dur("since_event", now-x.lastEventAt).Msg("sample run ended")
 }
 
 // other reports whether the text has an event of another version.
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -57,11 +57,11 @@
 func (s *Service) submit(ctx context.Context, id string, head batch.Head, items []batch.Item, requests []batch.Request) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitWait)
 	defer cancel()
-	part, err := s.homes.settle(ctx, head.Model, len(items))
+	part, err := s.modelPartitions.assign(ctx, head.Model, len(items))
 	if err != nil {
 		return errors.Join(ErrNotRun, err)
 	}
-	p := s.parts[part]
+	p := s.partitions[part]
 	if s.accepted(ctx, p, id) {
 		return nil
 	}
@@ -80,7 +80,7 @@
 // partition's owner. Otherwise nothing is certain: the batch is appended, and counts once.
 // It spares the records and requests of a batch that comes again.
 func (s *Service) accepted(ctx context.Context, p *partition, id string) bool {
-	if p.has(id) {
+	if p.hasBatch(id) {
 		return true
 	}
 	if p.follower.Loaded() || s.options.Peers == nil {
@@ -88,10 +88,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askWait)
 	defer cancel()
-	owners := s.directory.known(s.options.Now())
+	owners := s.directory.cached(s.options.Now())
 	if owners == nil {
 		var err error
-		if owners, err = s.directory.read(ctx, s.options.Now()); err != nil {
+		if owners, err = s.directory.refresh(ctx, s.options.Now()); err != nil {
 			s.options.Logger.Warn().Err(err).Str("batch", id).Msg("owners not read, batch taken for new")
 			return false
 		}
