--- a/internal/batchrun/submit_test.go
+++ b/internal/batchrun/submit_test.go
@@ -23,23 +23,23 @@
 func TestSubmissionWithoutAnswerIsNoRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 1, "m0")
+		w := newTestCluster(t, 1, 2, 1, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
-		head, items, requests := sampleBatch("m0", "before", 1, 2, 1)
-		g.Expect(w.vms[0].current().Submit(context.Background(), "a", head, items, requests)).To(Succeed())
-		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeAnswer, Late: func(topic string) time.Duration {
+		head, items, requests := newBatch("m0", "before", 1, 2, 1)
+		g.Expect(w.vms[0].daemon().Submit(context.Background(), "a", head, items, requests)).To(Succeed())
+		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency, Late: func(topic string) time.Duration {
 			if topic != batchTopic {
 				return 0 // the requests' blobs arrive, the batch itself is late
 			}
 			return 5 * time.Second
 		}})
-		head, items, requests = sampleBatch("m0", "late", 1, 2, 1)
-		err := w.vms[0].current().Submit(context.Background(), "b", head, items, requests)
+		head, items, requests = newBatch("m0", "late", 1, 2, 1)
+		err := w.vms[0].daemon().Submit(context.Background(), "b", head, items, requests)
 		g.Expect(err).To(MatchError(ErrUnknown))
 		g.Expect(errors.Is(err, ErrNotRun)).To(BeFalse())
 		time.Sleep(6 * time.Second)
-		_, err = w.vms[1].current().Results(context.Background(), "b", 0, 0)
+		_, err = w.vms[1].daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred(), "the write took effect after all")
 	})
 }
@@ -50,19 +50,19 @@
 func TestBatchThroughTwoDaemonsAtOnceIsAcceptedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 2, "m0")
+		w := newTestCluster(t, 1, 2, 2, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
-		head, items, requests := sampleBatch("m0", "twice", 2, 3, 1)
+		head, items, requests := newBatch("m0", "twice", 2, 3, 1)
 		errs := make(chan error, 2)
 		for _, v := range w.vms {
-			go func() { errs <- v.current().Submit(context.Background(), "b", head, items, requests) }()
+			go func() { errs <- v.daemon().Submit(context.Background(), "b", head, items, requests) }()
 		}
 		g.Expect(<-errs).To(Succeed())
 		g.Expect(<-errs).To(Succeed())
 		time.Sleep(10 * time.Second)
 		for _, v := range w.vms {
-			page, err := v.current().Results(context.Background(), "b", 0, 0)
+			page, err := v.daemon().Results(context.Background(), "b", 0, 0)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(page.Results).To(HaveLen(len(items)))
 		}
@@ -76,16 +76,16 @@
 func TestDaemonOutOfTouchIsNotSure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 2, "m0")
+		w := newTestCluster(t, 1, 2, 2, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		w.vms[1].client.SetFaults(metastore.Faults{Cut: true})
 		time.Sleep(2 * time.Second)
-		w.accept(g, "m0", "cut", 1, 2, 1)
-		_, err := w.vms[1].current().Results(context.Background(), "b", 0, 0)
+		w.submitBatch(g, "m0", "cut", 1, 2, 1)
+		_, err := w.vms[1].daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).To(MatchError(ErrUnsure))
 		g.Expect(errors.Is(err, ErrNotFound)).To(BeFalse())
-		_, err = w.vms[0].current().Results(context.Background(), "none", 0, 0)
+		_, err = w.vms[0].daemon().Results(context.Background(), "none", 0, 0)
 		g.Expect(err).To(MatchError(ErrNotFound))
 	})
 }
@@ -95,15 +95,15 @@
 func TestFailingSampleIsGivenUpAfterItsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 2, "m0")
+		w := newTestCluster(t, 1, 2, 2, "m0")
 		defer w.stop()
-		head, items, requests := sampleBatch("m0", "fails", 1, 3, 1)
-		w.engines.fails[items[0].ID] = 2 // one less than the attempts
-		w.engines.fails[items[1].ID] = 9
+		head, items, requests := newBatch("m0", "fails", 1, 3, 1)
+		w.engines.failures[items[0].ID] = 2 // one less than the attempts
+		w.engines.failures[items[1].ID] = 9
 		time.Sleep(2 * time.Second)
-		g.Expect(w.vms[0].current().Submit(context.Background(), "b", head, items, requests)).To(Succeed())
+		g.Expect(w.vms[0].daemon().Submit(context.Background(), "b", head, items, requests)).To(Succeed())
 		time.Sleep(10 * time.Second)
-		page, err := w.vms[1].current().Results(context.Background(), "b", 0, 0)
+		page, err := w.vms[1].daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(3))
 		for _, r := range page.Results {
@@ -113,7 +113,7 @@
 			}
 			g.Expect(r.State).To(Equal(want), r.ID)
 		}
-		g.Expect(w.engines.fails[items[1].ID]).To(Equal(9-head.MaxAttempts), "no more runs than attempts")
+		g.Expect(w.engines.failures[items[1].ID]).To(Equal(9-head.MaxAttempts), "no more runs than attempts")
 	})
 }
 
@@ -123,7 +123,7 @@
 func TestLastHolderOrdersForTheNewOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 1, "m0")
+		w := newTestCluster(t, 1, 2, 1, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		w.publish("m0", 2)
@@ -132,7 +132,7 @@
 		w.store.Redeal(ownersGroup)
 		time.Sleep(500 * time.Millisecond)
 		w.publish("m0", 3)
-		w.accept(g, "m0", "new", 1, 1, 3)
+		w.submitBatch(g, "m0", "new", 1, 1, 3)
 		time.Sleep(testLease - 500*time.Millisecond)
 		g.Expect(w.engines.versionsOf("e0")).To(HaveKeyWithValue("m0", int64(3)), "before the lease has run out")
 	})
@@ -143,19 +143,19 @@
 func TestSampleThatComesAgainGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 2, "m0")
+		w := newTestCluster(t, 1, 2, 2, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		ctx := context.Background()
-		head, items, _ := sampleBatch("m0", "again", 1, 20, 1)
-		items = slices.DeleteFunc(items, func(i batch.Item) bool { return length(i.ID) < 35 })[:2] // still running then
+		head, items, _ := newBatch("m0", "again", 1, 20, 1)
+		items = slices.DeleteFunc(items, func(i batch.Item) bool { return sampleLength(i.ID) < 35 })[:2] // still running then
 		requests := requestsOf(items)
-		g.Expect(w.vms[0].current().Submit(ctx, "b1", head, items, requests)).To(Succeed())
+		g.Expect(w.vms[0].daemon().Submit(ctx, "b1", head, items, requests)).To(Succeed())
 		time.Sleep(700 * time.Millisecond) // a checkpoint, and no sample done
-		g.Expect(w.vms[0].current().End(ctx, "b1")).To(Succeed())
-		g.Expect(w.vms[0].current().Submit(ctx, "b2", head, items, requests)).To(Succeed())
+		g.Expect(w.vms[0].daemon().End(ctx, "b1")).To(Succeed())
+		g.Expect(w.vms[0].daemon().Submit(ctx, "b2", head, items, requests)).To(Succeed())
 		time.Sleep(5 * time.Second)
-		page, err := w.vms[1].current().Results(ctx, "b2", 0, 0)
+		page, err := w.vms[1].daemon().Results(ctx, "b2", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(2))
 		for _, r := range page.Results {
@@ -177,16 +177,16 @@
 func TestClaimBarsTheNextIncarnationToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 1, "m0")
+		w := newTestCluster(t, 1, 2, 1, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		before := registry.Upstream{ID: "e0", Address: "e0"}
-		g.Expect(w.vms[0].current().orders.load(context.Background(), before, weights{model: "m0", version: 2}, func(batch.Loaded) error { return nil })).To(Succeed())
+		g.Expect(w.vms[0].daemon().loader.load(context.Background(), before, loadTarget{model: "m0", version: 2}, func(batch.Loaded) error { return nil })).To(Succeed())
 		time.Sleep(100 * time.Millisecond)
 		w.engines.engines["e0-again"] = &fakeEngine{versions: map[string]int64{"m0": 1}}
 		after := registry.Upstream{ID: "e0-again", Address: "e0"}
-		_, err := w.vms[1].current().orders.loadNow(context.Background(), after, weights{model: "m0", version: 2})
-		g.Expect(err).To(MatchError(errBarred))
+		_, err := w.vms[1].daemon().loader.claimAndLoad(context.Background(), after, loadTarget{model: "m0", version: 2})
+		g.Expect(err).To(MatchError(errClaimedElsewhere))
 	})
 }
 
@@ -196,15 +196,15 @@
 func TestNoEngineIsVacatedWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 2, "m0")
+		w := newTestCluster(t, 1, 1, 2, "m0")
 		defer w.stop()
-		w.engines.pace = 200 * time.Millisecond
+		w.engines.eventInterval = 200 * time.Millisecond
 		time.Sleep(2 * time.Second)
-		head, items, _ := sampleBatch("m0", "away", 1, 20, 1)
-		items = slices.DeleteFunc(items, func(i batch.Item) bool { return length(i.ID) < 35 })[:2]
-		g.Expect(w.vms[0].current().Submit(context.Background(), "b", head, items, requestsOf(items))).To(Succeed())
+		head, items, _ := newBatch("m0", "away", 1, 20, 1)
+		items = slices.DeleteFunc(items, func(i batch.Item) bool { return sampleLength(i.ID) < 35 })[:2]
+		g.Expect(w.vms[0].daemon().Submit(context.Background(), "b", head, items, requestsOf(items))).To(Succeed())
 		time.Sleep(500 * time.Millisecond)
-		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeAnswer})
+		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeLatency})
 		time.Sleep(2 * time.Second)
 		w.publish("m0", 2)
 		time.Sleep(3 * time.Second)
@@ -218,21 +218,21 @@
 func TestPartitionOfAModelOutlivesItsRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 2, 1, "m0", "m1")
+		w := newTestCluster(t, 1, 2, 1, "m0", "m1")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		for _, model := range w.models {
-			head, items, requests := sampleBatch(model, "old", 1, 1, 1)
-			g.Expect(w.vms[0].current().Submit(context.Background(), model, head, items, requests)).To(Succeed())
+			head, items, requests := newBatch(model, "old", 1, 1, 1)
+			g.Expect(w.vms[0].daemon().Submit(context.Background(), model, head, items, requests)).To(Succeed())
 		}
-		want, known := w.vms[0].current().homes.of("m1")
+		want, known := w.vms[0].daemon().modelPartitions.lookup("m1")
 		g.Expect(known).To(BeTrue())
-		before := w.store.End(homesTopic, 0)
+		before := w.store.End(modelPartitionsTopic, 0)
 		time.Sleep(2 * demandInterval)
-		w.store.Trim(homesTopic, 0, before)
+		w.store.Trim(modelPartitionsTopic, 0, before)
 		w.killAll(w.vms[1:], 0)
 		time.Sleep(2 * time.Second)
-		got, known := w.vms[1].current().homes.of("m1")
+		got, known := w.vms[1].daemon().modelPartitions.lookup("m1")
 		g.Expect(known).To(BeTrue())
 		g.Expect(got).To(Equal(want))
 	})
@@ -244,25 +244,25 @@
 func TestEngineStartsAgainUnderItsID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 2, "m0")
+		w := newTestCluster(t, 1, 1, 2, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		w.publish("m0", 2)
 		time.Sleep(3 * time.Second)
 		g.Expect(w.engines.versionsOf("e0")).To(HaveKeyWithValue("m0", int64(2)))
 		w.publish("m0", 3)
-		time.Sleep(loadTakes / 2) // one of them loads
+		time.Sleep(loadDuration / 2) // one of them loads
 		for _, id := range []string{"e0", "e1"} {
 			w.engines.restart(id, "m0", 1)
 		}
 		time.Sleep(3 * time.Second)
-		items := w.accept(g, "m0", "again", 1, 4, 3)
+		items := w.submitBatch(g, "m0", "again", 1, 4, 3)
 		time.Sleep(5 * time.Second)
-		page, err := w.vms[0].current().Results(context.Background(), "b", 0, 0)
+		page, err := w.vms[0].daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(len(items)))
 		for _, id := range []string{"e0", "e1"} {
-			u, _ := w.vms[0].current().options.View.Get(id)
+			u, _ := w.vms[0].daemon().options.View.Get(id)
 			g.Expect(u.Started).To(BeNumerically(">", 1))
 		}
 	})
@@ -279,12 +279,12 @@
 	e := r.engineLocked(before.Incarnation())
 	e.running = 4
 	r.s.options.Suspects.Failed(before.Incarnation(), 0)
-	e.pace.observe(time.Second, 0, paceLife)
+	e.pace.observe(time.Second, 0, gapMaxAge)
 	g.Expect(r.unusableLocked(before.Incarnation(), 0)).To(BeTrue())
 	next := r.engineLocked(after.Incarnation())
 	g.Expect(r.unusableLocked(after.Incarnation(), 0)).To(BeFalse())
 	g.Expect(next.running).To(BeZero())
-	g.Expect(next.pace.known(0, paceLife)).To(BeZero())
+	g.Expect(next.pace.mean(0, gapMaxAge)).To(BeZero())
 }
 
 // The store refuses an owner's partition while it serves others. The owner needs the
@@ -293,18 +293,18 @@
 func TestRequestsAreNotAskedForWithoutPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newWorld(t, 1, 1, 2, "m0")
+		w := newTestCluster(t, 1, 1, 2, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
-		w.engines.pace = 300 * time.Millisecond
-		w.accept(g, "m0", "asked", 1, 4, 1)
+		w.engines.eventInterval = 300 * time.Millisecond
+		w.submitBatch(g, "m0", "asked", 1, 4, 1)
 		w.killAll(w.vms, 0)
 		time.Sleep(150 * time.Millisecond)
-		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeAnswer})
-		s := w.vms[0].current()
+		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeLatency})
+		s := w.vms[0].daemon()
 		before := w.vms[0].client.Calls().Reads
-		r := newRunner(s, s.partitionOf("m0"), func() bool { return true })
-		r.part.setOwner(r.wake, r.ignored)
+		r := newRunner(s, s.partitionForModel("m0"), func() bool { return true })
+		r.partition.setOwnerCallbacks(r.wake, r.onResultIgnored)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		r.run(ctx)
--- a/internal/batchrun/trial.go
+++ b/internal/batchrun/trial.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	// checkWait is how long a sample whose run broke off waits for word whether its engine
-	// crashed. An engine that is there, or refuses connections, says so in some
-	// milliseconds.
-	checkWait = 60 * time.Millisecond
-	// checkTimeout bounds the question.
-	checkTimeout = 500 * time.Millisecond
+	// crashCheckDelay is how long a sample whose run broke off waits for the check whether
+	// its engine crashed. An engine that is up answers in some milliseconds, and one that is
+	// down refuses the connection as fast.
+	crashCheckDelay = 60 * time.Millisecond
+	// crashCheckTimeout bounds the check.
+	crashCheckTimeout = 500 * time.Millisecond
 )
 
 var (
-	samplesTried   = metrics.Counter("samples_tried_alone")
-	samplesCrashed = metrics.Counter("sample_runs_crashed")
+	samplesTriedAlone = metrics.Counter("samples_tried_alone")
+	sampleRunsCrashed = metrics.Counter("sample_runs_crashed")
 )
 
-// brokenRun is a run whose engine may have crashed under it.
+// brokenRun is a run that broke off, perhaps because its engine crashed.
 type brokenRun struct {
-	key    sampleKey
-	id     string // the sample's
-	events int    // had
-	alone  bool
+	key      sampleKey
+	sampleID string
+	events   int  // of the sample's text that were received
+	alone    bool // the run was a trial
 }
 
-// checkLocked looks whether an engine crashed under a run. All runs that break there
-// meanwhile share the look.
-func (r *runner) checkLocked(x *run) {
-	waiting, under := r.checks[x.engine]
-	r.checks[x.engine] = append(waiting, brokenRun{x.key, x.id, x.text.had(), x.trial})
-	if under {
+// checkCrashLocked checks in the background whether a run broke off because its engine
+// crashed. All runs that break there during the check share its result.
+func (r *runner) checkCrashLocked(x *run) {
+	broken, checking := r.crashChecks[x.incarnation]
+	r.crashChecks[x.incarnation] = append(broken, brokenRun{x.key, x.sampleID, x.text.eventCount(), x.trial})
+	if checking {
 		return
 	}
-	r.work.Go(func() {
-		crashed, err := r.crashed(x.upstream)
-		r.log.Info().Str("upstream", x.engine).Bool("crashed", crashed).AnErr("answer", err).Msg("engine broke off and was looked at")
+	r.tasks.Go(func() {
+		crashed, err := r.engineCrashed(x.upstream)
+		r.log.Info().Str("upstream", x.incarnation).Bool("crashed", crashed).AnErr("answer", err).Msg("checked whether an engine crashed")
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.checkedLocked(x.engine, crashed, r.s.options.Now())
+		r.crashCheckedLocked(x.incarnation, crashed, r.s.options.Now())
 	})
 }
 
-// crashed says whether an incarnation's process has certainly ended. A connection that
-// was only reset leaves an engine that answers, and a cut one no answer at all.
-func (r *runner) crashed(u registry.Upstream) (crashed bool, answer error) {
-	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
+// engineCrashed reports whether an incarnation's process has certainly ended. If only the
+// connection was reset the engine answers, and if the network is cut no answer comes.
+func (r *runner) engineCrashed(u registry.Upstream) (crashed bool, answer error) {
+	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
 	report, err := r.s.options.Engines.Report(ctx, u)
 	if err != nil {
@@ -64,41 +64,44 @@
 	return report.Started > u.Started, nil
 }
 
-func (r *runner) checkedLocked(engine string, crashed bool, now time.Duration) {
-	broken := r.checks[engine]
-	delete(r.checks, engine)
+// crashCheckedLocked takes the result of a crash check of an engine, given by its
+// incarnation: the samples of its broken runs may start again, and after a crash it counts
+// against them.
+func (r *runner) crashCheckedLocked(incarnation string, crashed bool, now time.Duration) {
+	broken := r.crashChecks[incarnation]
+	delete(r.crashChecks, incarnation)
 	for _, b := range broken {
-		if again, ok := r.retries[b.key]; ok {
-			again.notBefore = min(again.notBefore, now)
-			r.retries[b.key] = again
+		if retry, ok := r.retries[b.key]; ok {
+			retry.notBefore = min(retry.notBefore, now)
+			r.retries[b.key] = retry
 		}
 		if !crashed {
 			continue
 		}
-		samplesCrashed.Add(1)
-		r.crashes.Crashed(b.key, engine, b.events, b.alone, now)
+		sampleRunsCrashed.Add(1)
+		r.crashes.Crashed(b.key, incarnation, b.events, b.alone, now)
 		standing, _ := r.crashes.Standing(b.key)
 		lost, _ := r.crashes.Crashes(b.key)
-		r.log.Warn().Str("batch", b.key.batch).Str("sample", b.id).Str("upstream", engine).Int("events", b.events).Int("beside", len(broken)-1).
+		r.log.Warn().Str("batch", b.key.batch).Str("sample", b.sampleID).Str("upstream", incarnation).Int("events", b.events).Int("beside", len(broken)-1).
 			Bool("alone", b.alone).Int("crashes", lost).Stringer("standing", standing).Msg("engine crashed under a sample")
 	}
 	r.wake()
 }
 
-// progressedLocked opens the engine of a trial to others once its sample has got past
-// the point where engines crashed.
-func (r *runner) progressedLocked(x *run) {
-	if !r.crashes.Progressed(x.key, x.text.had()) || !x.trial {
+// endTrialIfPassedLocked ends a trial once its sample has got past the point where engines
+// crashed, so that other samples may use the engine again.
+func (r *runner) endTrialIfPassedLocked(x *run) {
+	if !r.crashes.Progressed(x.key, x.text.eventCount()) || !x.trial {
 		return
 	}
 	x.trial = false
-	r.engineLocked(x.engine).trial = false
-	r.log.Info().Str("batch", x.key.batch).Str("sample", x.id).Str("upstream", x.engine).Int("events", x.text.had()).Msg("sample's trial passed")
+	r.engineLocked(x.incarnation).trial = false
+	r.log.Info().Str("batch", x.key.batch).Str("sample", x.sampleID).Str("upstream", x.incarnation).Int("events", x.text.eventCount()).Msg("sample passed its trial")
 	r.wake()
 }
 
-// trialsLocked tells samples that run alone from the others.
-func (r *runner) trialsLocked(waiting []batch.Waiting) (ordinary, trials []batch.Waiting) {
+// splitTrialsLocked separates the samples that have to run alone from the others.
+func (r *runner) splitTrialsLocked(waiting []batch.Waiting) (ordinary, trials []batch.Waiting) {
 	for _, w := range waiting {
 		standing, from := r.crashes.Standing(sampleKey{w.Batch, w.Index})
 		if standing == crashes.Ordinary {
@@ -111,38 +114,40 @@
 	return ordinary, trials
 }
 
-// tryLocked runs a sample alone that lost engines before. Beside others it would take
-// them along each time: they move on with it, and the model's engines crash one after
-// the other for as long as its batch is kept. One is tried at a time; those that a crash
-// made suspects by chance pass within some events.
-func (r *runner) tryLocked(ctx context.Context, model string, share []registry.Upstream, trials []batch.Waiting, now time.Duration) {
+// startTrialLocked runs a sample alone under which engines have crashed. Run together with
+// others it would interrupt them with each crash: they would move to the next engine with
+// it, and the model's engines would crash one after the other for as long as its batch is
+// kept. One sample is tried at a time; those that only happened to share a crashed engine
+// pass within a few events.
+func (r *runner) startTrialLocked(ctx context.Context, model string, engines []registry.Upstream, trials []batch.Waiting, now time.Duration) {
 	trials = slices.DeleteFunc(trials, func(w batch.Waiting) bool { return w.NotBefore > now })
-	if len(trials) == 0 || r.tryingLocked(model) {
+	if len(trials) == 0 || r.trialRunningLocked(model) {
 		return
 	}
 	slices.SortStableFunc(trials, func(a, b batch.Waiting) int { return cmp.Compare(a.NotBefore, b.NotBefore) })
 	for _, w := range trials {
-		u, ok := r.trialEngineLocked(model, share, w, now)
+		u, ok := r.trialEngineLocked(model, engines, w, now)
 		if !ok {
 			continue
 		}
 		e := r.engineLocked(u.Incarnation())
 		if e.running > 0 {
-			r.vacateLocked(u.Incarnation(), now) // the next look starts it
+			r.evictLocked(u.Incarnation(), now) // the next pass starts the trial
 			return
 		}
-		samplesTried.Add(1)
+		samplesTriedAlone.Add(1)
 		r.startLocked(ctx, model, u, w)
 		if x := r.runs[sampleKey{w.Batch, w.Index}]; x != nil {
 			x.trial, e.trial = true, true
 			lost, _ := r.crashes.Crashes(x.key)
-			r.log.Info().Str("batch", w.Batch).Str("sample", x.id).Str("upstream", x.engine).Int("crashes", lost).Msg("sample runs alone")
+			r.log.Info().Str("batch", w.Batch).Str("sample", x.sampleID).Str("upstream", x.incarnation).Int("crashes", lost).Msg("sample runs alone")
 		}
 		return
 	}
 }
 
-func (r *runner) tryingLocked(model string) bool {
+// trialRunningLocked reports whether a sample of a model runs alone now.
+func (r *runner) trialRunningLocked(model string) bool {
 	for _, x := range r.runs {
 		if x.trial && x.model == model {
 			return true
@@ -151,10 +156,11 @@
 	return false
 }
 
-// trialEngineLocked returns the engine with the fewest samples that a sample may use,
-// rather another one than that which crashed under it last. While no other engine is
-// left for the others, because it crashed those, it waits as long as a crasher does.
-func (r *runner) trialEngineLocked(model string, share []registry.Upstream, w batch.Waiting, now time.Duration) (best registry.Upstream, ok bool) {
+// trialEngineLocked returns the engine for a trial: of those that the sample may use the one
+// with the fewest runs, and preferably not the one that crashed under it last. If that would
+// leave no engine for other samples, because it has crashed the rest, the sample waits as
+// long as a known crasher does.
+func (r *runner) trialEngineLocked(model string, engines []registry.Upstream, w batch.Waiting, now time.Duration) (best registry.Upstream, ok bool) {
 	rank := func(u registry.Upstream) int {
 		rank := 2 * r.engineLocked(u.Incarnation()).running
 		if u.Incarnation() == w.Avoid {
@@ -163,7 +169,7 @@
 		return rank
 	}
 	usable := 0
-	for _, u := range share {
+	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
 		if r.suspect(u.Incarnation(), now) || e.loading || e.trial || now < e.fullTo || u.Models[model] < w.MinVersion {
 			continue
--- a/internal/batchrun/wishes.go
+++ b/internal/batchrun/wishes.go
@@ -9,60 +9,63 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// grant carries a wish out if this VM claimed the engine last. Wishes that were
-// read while catching up are old: whoever made one asks again.
-func (x *orders) grant(w loads.Wish) {
-	u, alive := x.options.View.Get(w.Engine)
-	if !alive || !x.follower.Loaded() || u.Models[w.Model] >= w.Version {
+// runDelegatedLoad loads an engine on another VM's request if this VM holds the last claim
+// on it. Requests that were read while catching up are outdated, and the VM that made one
+// asks again.
+func (x *loader) runDelegatedLoad(request loads.Wish) {
+	u, alive := x.options.View.Get(request.Engine)
+	if !alive || !x.follower.Loaded() || u.Models[request.Model] >= request.Version {
 		return
 	}
 	x.mu.Lock()
 	holder, _, _ := x.claims.Holder(u.Address)
-	busy := x.loading[w.Engine]
+	busy := x.delegatedLoads[request.Engine]
 	mine := holder == x.options.VM && !busy
 	if mine {
-		x.loading[w.Engine] = true
+		x.delegatedLoads[request.Engine] = true
 	}
 	x.mu.Unlock()
 	if !mine {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), loadLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
 	began := time.Now()
-	err := x.load(ctx, u, weights{w.Model, w.Version, w.Retain, w.Part}, func(l batch.Loaded) error { return x.tellLoaded(ctx, w.Part, l) })
-	x.options.Logger.Info().Str("upstream", w.Engine).Str("model", w.Model).Int64("version", w.Version).
+	err := x.load(ctx, u, loadTarget{request.Model, request.Version, request.Retain, request.Part}, func(l batch.Loaded) error { return x.appendLoaded(ctx, request.Part, l) })
+	x.options.Logger.Info().Str("upstream", request.Engine).Str("model", request.Model).Int64("version", request.Version).
 		Dur("took", time.Since(began)).Err(err).Msg("load for another VM ended")
 	x.mu.Lock()
-	delete(x.loading, w.Engine)
+	delete(x.delegatedLoads, request.Engine)
 	x.mu.Unlock()
 }
 
-// wishWait is how long the last holder of an engine is waited for: a load takes
-// about half of it. A holder that is gone doesn't answer.
-const wishWait = 2500 * time.Millisecond
+// delegationTimeout is how long to wait for the VM with the last claim on an engine to load
+// it. A load takes about half of it. A VM that is gone doesn't answer.
+const delegationTimeout = 2500 * time.Millisecond
 
-// wish asks the engine's last holder for a load and waits until it is done.
-func (x *orders) wish(ctx context.Context, engine string, w weights) error {
-	if err := x.tell(ctx, loads.Record{Wish: &loads.Wish{Engine: engine, Model: w.model, Version: w.version, Retain: w.retain, Part: w.part}}); err != nil {
+// delegateLoad asks the VM with the last claim on an engine to load it, and waits until the
+// load is done.
+func (x *loader) delegateLoad(ctx context.Context, engine string, target loadTarget) error {
+	if err := x.appendRecord(ctx, loads.Record{Wish: &loads.Wish{Engine: engine, Model: target.model, Version: target.version, Retain: target.retain, Part: target.partition}}); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, wishWait)
+	ctx, cancel := context.WithTimeout(ctx, delegationTimeout)
 	defer cancel()
 	for {
 		changed := x.options.View.Changed()
-		if u, ok := x.options.View.Get(engine); !ok || u.Models[w.model] >= w.version {
+		if u, ok := x.options.View.Get(engine); !ok || u.Models[target.model] >= target.version {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return errBarred
+			return errClaimedElsewhere
 		}
 	}
 }
 
-func (x *orders) tell(ctx context.Context, r loads.Record) error {
+// appendRecord appends a record to the claims log.
+func (x *loader) appendRecord(ctx context.Context, r loads.Record) error {
 	data, err := loads.Encode(r)
 	if err != nil {
 		return err
@@ -71,13 +74,16 @@
 	return err
 }
 
-// Gap: claims that old bar nobody.
-func (x *orders) Gap(int64) {}
+// Gap does nothing: claims whose records have expired no longer block any VM.
+func (x *loader) Gap(int64) {}
 
-// Reset is never called: the topic has no keys.
-func (x *orders) Reset([]store.Entry) {}
+// Reset is never called: the topic isn't keyed.
+func (x *loader) Reset([]store.Entry) {}
 
-func (x *orders) barred(subject string) time.Duration {
+// claimBlockedFor returns for how long another VM's claim still keeps this VM from claiming
+// a subject, 0 if none does. Before the claims log is loaded every subject counts as
+// blocked.
+func (x *loader) claimBlockedFor(subject string) time.Duration {
 	if !x.follower.Loaded() {
 		return time.Hour
 	}
@@ -86,7 +92,8 @@
 	return x.claims.Barred(subject, x.options.Now())
 }
 
-func (x *orders) forget() {
+// discardOldClaims drops claims that are no longer needed.
+func (x *loader) discardOldClaims() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.claims.Forget(x.options.Now())
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -21,99 +21,99 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// The tests of this package run several daemons' Services over the stand-in store
-// and these engines, on testing/synctest's clock.
+// The tests of this package run the Services of several daemons with the stand-in store and
+// fakeEngines, on the clock of testing/synctest.
 
 const (
-	testHost    = "h"
-	testPath    = "/b/"
-	testLease   = 3 * time.Second
-	storeAnswer = 4 * time.Millisecond
-	callTimeout = 1500 * time.Millisecond
-	loadTakes   = 900 * time.Millisecond
-	eventTakes  = 30 * time.Millisecond
-	scoreTakes  = 200 * time.Millisecond
-	rewardPath  = "/rewards/"
+	testHost      = "h"
+	testPath      = "/b/"
+	testLease     = 3 * time.Second
+	storeLatency  = 4 * time.Millisecond
+	callTimeout   = 1500 * time.Millisecond
+	loadDuration  = 900 * time.Millisecond
+	eventInterval = 30 * time.Millisecond
+	scoreDuration = 200 * time.Millisecond
+	rewardPath    = "/rewards/"
 )
 
-// vm is one VM of the world: its way to the store, and its daemon while it runs.
-type vm struct {
+// testVM is one VM of a testCluster.
+type testVM struct {
 	name    string
-	client  *metastore.Client
+	client  *metastore.Client // its connection to the store
 	mu      sync.Mutex
-	service *Service
+	service *Service // its daemon, nil while none runs
 	cancel  context.CancelFunc
-	stopped chan struct{}
+	stopped chan struct{} // closed when the daemon has stopped
 }
 
-// current is the daemon that runs now, nil while there is none.
-func (v *vm) current() *Service {
+// daemon is the daemon that runs now, nil while there is none.
+func (v *testVM) daemon() *Service {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.service
 }
 
-// world is a fleet.
-type world struct {
+// testCluster is a fleet of daemons with a store, engines and a scorer.
+type testCluster struct {
 	t       *testing.T
 	start   time.Time
 	store   *metastore.Store
 	engines *fakeEngines
 	scorer  *fakeScorer
 	models  []string
-	vms     []*vm
-	policy  Policy // of the daemons that start from now on
-	parts   int    // partitions of a topic
-	peers   Peers  // between the daemons, nil: none
+	vms     []*testVM
+	policy  Policy // of daemons that are started from now on
+	parts   int    // number of partitions of a topic
+	peers   Peers  // connects the daemons, nil if they can't reach each other
 
 	mu        sync.Mutex
-	published map[string]int64
+	published map[string]int64 // weights version by model
 }
 
-func newWorld(t *testing.T, seed uint64, vms, engines int, models ...string) *world {
-	return newWorldWith(t, Ours(policy.Set{}), seed, 4, vms, engines, models...)
+func newTestCluster(t *testing.T, seed uint64, vms, engines int, models ...string) *testCluster {
+	return newTestClusterWithPolicy(t, Ours(policy.Set{}), seed, 4, vms, engines, models...)
 }
 
-func newWorldWith(t *testing.T, policy Policy, seed uint64, parts, vms, engines int, models ...string) *world {
-	return newWorldOf(t, worldOptions{policy: policy, seed: seed, parts: parts, vms: vms, engines: engines, models: models})
+func newTestClusterWithPolicy(t *testing.T, policy Policy, seed uint64, parts, vms, engines int, models ...string) *testCluster {
+	return newTestClusterWithOptions(t, clusterOptions{policy: policy, seed: seed, parts: parts, vms: vms, engines: engines, models: models})
 }
 
-// worldOptions say of what a world is made.
-type worldOptions struct {
-	policy  Policy // none: ours
+// clusterOptions of a testCluster.
+type clusterOptions struct {
+	policy  Policy // the zero Policy stands for Ours
 	seed    uint64
-	parts   int // partitions of a topic
+	parts   int // number of partitions of a topic
 	vms     int
 	engines int
 	models  []string
-	peers   *worldPeers // nil: the daemons don't reach each other
+	peers   *worldPeers // nil if the daemons can't reach each other
 }
 
-func newWorldOf(t *testing.T, o worldOptions) *world {
-	if o.policy.Plan == nil {
+func newTestClusterWithOptions(t *testing.T, o clusterOptions) *testCluster {
+	if o.policy.PlanSamples == nil {
 		o.policy = Ours(policy.Set{})
 	}
-	w := &world{t: t, policy: o.policy, parts: o.parts, start: time.Now(), store: metastore.New(o.parts), models: o.models, published: map[string]int64{}}
+	w := &testCluster{t: t, policy: o.policy, parts: o.parts, start: time.Now(), store: metastore.New(o.parts), models: o.models, published: map[string]int64{}}
 	if o.peers != nil {
 		o.peers.w = w
 		w.peers = o.peers
 	}
 	w.engines = newFakeEngines(t, o.seed, o.engines, o.models)
-	w.scorer = &fakeScorer{t: t, engines: w.engines, takes: scoreTakes, fails: map[string]int{}}
-	w.engines.back = w.register
+	w.scorer = &fakeScorer{t: t, engines: w.engines, takes: scoreDuration, fails: map[string]int{}}
+	w.engines.onRestart = w.registerEngine
 	for i := range o.vms {
-		v := &vm{name: "vm" + strconv.Itoa(i), client: metastore.NewClient(w.store, callTimeout)}
-		v.client.SetFaults(metastore.Faults{Latency: storeAnswer})
+		v := &testVM{name: "vm" + strconv.Itoa(i), client: metastore.NewClient(w.store, callTimeout)}
+		v.client.SetFaults(metastore.Faults{Latency: storeLatency})
 		w.vms = append(w.vms, v)
-		w.boot(v)
+		w.startDaemon(v)
 	}
 	return w
 }
 
-func (w *world) now() time.Duration { return time.Since(w.start) }
+func (w *testCluster) now() time.Duration { return time.Since(w.start) }
 
-// boot starts a VM's daemon with nothing in memory.
-func (w *world) boot(v *vm) {
+// startDaemon starts a new daemon on a VM.
+func (w *testCluster) startDaemon(v *testVM) {
 	view := fleet.New(w.now)
 	view.SetConfig(routes.New(1, []routes.Route{
 		{Host: testHost, PathPrefix: testPath, Kind: routes.Batch, Services: []routes.Share{{Service: "engines", Weight: 1}}},
@@ -121,7 +121,7 @@
 	}, []routes.Service{{Name: "engines", Engine: &routes.Engine{Slots: 8, Models: w.models}}}, routes.Limits{}, nil))
 	view.Upstreams(func(r *registry.Registry, now time.Duration) {
 		for id := range w.engines.engines {
-			r.Put(w.entryOf(id))
+			r.Put(w.registryEntry(id))
 		}
 	})
 	w.mu.Lock()
@@ -145,21 +145,21 @@
 	}()
 }
 
-// register has the daemons read an engine's newest entry.
-func (w *world) register(id string) {
+// registerEngine gives all daemons the current registry entry of an engine.
+func (w *testCluster) registerEngine(id string) {
 	for _, v := range w.vms {
-		if s := v.current(); s != nil {
-			s.options.View.Upstreams(func(r *registry.Registry, _ time.Duration) { r.Put(w.entryOf(id)) })
+		if s := v.daemon(); s != nil {
+			s.options.View.Upstreams(func(r *registry.Registry, _ time.Duration) { r.Put(w.registryEntry(id)) })
 		}
 	}
 }
 
-func (w *world) entryOf(id string) registry.Upstream {
-	return registry.Upstream{ID: id, Started: w.engines.startOf(id), Service: "engines", Address: id, Slots: 8, Models: w.engines.versionsOf(id)}
+func (w *testCluster) registryEntry(id string) registry.Upstream {
+	return registry.Upstream{ID: id, Started: w.engines.startTimeOf(id), Service: "engines", Address: id, Slots: 8, Models: w.engines.versionsOf(id)}
 }
 
-// kill ends a VM's daemon without letting it write anything more.
-func (w *world) kill(v *vm) {
+// kill stops a VM's daemon and keeps it from writing anything to the store meanwhile.
+func (w *testCluster) kill(v *testVM) {
 	v.client.SetFaults(metastore.Faults{Cut: true})
 	v.mu.Lock()
 	cancel, stopped := v.cancel, v.stopped
@@ -169,41 +169,42 @@
 	<-stopped
 }
 
-func (w *world) restart(v *vm) {
-	v.client.SetFaults(metastore.Faults{Latency: storeAnswer})
-	w.boot(v)
+// restart starts a daemon again on a VM where it was killed.
+func (w *testCluster) restart(v *testVM) {
+	v.client.SetFaults(metastore.Faults{Latency: storeLatency})
+	w.startDaemon(v)
 }
 
-// publish names new weights, as trainers do.
-func (w *world) publish(model string, version int64) {
+// publish publishes a new weights version, as trainers do.
+func (w *testCluster) publish(model string, version int64) {
 	w.mu.Lock()
 	w.published[model] = version
 	w.mu.Unlock()
 	for _, v := range w.vms {
-		if s := v.current(); s != nil {
+		if s := v.daemon(); s != nil {
 			s.options.View.Publish(model, version)
 		}
 	}
 }
 
-func (w *world) stop() {
+func (w *testCluster) stop() {
 	for _, v := range w.vms {
-		if v.current() != nil {
+		if v.daemon() != nil {
 			w.kill(v)
 		}
 	}
-	time.Sleep(20 * time.Second) // what was on its way ends
+	time.Sleep(20 * time.Second) // operations in progress end
 }
 
-// sampleBatch makes a batch of samples that no other batch has.
-// accept hands batch "b" in at the first VM and returns its samples.
-func (w *world) accept(g Gomega, model, id string, groups, size int, minVersion int64) []batch.Item {
-	head, items, requests := sampleBatch(model, id, groups, size, minVersion)
-	g.Expect(w.vms[0].current().Submit(context.Background(), "b", head, items, requests)).To(Succeed())
+// submitBatch submits a new batch with the ID "b" to the first VM and returns its samples.
+func (w *testCluster) submitBatch(g Gomega, model, id string, groups, size int, minVersion int64) []batch.Item {
+	head, items, requests := newBatch(model, id, groups, size, minVersion)
+	g.Expect(w.vms[0].daemon().Submit(context.Background(), "b", head, items, requests)).To(Succeed())
 	return items
 }
 
-func sampleBatch(model, id string, groups, size int, minVersion int64) (batch.Head, []batch.Item, []batch.Request) {
+// newBatch returns a batch with samples that no other batch has.
+func newBatch(model, id string, groups, size int, minVersion int64) (batch.Head, []batch.Item, []batch.Request) {
 	head := batch.Head{
 		Host: testHost, Path: testPath, Model: model, MinVersion: minVersion, WantedGroups: groups,
 		MaxAttempts: 3, RetentionMS: 40_000, TargetMS: 7500,
@@ -222,9 +223,10 @@
 	return head, items, requestsOf(items)
 }
 
-// scoredModel is the one whose samples have reward calls.
+// scoredModel is the model whose samples have reward calls.
 const scoredModel = "m1"
 
+// requestsOf returns the samples' requests, which fakeEngines checks.
 func requestsOf(items []batch.Item) []batch.Request {
 	var out []batch.Request
 	for _, i := range items {
@@ -237,7 +239,7 @@
 	return out
 }
 
-// dead counts the samples that a batch lists as given up.
-func dead(results []Result) int {
+// countGivenUp counts the results of samples that were given up.
+func countGivenUp(results []Result) int {
 	return len(slices.DeleteFunc(slices.Clone(results), func(r Result) bool { return r.State != batch.Dead }))
 }
