--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -11,12 +11,12 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// loaded is a table with learnt speeds and uneven load.
-func loaded(n int) *routing.Table {
-	t, r := newTable(n), rng(5)
-	t.See(start)
+// newLoadedTable returns a table of n members with learnt token times and uneven load.
+func newLoadedTable(n int) *routing.Table {
+	t, random := newTable(n), rng(5)
+	t.AdvanceClock(start)
 	for i := range n {
-		t.AddOwn(name(i), r.IntN(24))
+		t.AddOwn(name(i), random.IntN(24))
 		for range 5 {
 			t.ObserveTokenTime(name(i), routing.ClassRollout, time.Duration(20+i%30)*time.Millisecond, 8)
 		}
@@ -25,40 +25,40 @@
 }
 
 func benchmarkPick(b *testing.B, n int) {
-	full, rare := loaded(n), loaded(n)
+	atLimit, oneUpdated := newLoadedTable(n), newLoadedTable(n)
 	for i := range n {
-		full.Update(name(i), func(u *routing.Upstream) { u.Limit = 1; u.Own += 1 })
+		atLimit.Update(name(i), func(u *routing.Upstream) { u.Limit = 1; u.Own += 1 })
 	}
-	rare.Update(name(n/2), func(u *routing.Upstream) { u.Serving = 2 })
-	half := loaded(n)
+	oneUpdated.Update(name(n/2), func(u *routing.Upstream) { u.Serving = 2 })
+	halfUpdated := newLoadedTable(n)
 	for i := range n / 2 {
-		half.Update(name(2*i), func(u *routing.Upstream) { u.Serving, u.Limit, u.Own = 2, 8, 8+i%9 })
+		halfUpdated.Update(name(2*i), func(u *routing.Upstream) { u.Serving, u.Limit, u.Own = 2, 8, 8+i%9 })
 	}
-	reserved := loaded(n)
+	reserved := newLoadedTable(n)
 	for i := range n {
 		reserved.AddOwn(name(i), 4)
 	}
-	reserved.SetReserve(1) // notes the bulk
+	reserved.SetReserve(1) // records the bulk requests in flight
 	reserved.SetReserve(1e9)
-	if reserved.Reserved() == 0 {
+	if reserved.ReserveSize() == 0 {
 		b.Fatal("no reserve")
 	}
 	for _, c := range []struct {
-		what    string
+		name    string
 		table   *routing.Table
 		request routing.Request
 	}{
-		{"plain", loaded(n), routing.Request{}},
-		{"excluded", loaded(n), routing.Request{Exclude: []ident.Upstream{"u1", "u2"}}},
-		{"prefix", loaded(n), routing.Request{Prefix: 1}},
+		{"plain", newLoadedTable(n), routing.Request{}},
+		{"excluded", newLoadedTable(n), routing.Request{Exclude: []ident.Upstream{"u1", "u2"}}},
+		{"prefix", newLoadedTable(n), routing.Request{Prefix: 1}},
 		{"reserve", reserved, routing.Request{Prefix: 1}},
 		{"off-reserve", reserved, routing.Request{Class: routing.ClassRollout, Prefix: 1}},
-		{"straggler", loaded(n), routing.Request{Class: routing.ClassRollout, Straggler: true}},
-		{"all-full", full, routing.Request{Class: routing.ClassRollout, Prefix: 1, Straggler: true}},
-		{"half-switched-full", half, routing.Request{Class: routing.ClassRollout, Prefix: 1, MinVersion: 2}},
-		{"one-serves", rare, routing.Request{Class: routing.ClassRollout, Prefix: 1, MinVersion: 2}},
+		{"straggler", newLoadedTable(n), routing.Request{Class: routing.ClassRollout, Straggler: true}},
+		{"all-at-limit", atLimit, routing.Request{Class: routing.ClassRollout, Prefix: 1, Straggler: true}},
+		{"half-updated-at-limit", halfUpdated, routing.Request{Class: routing.ClassRollout, Prefix: 1, MinVersion: 2}},
+		{"one-updated", oneUpdated, routing.Request{Class: routing.ClassRollout, Prefix: 1, MinVersion: 2}},
 	} {
-		b.Run(c.what, func(b *testing.B) {
+		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				if c.request.Prefix != 0 {
@@ -76,8 +76,8 @@
 func BenchmarkPick522(b *testing.B)   { benchmarkPick(b, 522) }
 func BenchmarkPick12000(b *testing.B) { benchmarkPick(b, 12000) }
 
-var _ = It("allocates nothing", func() {
-	t := loaded(522)
+var _ = It("picks without allocating", func() {
+	t := newLoadedTable(522)
 	p := uint64(1)
 	Expect(testing.AllocsPerRun(1000, func() {
 		p++
--- a/internal/routing/favourites.go
+++ b/internal/routing/favourites.go
@@ -7,24 +7,26 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Keepers is how many of so many daemons use each upstream of a group of so many
-// members under Subset.
+// Keepers returns the number of daemons that use each upstream when every daemon uses
+// its Subset. members and daemons are the numbers of upstreams and daemons; size is the
+// subset size.
 func Keepers(members, daemons, size int) int {
-	if members <= size || daemons <= minKeepers {
+	if members <= size || daemons <= minDaemonsPerUpstream {
 		return daemons
 	}
-	return max(minKeepers, (size*daemons+members-1)/members)
+	return max(minDaemonsPerUpstream, (size*daemons+members-1)/members)
 }
 
-// Favourites returns the n members that rank highest for this daemon, in the order
-// given. Unlike with Subset, a member may be no daemon's favourite: it is for
-// members that others look after, and for the time until the others are known.
+// Favourites returns the n members with the highest rendezvous scores for this daemon,
+// in the order given. Unlike with Subset, some members may be returned for no daemon.
+// It is meant for members that other daemons are responsible for, and for the time
+// before the other daemons are known.
 func Favourites(self string, members []ident.Upstream, n int) []ident.Upstream {
 	if len(members) <= n {
 		return slices.Clone(members)
 	}
-	me := hashString(self)
-	score := func(name ident.Upstream) uint64 { return pair(hashString(string(name)), me) }
+	selfHash := hashString(self)
+	score := func(name ident.Upstream) uint64 { return rendezvousScore(hashString(string(name)), selfHash) }
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b ident.Upstream) int {
 		return cmp.Or(cmp.Compare(score(b), score(a)), cmp.Compare(a, b))
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -6,130 +6,140 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// epochs is how many slices of ReportLife a peak is remembered in.
-const epochs = 8
+// peakEpochs is the number of epochs that ReportTTL is divided into. The peak of the
+// requests in flight is kept for each of the last peakEpochs epochs.
+const peakEpochs = 8
 
-// reportState corrects what we know to be in flight by an upstream's reports.
+// reportState derives the unattributed load of an upstream from its load reports.
+// The known load is the number of requests that this daemon and the peers it hears
+// from have in flight there.
 //
-// Own and peers' counts miss work of daemons that we don't hear from. A report
-// has it, but is late: it still counts requests that ended since, and lacks
-// those sent since. So only its surplus counts, over the most that we knew to be
-// in flight at any time since it was made. That never counts a request twice: one
-// of ours that the report saw was in flight after it was made, and is in the peak.
+// The known load misses requests of daemons that this one does not hear from. A load
+// report includes them but is delayed: it still counts requests that have ended since
+// and misses those sent since. Therefore only the excess of the report over the peak
+// of the known load since the report was made is added, as unattributed load. This
+// never counts a request twice: a known request that the report includes was in
+// flight when the report was made, so it is part of the peak.
 type reportState struct {
-	external float64 // surplus of the newest report, in requests
-	at       time.Time
-	epoch    int64           // newest epoch noted
-	peaks    [epochs]float64 // most own + peers by epoch, newest at epoch%epochs
-	last     float64         // own + peers at the last note
+	unattributed float64 // unattributed load of the newest report, in requests
+	reportedAt   time.Time
+	newestEpoch  int64               // newest epoch recorded in peaks
+	peaks        [peakEpochs]float64 // peak of the known load by epoch, at epoch%peakEpochs
+	lastKnown    float64             // known load when it was last recorded
 }
 
-func epochOf(now time.Time, life time.Duration) int64 {
-	return now.UnixNano() / max(1, int64(life)/epochs)
+// epochOf returns the number of the epoch, an interval of ttl/peakEpochs, that now
+// falls in.
+func epochOf(now time.Time, ttl time.Duration) int64 {
+	return now.UnixNano() / max(1, int64(ttl)/peakEpochs)
 }
 
-// note records own + peers for the peaks.
-func (r *reportState) note(known float64, now time.Time, life time.Duration) {
+// recordKnown includes the current known load in the peak of the current epoch.
+func (r *reportState) recordKnown(known float64, now time.Time, ttl time.Duration) {
 	if now.IsZero() {
 		r.peaks[0] = max(r.peaks[0], known)
-		r.last = known
+		r.lastKnown = known
 		return
 	}
-	r.roll(epochOf(now, life))
-	at := r.epoch % epochs
-	r.peaks[at] = max(r.peaks[at], known)
-	r.last = known
+	r.advanceTo(epochOf(now, ttl))
+	slot := r.newestEpoch % peakEpochs
+	r.peaks[slot] = max(r.peaks[slot], known)
+	r.lastKnown = known
 }
 
-// roll opens the epochs up to now; what was in flight carries over into each.
-func (r *reportState) roll(epoch int64) {
-	for steps := 0; r.epoch < epoch && steps < epochs; steps++ {
-		if epoch-r.epoch > epochs {
-			r.epoch = epoch - epochs
+// advanceTo starts all epochs up to the given one. The peak of each starts at the last
+// known load.
+func (r *reportState) advanceTo(epoch int64) {
+	for opened := 0; r.newestEpoch < epoch && opened < peakEpochs; opened++ {
+		if epoch-r.newestEpoch > peakEpochs {
+			r.newestEpoch = epoch - peakEpochs
 		}
-		r.epoch++
-		r.peaks[r.epoch%epochs] = r.last
+		r.newestEpoch++
+		r.peaks[r.newestEpoch%peakEpochs] = r.lastKnown
 	}
 }
 
-// peakSince returns the most that was known in flight since a time, and up to two
-// epochs before: changes of own and peers' counts carry no time and are booked at
-// the newest one seen, so they may stand an epoch too early.
-func (r *reportState) peakSince(at time.Time, life time.Duration) float64 {
-	peak := r.last
-	for e := max(epochOf(at, life)-1, r.epoch-epochs+1, 0); e <= r.epoch; e++ {
-		peak = max(peak, r.peaks[e%epochs])
+// peakSince returns the peak of the known load since a time. It also covers up to two
+// epochs before that time: changes of the known load carry no time and are recorded at
+// the latest time passed in, so one may be recorded an epoch too early.
+func (r *reportState) peakSince(since time.Time, ttl time.Duration) float64 {
+	peak := r.lastKnown
+	for epoch := max(epochOf(since, ttl)-1, r.newestEpoch-peakEpochs+1, 0); epoch <= r.newestEpoch; epoch++ {
+		peak = max(peak, r.peaks[epoch%peakEpochs])
 	}
 	return peak
 }
 
-// Report takes an upstream's word on its load, made at the given time. One
-// older than the last is ignored.
+// Report records an upstream's report of its running and queued requests, made at
+// the given time. Reports older than the last one are ignored.
 func (t *Table) Report(name ident.Upstream, running, queued int, at time.Time) {
-	i, ok := t.index[name]
-	if !ok || at.Before(t.reports[i].at) {
+	i, ok := t.indexByName[name]
+	if !ok || at.Before(t.reports[i].reportedAt) {
 		return
 	}
-	t.See(at)
+	t.AdvanceClock(at)
 	u, r := &t.members[i], &t.reports[i]
 	u.ReportedRunning, u.ReportedQueued, u.ReportedAt = running, queued, at
-	r.note(float64(u.Own+u.Peers), t.latest, t.options.ReportLife)
-	r.at = at
-	r.external = max(0, float64(running+queued)-r.peakSince(at, t.options.ReportLife))
-	if t.expired(r, t.latest) {
-		r.external = 0
+	r.recordKnown(float64(u.Own+u.Peers), t.latestTime, t.options.ReportTTL)
+	r.reportedAt = at
+	r.unattributed = max(0, float64(running+queued)-r.peakSince(at, t.options.ReportTTL))
+	if t.reportExpired(r, t.latestTime) {
+		r.unattributed = 0
 	}
 	t.refresh(i)
 }
 
-// Load returns the estimated requests at an upstream, running and queued; 0 for
-// an unknown one.
+// Load returns the estimated number of requests at an upstream, running and queued,
+// or 0 if the upstream is unknown.
 func (t *Table) Load(name ident.Upstream, now time.Time) float64 {
-	t.See(now)
-	i, ok := t.index[name]
+	t.AdvanceClock(now)
+	i, ok := t.indexByName[name]
 	if !ok {
 		return 0
 	}
-	t.expire(i)
-	return t.hot[i].load
+	t.expireReport(i)
+	return t.pickStates[i].load
 }
 
-// See tells the time; it never goes back. Pick, Load and Report do so as well:
-// call it before AddOwn or SetPeers if none of them was called for long.
-func (t *Table) See(now time.Time) {
-	if now.After(t.latest) {
-		t.latest, t.nanos = now, now.UnixNano()
+// AdvanceClock sets the current time; earlier times than the latest are ignored. Methods
+// that take a time also advance the clock. Call AdvanceClock before changing the
+// requests in flight if none of these was called recently.
+func (t *Table) AdvanceClock(now time.Time) {
+	if now.After(t.latestTime) {
+		t.latestTime, t.latestNanos = now, now.UnixNano()
 	}
 }
 
-func (t *Table) expired(r *reportState, now time.Time) bool {
-	return now.Sub(r.at) > t.options.ReportLife
+func (t *Table) reportExpired(r *reportState, now time.Time) bool {
+	return now.Sub(r.reportedAt) > t.options.ReportTTL
 }
 
-// loadOf is a member's load without a surplus that outlived ReportLife.
-func (t *Table) loadOf(h *hot) float64 {
-	if h.external != 0 && t.nanos > h.until {
-		return h.load - h.external
+// currentLoad returns a member's load in requests. Unattributed load of an expired
+// report is left out.
+func (t *Table) currentLoad(p *pickState) float64 {
+	if p.unattributed != 0 && t.latestNanos > p.unattributedUntil {
+		return p.load - p.unattributed
 	}
-	return h.load
+	return p.load
 }
 
-// expire drops a report's surplus from the sums once it has outlived ReportLife.
-func (t *Table) expire(i int) {
+// expireReport removes the unattributed load of a member from the sums once its report
+// is older than ReportTTL.
+func (t *Table) expireReport(i int) {
 	r := &t.reports[i]
-	if r.external == 0 || !t.expired(r, t.latest) {
+	if r.unattributed == 0 || !t.reportExpired(r, t.latestTime) {
 		return
 	}
-	r.external = 0
+	r.unattributed = 0
 	t.refresh(i)
 }
 
-// expireNext checks one member a pick, so that the mean forgets old reports too
-// without a pass over all members.
-func (t *Table) expireNext() {
+// expireNextReport checks the report of one member. Pick calls it each time, so that
+// expired reports leave the mean load without a pass over all members.
+func (t *Table) expireNextReport() {
 	if len(t.members) == 0 {
 		return
 	}
-	t.sweep = (t.sweep + 1) % len(t.members)
-	t.expire(t.sweep)
+	t.expiryCursor = (t.expiryCursor + 1) % len(t.members)
+	t.expireReport(t.expiryCursor)
 }
--- a/internal/routing/naive_test.go
+++ b/internal/routing/naive_test.go
@@ -14,27 +14,30 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/golden"
 )
 
-// naive is the same policy with nothing kept but the facts: every question is
-// answered by a pass over all of them.
-type naive struct {
+// reference implements the same policy without derived state. Every query is answered
+// by a pass over the members and their history.
+type reference struct {
 	members []routing.Upstream
-	past    map[ident.Upstream][]sample
-	reports map[ident.Upstream]report
+	history map[ident.Upstream][]knownLoad // oldest first
+	reports map[ident.Upstream]report      // the newest one
 	now     time.Time
 }
 
-type sample struct {
-	at    time.Time
-	known int
+// knownLoad is the number of requests known to be in flight at an upstream from a time
+// on.
+type knownLoad struct {
+	at       time.Time
+	requests int
 }
 
+// report is a load report of an upstream.
 type report struct {
-	at    time.Time
-	total int
-	heard time.Time
+	madeAt     time.Time
+	requests   int
+	receivedAt time.Time
 }
 
-func (n *naive) get(u ident.Upstream) *routing.Upstream {
+func (n *reference) member(u ident.Upstream) *routing.Upstream {
 	for i := range n.members {
 		if n.members[i].Name == u {
 			return &n.members[i]
@@ -43,47 +46,50 @@
 	return nil
 }
 
-func (n *naive) change(u ident.Upstream, f func(*routing.Upstream)) {
-	m := n.get(u)
+func (n *reference) update(u ident.Upstream, f func(*routing.Upstream)) {
+	m := n.member(u)
 	f(m)
-	n.past[u] = append(n.past[u], sample{n.now, m.Own + m.Peers})
+	n.history[u] = append(n.history[u], knownLoad{n.now, m.Own + m.Peers})
 }
 
-// load returns bounds: the exact peak since the report was made, and the peak
-// since up to one epoch earlier, which is all that the table promises.
-func (n *naive) load(u ident.Upstream) (low, high float64) {
-	m, r := n.get(u), n.reports[u]
+// loadBounds returns bounds of the load. The upper one uses the exact peak of the known
+// load since the report was made. The lower one uses the peak since two epochs earlier,
+// because the table only keeps one peak for each epoch.
+func (n *reference) loadBounds(u ident.Upstream) (low, high float64) {
+	m, r := n.member(u), n.reports[u]
 	known := float64(m.Own + m.Peers)
-	if r.at.IsZero() || n.now.Sub(r.at) > routing.DefaultReportLife {
+	if r.madeAt.IsZero() || n.now.Sub(r.madeAt) > routing.DefaultReportTTL {
 		return known, known
 	}
-	surplus := func(since time.Time) float64 {
+	unattributed := func(since time.Time) float64 {
 		peak := 0
-		for i, s := range n.past[u] {
-			if s.at.After(r.heard) {
+		for i, k := range n.history[u] {
+			if k.at.After(r.receivedAt) {
 				break
 			}
-			if i+1 < len(n.past[u]) && !n.past[u][i+1].at.After(since) {
+			if i+1 < len(n.history[u]) && !n.history[u][i+1].at.After(since) {
 				continue
 			}
-			peak = max(peak, s.known)
+			peak = max(peak, k.requests)
 		}
-		return max(0, float64(r.total-peak))
+		return max(0, float64(r.requests-peak))
 	}
-	return known + surplus(r.at.Add(-routing.DefaultReportLife/4)), known + surplus(r.at)
+	return known + unattributed(r.madeAt.Add(-routing.DefaultReportTTL/4)), known + unattributed(r.madeAt)
 }
 
-func (n *naive) cost(t *routing.Table, m *routing.Upstream, c routing.Class) float64 {
+// cost returns the cost of an upstream, given the load and slowdown in the table.
+func (n *reference) cost(t *routing.Table, m *routing.Upstream, c routing.Class) float64 {
 	load := (t.Load(m.Name, n.now) + 1) / max(0.05, m.Weight)
 	if m.DataCentre != "dc0" {
 		load *= routing.DefaultLocalityPenalty
 	}
-	return (load + routing.DefaultHalfLoad) * t.Speed(m.Name, c)
+	return (load + routing.DefaultHalfSpeedLoad) * t.Slowdown(m.Name, c)
 }
 
-// candidates lists those that may serve, with room if any has it.
-func (n *naive) candidates(t *routing.Table, r routing.Request) []*routing.Upstream {
-	var all, room []*routing.Upstream
+// candidates returns the members that can serve a request: those with capacity, or all
+// if none has capacity.
+func (n *reference) candidates(t *routing.Table, r routing.Request) []*routing.Upstream {
+	var all, withCapacity []*routing.Upstream
 	for i := range n.members {
 		m := &n.members[i]
 		excluded := len(r.Exclude) > 0 && r.Exclude[0] == m.Name
@@ -92,62 +98,63 @@
 		}
 		all = append(all, m)
 		if m.Limit == 0 || t.Load(m.Name, n.now) < float64(m.Limit) {
-			room = append(room, m)
+			withCapacity = append(withCapacity, m)
 		}
 	}
-	if len(room) > 0 {
-		return room
+	if len(withCapacity) > 0 {
+		return withCapacity
 	}
 	return all
 }
 
-var _ = Describe("the table against the naive one", func() {
-	It("agrees over random sessions", func() {
+var _ = Describe("the table compared with the reference implementation", func() {
+	It("agrees with it in random sessions", func() {
 		for seed := range uint64(30) {
-			session(seed, 3+int(seed)*2, 400)
+			runSession(seed, 3+int(seed)*2, 400)
 		}
 	})
-	It("never picks an unfit one of many", func() { session(99, 300, 3000) })
-	It("replays a session to the byte", func() {
-		got := session(11, 9, 400)
-		Expect(session(11, 9, 400)).To(Equal(got))
+	It("never picks a member that cannot serve in a large group", func() { runSession(99, 300, 3000) })
+	It("returns identical output when a session is repeated", func() {
+		got := runSession(11, 9, 400)
+		Expect(runSession(11, 9, 400)).To(Equal(got))
 		golden.Expect("session.golden", got)
 	})
 })
 
-// session drives both at random, compares them, and writes down all picks and loads.
-func session(seed uint64, size, steps int) string {
+// runSession performs random operations on a table and the reference, compares them
+// after each one, and returns a log of all picks and loads.
+func runSession(seed uint64, size, steps int) string {
 	var out strings.Builder
 	r, t := rng(seed), newTable(size)
-	n := &naive{members: fleet(size), past: map[ident.Upstream][]sample{}, reports: map[ident.Upstream]report{}, now: start}
-	t.See(start)
+	n := &reference{members: idleUpstreams(size), history: map[ident.Upstream][]knownLoad{}, reports: map[ident.Upstream]report{}, now: start}
+	t.AdvanceClock(start)
 	for _, m := range n.members {
-		n.change(m.Name, func(*routing.Upstream) {})
+		n.update(m.Name, func(*routing.Upstream) {})
 	}
 	for step := range steps {
 		n.now = n.now.Add(time.Duration(r.IntN(300)) * time.Millisecond)
-		t.See(n.now)
+		t.AdvanceClock(n.now)
 		u := name(r.IntN(size))
 		switch r.IntN(7) {
 		case 0, 1:
 			d := r.IntN(12) - 5
 			t.AddOwn(u, d)
-			n.change(u, func(m *routing.Upstream) { m.Own = max(0, m.Own+d) })
+			n.update(u, func(m *routing.Upstream) { m.Own = max(0, m.Own+d) })
 		case 2:
 			p := r.IntN(20)
 			t.SetPeers(u, p)
-			n.change(u, func(m *routing.Upstream) { m.Peers = p })
+			n.update(u, func(m *routing.Upstream) { m.Peers = p })
 		case 3:
 			at, total := n.now.Add(-time.Duration(r.IntN(2500))*time.Millisecond), r.IntN(40)
 			t.Report(u, total, 0, at)
-			if !at.Before(n.reports[u].at) {
+			if !at.Before(n.reports[u].madeAt) {
 				n.reports[u] = report{at, total, n.now}
 			}
 		case 4:
 			eligible, version, limit := r.IntN(4) > 0, ident.Version(1+r.IntN(3)), 8*r.IntN(5)
 			change := func(m *routing.Upstream) { m.Eligible, m.Serving, m.Limit = eligible, version, limit }
 			t.Update(u, change)
-			n.change(u, change)
+			n.update(u, change)
 		case 5:
 			t.ObserveTokenTime(u, routing.Class(r.IntN(2)), time.Duration(20+r.IntN(30))*time.Millisecond, r.IntN(32))
 		default:
@@ -155,20 +162,20 @@
 			if r.IntN(2) == 0 {
 				request.Exclude = []ident.Upstream{name(r.IntN(size))}
 			}
-			fmt.Fprintf(&out, "%d %+v -> %s\n", step, request, compare(t, n, request, size <= 64))
+			fmt.Fprintf(&out, "%d %+v -> %s\n", step, request, checkPick(t, n, request, size <= 64))
 			request.Prefix, request.Straggler = r.Uint64(), r.IntN(3) == 0
-			fmt.Fprintf(&out, "%d %+v -> %s\n", step, request, compare(t, n, request, false))
+			fmt.Fprintf(&out, "%d %+v -> %s\n", step, request, checkPick(t, n, request, false))
 		}
-		low, high := n.load(u)
+		low, high := n.loadBounds(u)
 		Expect(t.Load(u, n.now)).To(And(BeNumerically(">=", low), BeNumerically("<=", high)), "load of %s, seed %d", u, seed)
-		fmt.Fprintf(&out, "%d load %s %.2f speed %.3f\n", step, u, t.Load(u, n.now), t.Speed(u, routing.ClassRollout))
+		fmt.Fprintf(&out, "%d load %s %.2f speed %.3f\n", step, u, t.Load(u, n.now), t.Slowdown(u, routing.ClassRollout))
 	}
 	return out.String()
 }
 
-// compare checks a pick: always that it may serve, and where the table looks at
-// all members, that none is cheaper.
-func compare(t *routing.Table, n *naive, r routing.Request, cheapest bool) ident.Upstream {
+// checkPick picks an upstream and checks that it can serve the request. With cheapest,
+// for groups small enough for a full scan, it also checks that no member is cheaper.
+func checkPick(t *routing.Table, n *reference, r routing.Request, cheapest bool) ident.Upstream {
 	got, ok := t.Pick(r, n.now)
 	candidates := n.candidates(t, r)
 	Expect(ok).To(Equal(len(candidates) > 0))
@@ -182,7 +189,7 @@
 	}
 	Expect(names).To(ContainElement(got))
 	if cheapest {
-		Expect(n.cost(t, n.get(got), r.Class)).To(BeNumerically("~", lowest, lowest*1e-9))
+		Expect(n.cost(t, n.member(got), r.Class)).To(BeNumerically("~", lowest, lowest*1e-9))
 	}
 	return got
 }
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -9,248 +9,270 @@
 )
 
 const (
-	// fastest is how many of the fastest a straggler tries before it takes its
-	// chance like any other.
-	fastest = 32
-	// tries is how many random members are looked at, at most, for Choices
+	// maxFastestTried is the number of fastest members considered for a step-critical
+	// request before it is placed like any other.
+	maxFastestTried = 32
+	// maxProbes is the maximum number of random members examined to find Choices
 	// suitable ones.
-	tries = 16
-	// leastBound keeps affinity in an idle group: one of median speed still takes
-	// a second request of its prefix.
-	leastBound = 2.5
-	none       = -1
+	maxProbes = 16
+	// minAffinityBound is the lowest affinity bound, in requests. It preserves prefix
+	// affinity in an idle group: a member of median speed still takes a second request
+	// with the same prefix.
+	minAffinityBound = 2.5
+	// noMember is returned in place of an index when no member can be picked.
+	noMember = -1
 )
 
-// Pick chooses an upstream for a request; false if none is eligible. Upstreams at
-// their limit are taken only if all are. It allocates nothing. The caller counts
-// the request by AddOwn once it is sent.
+// Pick chooses an upstream for a request. It returns false if no eligible upstream can
+// serve the request. Upstreams at their concurrency limit are picked only if all are.
+// Pick does not allocate. The caller must add the request to those in flight once it is
+// sent.
 func (t *Table) Pick(r Request, now time.Time) (ident.Upstream, bool) {
-	t.See(now)
-	t.expireNext()
-	if r.Class >= classes {
+	t.AdvanceClock(now)
+	t.expireNextReport()
+	if r.Class >= classCount {
 		r.Class = ClassRollout
 	}
-	t.noteLength(&r)
+	t.observeExpectedTokens(&r)
 	i := t.pick(&r)
-	if i == none && len(t.reserve.items) > 0 && !t.spill {
-		t.spill = true // rather on the reserve than nowhere
+	if i == noMember && len(t.reserve.items) > 0 && !t.ignoreReserve {
+		t.ignoreReserve = true // a reserved member is better than none
 		i = t.pick(&r)
-		t.spill = false
+		t.ignoreReserve = false
 	}
-	if i == none {
+	if i == noMember {
 		return "", false
 	}
 	return t.members[i].Name, true
 }
 
+// pick returns the index of the member for a request, or noMember. The package comment
+// lists the rules.
 func (t *Table) pick(r *Request) int {
 	if r.Only != "" {
 		return t.pickOnly(r)
 	}
 	if t.Sensitive(*r) {
-		if i := t.pickReserve(r); i != none {
+		if i := t.pickReserve(r); i != noMember {
 			return i
 		}
 	}
-	decides := t.decides(r)
-	if decides {
-		if i := t.pickFastest(r); i != none {
+	critical := t.stepCritical(r)
+	if critical {
+		if i := t.pickFastest(r); i != noMember {
 			return i
 		}
 	}
-	if r.Prefix != 0 && !decides {
-		if i := t.pickPrefix(r); i != none {
+	if r.Prefix != 0 && !critical {
+		if i := t.pickPrefix(r); i != noMember {
 			return i
 		}
 	}
-	if len(t.members) <= scanUpTo {
-		return t.scan(r, t.fit)
+	if len(t.members) <= maxFullScan {
+		return t.cheapestOfAll(r, t.eligibleVersions)
 	}
-	return t.pickOfMany(r)
+	return t.pickLargeGroup(r)
 }
 
-// pickOfMany samples, first those with room, then all. The scan behind each runs
-// when few members serve the version asked for, so it reads little but fit.
-// A surplus that expired since may hide a member from roomy for as many picks as
-// there are members; see expireNext.
-func (t *Table) pickOfMany(r *Request) int {
-	if i := t.sample(t.roomy.items, r); i != none {
+// pickLargeGroup picks from random members, first from those with capacity and then
+// from all eligible ones. Each is followed by a full scan, which is needed when few
+// members serve the requested version; it then reads little more than the version
+// lists. Unattributed load that has expired may keep a member out of withCapacity for
+// as many picks as there are members; see expireNextReport.
+func (t *Table) pickLargeGroup(r *Request) int {
+	if i := t.cheapestOfRandom(t.withCapacity.items, r); i != noMember {
 		return i
 	}
-	if len(t.roomy.items) > 0 {
-		if i := t.scan(r, t.fitRoomy); i != none {
+	if len(t.withCapacity.items) > 0 {
+		if i := t.cheapestOfAll(r, t.withCapacityVersions); i != noMember {
 			return i
 		}
 	}
-	if i := t.sample(t.live.items, r); i != none {
+	if i := t.cheapestOfRandom(t.eligible.items, r); i != noMember {
 		return i
 	}
-	return t.scan(r, t.fit)
+	return t.cheapestOfAll(r, t.eligibleVersions)
 }
 
-// pickOnly serves a quarantined request; its upstream's limit doesn't matter.
+// pickOnly returns the upstream of a quarantined request. The concurrency limit does
+// not apply.
 func (t *Table) pickOnly(r *Request) int {
-	i, ok := t.index[r.Only]
-	if !ok || !t.suits(i, r) {
-		return none
+	i, ok := t.indexByName[r.Only]
+	if !ok || !t.canServe(i, r) {
+		return noMember
 	}
 	return i
 }
 
-// pickFastest takes the first of the fastest that has room: below its limit and
-// below the bound that prefixes keep to as well, else the fastest few would slow
-// down by sheer load. Upstreams slower than the median are no gain.
+// pickFastest returns the fastest member that is below its concurrency limit and within
+// the affinity bound. Without that bound the few fastest members would be slowed down
+// by their load. Members slower than the median are not considered, since they bring
+// no advantage.
 func (t *Table) pickFastest(r *Request) int {
 	if t.options.IgnoreSpeed {
-		return none
+		return noMember
 	}
-	order := t.speeds.order[r.Class]
+	order := t.tokenTimes.fastestFirst[r.Class]
 	if len(order) == 0 {
-		order = t.speeds.order[1-r.Class]
+		order = t.tokenTimes.fastestFirst[1-r.Class]
 	}
-	bound := t.bound()
-	for _, i := range order[:min(fastest, (len(order)+1)/2)] {
-		h := &t.hot[i]
-		if t.loadOf(h)+1 <= bound*h.weight && t.room(h) && t.suits(int(i), r) {
+	bound := t.affinityBound()
+	for _, i := range order[:min(maxFastestTried, (len(order)+1)/2)] {
+		p := &t.pickStates[i]
+		if t.currentLoad(p)+1 <= bound*p.weight && t.hasCapacity(p) && t.canServe(int(i), r) {
 			return int(i)
 		}
 	}
-	return none
+	return noMember
 }
 
-// pickPrefix takes the lighter of a prefix's first two upstreams, in rendezvous
-// order, that are within the bound: what daemons know of each other is late, and
-// with one alone they would all fill it at the same moment. A slow one's load counts by its speed, else the equal spread of
-// prefixes would give it as much work as a fast one. One pass: a member is checked only if it outranks the best so far.
+// pickPrefix returns the less loaded of the two members with the highest rendezvous
+// scores for the prefix that are within the affinity bound. Daemons learn of each
+// other's requests with a delay, so if there was only one candidate, all of them would
+// fill it at the same time. Load is adjusted for slowdown, because prefixes are spread
+// evenly and a slow member would otherwise get as much work as a fast one. It takes a
+// single pass; a member is checked only if its score exceeds that of the second best so
+// far.
 func (t *Table) pickPrefix(r *Request) int {
-	bound := t.bound()
-	best, second := none, none
-	var highest, next uint64
-	oldest := max(0, r.MinVersion)
-	for _, m := range t.buckets.of(r.Prefix) {
+	bound := t.affinityBound()
+	best, second := noMember, noMember
+	var bestScore, secondScore uint64
+	minVersion := max(0, r.MinVersion)
+	for _, m := range t.buckets.forPrefix(r.Prefix) {
 		i := int(m.index)
-		if t.fitRoomy[i] < oldest {
+		if t.withCapacityVersions[i] < minVersion {
 			continue
 		}
-		rank := pair(r.Prefix, m.hash)
-		if second != none && rank <= next {
+		score := rendezvousScore(r.Prefix, m.hash)
+		if second != noMember && score <= secondScore {
 			continue
 		}
-		h := &t.hot[i]
-		busy := t.busy(h, r.Class)
-		if busy > bound*h.weight || !t.suits(i, r) || !t.inPart(i, bound, r) {
+		p := &t.pickStates[i]
+		load := t.equivalentLoad(p, r.Class)
+		if load > bound*p.weight || !t.canServe(i, r) || !t.withinAffinityShare(i, bound, r) {
 			continue
 		}
-		if best == none || rank > highest {
+		if best == noMember || score > bestScore {
 			best, second = i, best
-			highest, next = rank, highest
+			bestScore, secondScore = score, bestScore
 			continue
 		}
-		second, next = i, rank
+		second, secondScore = i, score
 	}
-	return t.lighter(best, second, r.Class)
+	return t.lessLoaded(best, second, r.Class)
 }
 
-// lighter returns the first unless the second is cheaper by a request or more.
-func (t *Table) lighter(first, second int, c Class) int {
-	if second == none || first == none {
+// lessLoaded returns the first member unless the equivalent load of the second is lower
+// by at least one request.
+func (t *Table) lessLoaded(first, second int, c Class) int {
+	if second == noMember || first == noMember {
 		return first
 	}
-	if t.busy(&t.hot[second], c)+1 <= t.busy(&t.hot[first], c) {
+	if t.equivalentLoad(&t.pickStates[second], c)+1 <= t.equivalentLoad(&t.pickStates[first], c) {
 		return second
 	}
 	return first
 }
 
-// sample takes the cheapest of a few random members of a list.
-func (t *Table) sample(list []int32, r *Request) int {
-	best, lowest := none, math.Inf(1)
+// cheapestOfRandom returns the cheapest of Choices random members of a list that can
+// serve the request, or noMember if none was found in maxProbes attempts.
+func (t *Table) cheapestOfRandom(list []int32, r *Request) int {
+	best, lowestCost := noMember, math.Inf(1)
 	if len(list) == 0 {
-		return none
+		return noMember
 	}
-	found := 0
-	for n := 0; n < tries && found < t.options.Choices; n++ {
-		i := int(list[t.random.below(len(list))])
-		if !t.suits(i, r) {
+	suitable := 0
+	for probe := 0; probe < maxProbes && suitable < t.options.Choices; probe++ {
+		i := int(list[t.random.intn(len(list))])
+		if !t.canServe(i, r) {
 			continue
 		}
-		found++
-		if cost := t.cost(&t.hot[i], r.Class); cost < lowest {
-			best, lowest = i, cost
+		suitable++
+		if cost := t.cost(&t.pickStates[i], r.Class); cost < lowestCost {
+			best, lowestCost = i, cost
 		}
 	}
 	return best
 }
 
-// scan takes the cheapest of all that a list of versions (fit or fitRoomy) lets
-// pass, those with room before those without. It starts anywhere, so that ties
-// don't all fall on the first.
-func (t *Table) scan(r *Request, fit []ident.Version) int {
-	if len(fit) == 0 {
-		return none
+// cheapestOfAll returns the cheapest member that can serve the request; members with
+// capacity come before those without. versions is eligibleVersions or
+// withCapacityVersions and limits the members considered. The scan starts at a random
+// member so that ties are not always resolved in favour of the first.
+func (t *Table) cheapestOfAll(r *Request, versions []ident.Version) int {
+	if len(versions) == 0 {
+		return noMember
 	}
-	b := cheapest{index: none, cost: math.Inf(1)}
-	from := t.random.below(len(fit))
-	t.scanRange(r, fit, from, len(fit), &b)
-	t.scanRange(r, fit, 0, from, &b)
-	return b.index
+	best := scanBest{index: noMember, cost: math.Inf(1)}
+	from := t.random.intn(len(versions))
+	t.scanRange(r, versions, from, len(versions), &best)
+	t.scanRange(r, versions, 0, from, &best)
+	return best.index
 }
 
-// cheapest is the best of a scan so far.
-type cheapest struct {
-	index int
-	cost  float64
-	room  bool
+// scanBest is the best member that a scan has found so far.
+type scanBest struct {
+	index       int
+	cost        float64
+	hasCapacity bool
 }
 
-func (t *Table) scanRange(r *Request, fit []ident.Version, from, to int, b *cheapest) {
-	oldest := max(0, r.MinVersion)
-	for at, version := range fit[from:to] {
-		if version < oldest {
+// scanRange updates best with the members from index from up to, but not including, to.
+func (t *Table) scanRange(r *Request, versions []ident.Version, from, to int, best *scanBest) {
+	minVersion := max(0, r.MinVersion)
+	for offset, version := range versions[from:to] {
+		if version < minVersion {
 			continue
 		}
-		i := from + at
-		h := &t.hot[i]
-		room := t.room(h)
-		if b.room && !room || !t.suits(i, r) {
+		i := from + offset
+		p := &t.pickStates[i]
+		hasCapacity := t.hasCapacity(p)
+		if best.hasCapacity && !hasCapacity || !t.canServe(i, r) {
 			continue
 		}
-		cost := t.cost(h, r.Class)
-		if cost < b.cost || room && !b.room {
-			*b = cheapest{index: i, cost: cost, room: room}
+		cost := t.cost(p, r.Class)
+		if cost < best.cost || hasCapacity && !best.hasCapacity {
+			*best = scanBest{index: i, cost: cost, hasCapacity: hasCapacity}
 		}
 	}
 }
 
-// suits says whether a member may serve the request at all.
-func (t *Table) suits(i int, r *Request) bool {
-	if t.fit[i] < max(0, r.MinVersion) {
+// canServe reports whether a member may serve the request, apart from its load.
+func (t *Table) canServe(i int, r *Request) bool {
+	if t.eligibleVersions[i] < max(0, r.MinVersion) {
 		return false
 	}
-	if t.kept(i, r) {
+	if t.excludedByReserve(i, r) {
 		return false
 	}
 	return len(r.Exclude) == 0 || !slices.Contains(r.Exclude, t.members[i].Name)
 }
 
-func (t *Table) room(h *hot) bool { return h.limit == 0 || t.loadOf(h) < float64(h.limit) }
+// hasCapacity reports whether a member is below its concurrency limit.
+func (t *Table) hasCapacity(p *pickState) bool {
+	return p.limit == 0 || t.currentLoad(p) < float64(p.limit)
+}
 
-func (t *Table) cost(h *hot, c Class) float64 {
-	return ((t.loadOf(h)+1)*h.scale + t.options.HalfLoad) * t.speedOf(h, c)
+// cost returns the cost of sending one more request to a member; see the package
+// comment.
+func (t *Table) cost(p *pickState, c Class) float64 {
+	return ((t.currentLoad(p)+1)*p.loadMultiplier + t.options.HalfSpeedLoad) * t.slowdown(p, c)
 }
 
-// busy is a member's load with one request more, as one of median speed would
-// have to be loaded to take as long for a token.
-func (t *Table) busy(h *hot, c Class) float64 {
-	half := t.options.HalfLoad
-	return (t.loadOf(h)+1+half)*t.speedOf(h, c) - half
+// equivalentLoad returns a member's load with one more request, adjusted for its
+// slowdown: the load, in requests, at which a member of median speed would take the
+// same time per token.
+func (t *Table) equivalentLoad(p *pickState, c Class) float64 {
+	halfSpeedLoad := t.options.HalfSpeedLoad
+	return (t.currentLoad(p)+1+halfSpeedLoad)*t.slowdown(p, c) - halfSpeedLoad
 }
 
-// bound is what a preferred upstream may be loaded to, the request to be placed
-// counted in: PrefixLoadFactor times the mean, and at least leastBound.
-func (t *Table) bound() float64 {
+// affinityBound returns the maximum equivalent load, in requests, up to which a member
+// is picked for its rendezvous score. It includes the request to be placed. It is
+// PrefixLoadFactor times the mean load, and at least minAffinityBound.
+func (t *Table) affinityBound() float64 {
 	if t.sumWeight <= 0 {
 		return 0
 	}
-	return max(leastBound, t.options.PrefixLoadFactor*((t.sumLoad+1)/t.sumWeight+1))
+	return max(minAffinityBound, t.options.PrefixLoadFactor*((t.sumLoad+1)/t.sumWeight+1))
 }
--- a/internal/routing/policy_test.go
+++ b/internal/routing/policy_test.go
@@ -10,9 +10,10 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// herd sends 400 requests at once while reports stay 2 s old, and returns the
-// highest load over the mean.
-func herd(size int, pick func(t *routing.Table) ident.Upstream, count bool) float64 {
+// peakToMeanLoad sends a burst of 400 requests while the load reports are 2 s old, and
+// returns the highest load of an upstream divided by the mean. With count, each request
+// is counted in the table once it is sent.
+func peakToMeanLoad(size int, pick func(t *routing.Table) ident.Upstream, count bool) float64 {
 	t, sent, most := newTable(size), map[ident.Upstream]int{}, 0
 	for i := range size {
 		t.Report(name(i), i%5, 0, start.Add(-2*time.Second))
@@ -29,11 +30,11 @@
 }
 
 var _ = Describe("load", func() {
-	// Reports come 2 s late. A burst arrives; the upstream that was idle 2 s ago
-	// looks idle all the while and gets everything, callers there see their tokens
-	// crawl while others idle. Cause: routing by reports alone.
-	It("doesn't herd on late reports", func() {
-		ours := func(t *routing.Table) ident.Upstream {
+	// Load reports are delayed by 2 s. With routing by reports alone, the upstream that
+	// was idle 2 s ago gets a whole burst of requests, which makes it slow while others
+	// are idle.
+	It("spreads a burst although load reports are delayed", func() {
+		byPick := func(t *routing.Table) ident.Upstream {
 			u, _ := t.Pick(routing.Request{}, start)
 			return u
 		}
@@ -48,12 +49,12 @@
 		}
 		const bound = 2.0
 		for _, size := range []int{13, 100} {
-			Expect(herd(size, ours, true)).To(BeNumerically("<=", bound))
-			Expect(herd(size, byReports, true)).To(BeNumerically(">", bound), "the check must catch the naive one")
+			Expect(peakToMeanLoad(size, byPick, true)).To(BeNumerically("<=", bound))
+			Expect(peakToMeanLoad(size, byReports, true)).To(BeNumerically(">", bound), "routing by reports alone must fail this check")
 		}
 	})
 
-	It("doesn't count its own requests twice when a report confirms them", func() {
+	It("does not count its own requests again when a load report includes them", func() {
 		t := newTable(3)
 		t.Load("u0", start)
 		t.AddOwn("u0", 10)
@@ -70,19 +71,19 @@
 var _ = Describe("prefixes", func() {
 	request := func(p int) routing.Request { return routing.Request{Prefix: uint64(p)*7919 + 1} }
 
-	It("stay where they are, and few move when an upstream is lost", func() {
+	It("keep their upstream, except those of an upstream that is lost", func() {
 		for _, size := range []int{13, 522} {
-			t, home, moved, lost := newTable(size), map[int]ident.Upstream{}, 0, 0
+			t, assigned, moved, lost := newTable(size), map[int]ident.Upstream{}, 0, 0
 			for p := range 2000 {
-				home[p], _ = t.Pick(request(p), start)
+				assigned[p], _ = t.Pick(request(p), start)
 			}
 			t.Update("u5", func(u *routing.Upstream) { u.Eligible = false })
 			for p := range 2000 {
 				u, _ := t.Pick(request(p), start)
 				switch {
-				case home[p] == "u5":
+				case assigned[p] == "u5":
 					lost++
-				case u != home[p]:
+				case u != assigned[p]:
 					moved++
 				}
 			}
@@ -91,9 +92,9 @@
 		}
 	})
 
-	// One prompt is in fashion: nearly all requests share its prefix. Their one
-	// upstream is swamped while the rest idle. Cause: affinity without a bound.
-	It("give way when their upstream is loaded", func() {
+	// Nearly all requests share one prefix. With affinity that is not bounded by load,
+	// one upstream is overloaded while the others are idle.
+	It("move to other upstreams when theirs is loaded", func() {
 		t, sent := newTable(13), map[ident.Upstream]int{}
 		for range 130 {
 			u, _ := t.Pick(request(1), start)
@@ -106,10 +107,10 @@
 		Expect(len(sent)).To(BeNumerically(">=", 10))
 	})
 
-	// A group's samples share their prompt, so its home does the whole group. If that
-	// is the slow engine, the step waits for it. Cause: every upstream is home to as
-	// many prefixes, whatever its speed.
-	It("give a slow upstream less", func() {
+	// The samples of a group share their prompt and therefore their upstream. If all
+	// upstreams get the same number of prefixes regardless of speed, a step waits for
+	// the groups on the slow one.
+	It("send less to a slow upstream", func() {
 		t, sent := newTable(13), map[ident.Upstream]int{}
 		for i := range 13 {
 			for range 5 {
@@ -123,10 +124,10 @@
 			t.AddOwn(u, 1)
 			sent[u]++
 		}
-		Expect(sent["u12"]).To(BeNumerically("<=", 10), "20 are the mean")
+		Expect(sent["u12"]).To(BeNumerically("<=", 10), "the mean is 20")
 	})
 
-	It("spread over many upstreams", func() {
+	It("spread evenly over a large group", func() {
 		t, sent := newTable(522), map[ident.Upstream]int{}
 		for p := range 52200 {
 			u, _ := t.Pick(request(p), start)
@@ -139,51 +140,53 @@
 	})
 })
 
-// factor is the token time of upstream i of 13 over the fleet's usual one.
-func factor(i int) float64 { return 0.9 + 1.6*float64(i)/12 }
+// trueSlowdown returns the token time of upstream i of 13, relative to the base of 20 ms
+// in newTrainedTable.
+func trueSlowdown(i int) float64 { return 0.9 + 1.6*float64(i)/12 }
 
-// trained is a table of 13 that has learnt speeds; the slow ones run nearly empty
-// and the fast ones full, which hides the difference.
-func trained() *routing.Table {
-	t, r := newTable(13), rng(3)
+// newTrainedTable returns a table of 13 upstreams with learnt token times. The slow ones
+// run at low concurrency and the fast ones at high concurrency, which hides the
+// difference in the raw times.
+func newTrainedTable() *routing.Table {
+	t, random := newTable(13), rng(3)
 	for range 4000 {
-		i := r.IntN(13)
-		concurrency := 1 + r.IntN(8) + (12 - i)
-		took := 20e6 * factor(i) * (1 + 0.02*float64(concurrency)) * (0.9 + 0.2*r.Float64())
-		t.ObserveTokenTime(name(i), routing.ClassRollout, time.Duration(took), concurrency)
+		i := random.IntN(13)
+		concurrency := 1 + random.IntN(8) + (12 - i)
+		tokenTime := 20e6 * trueSlowdown(i) * (1 + 0.02*float64(concurrency)) * (0.9 + 0.2*random.Float64())
+		t.ObserveTokenTime(name(i), routing.ClassRollout, time.Duration(tokenTime), concurrency)
 	}
 	return t
 }
 
 var _ = Describe("speed", func() {
-	It("is learnt against the median, whatever the concurrency", func() {
-		t := trained()
+	It("is learnt relative to the median at any concurrency", func() {
+		t := newTrainedTable()
 		for i := range 13 {
-			Expect(t.Speed(name(i), routing.ClassRollout)).To(BeNumerically("~", factor(i)/factor(6), 0.15))
+			Expect(t.Slowdown(name(i), routing.ClassRollout)).To(BeNumerically("~", trueSlowdown(i)/trueSlowdown(6), 0.15))
 		}
-		Expect(t.Speed("u12", routing.ClassProduction)).To(BeNumerically(">", 1.3), "borrowed from the other class")
+		Expect(t.Slowdown("u12", routing.ClassProduction)).To(BeNumerically(">", 1.3), "used from the other class")
 	})
 
-	It("outlives a change of members", func() {
-		t := trained()
-		before := t.Speed("u12", routing.ClassRollout)
-		t.SetMembers(fleet(13))
-		Expect(t.Speed("u12", routing.ClassRollout)).To(Equal(before))
+	It("is kept when the members are replaced", func() {
+		t := newTrainedTable()
+		before := t.Slowdown("u12", routing.ClassRollout)
+		t.SetMembers(idleUpstreams(13))
+		Expect(t.Slowdown("u12", routing.ClassRollout)).To(Equal(before))
 	})
 
-	It("sends stragglers and long samples to the fastest with room", func() {
-		t := trained()
-		t.Pick(routing.Request{Class: routing.ClassRollout, ExpectedTokens: 100}, start) // the usual length
+	It("directs stragglers and long samples to the fastest upstream with capacity", func() {
+		t := newTrainedTable()
+		t.Pick(routing.Request{Class: routing.ClassRollout, ExpectedTokens: 100}, start) // sets the mean length
 		for _, r := range []routing.Request{
 			{Class: routing.ClassRollout, Straggler: true},
 			{Class: routing.ClassRollout, ExpectedTokens: 220, Prefix: 3},
 		} {
 			u, _ := t.Pick(r, start)
-			Expect(t.Speed(u, routing.ClassRollout)).To(BeNumerically("<", 0.7))
+			Expect(t.Slowdown(u, routing.ClassRollout)).To(BeNumerically("<", 0.7))
 			t.Update(u, func(m *routing.Upstream) { m.Limit, m.Own = 1, 1 })
 			other, _ := t.Pick(r, start)
 			Expect(other).NotTo(Equal(u))
-			Expect(t.Speed(other, routing.ClassRollout)).To(BeNumerically("<", 0.85))
+			Expect(t.Slowdown(other, routing.ClassRollout)).To(BeNumerically("<", 0.85))
 		}
 	})
 })
@@ -193,9 +196,9 @@
 	bulk := routing.Request{Class: routing.ClassRollout, Prefix: 5, ExpectedTokens: 100}
 	long := routing.Request{Class: routing.ClassRollout, ExpectedTokens: 1000}
 
-	// busy is a table after a burst of bulk, which the reserve remembers.
-	busy := func(t *routing.Table) *routing.Table {
-		t.See(start)
+	// afterBulk applies a burst of bulk requests, whose peak SetReserve records.
+	afterBulk := func(t *routing.Table) *routing.Table {
+		t.AdvanceClock(start)
 		for i := range t.Len() {
 			t.AddOwn(name(i), 16)
 		}
@@ -206,71 +209,71 @@
 		return t
 	}
 
-	// A step's burst lands on all engines, and each token of an answer at the
-	// counter takes as long as the batch around it, though places were left free.
-	It("keeps bulk rollouts off production's engines", func() {
-		t := busy(newTable(9))
+	// The burst of a step reaches all engines. Each token of a production answer then
+	// takes as long as the batch that it runs in, even if slots were left free.
+	It("keeps bulk rollouts off the engines that serve production", func() {
+		t := afterBulk(newTable(9))
 		t.SetReserve(11)
-		Expect(t.Reserved()).To(Equal(2))
-		kept := map[ident.Upstream]bool{}
+		Expect(t.ReserveSize()).To(Equal(2))
+		usedByProduction := map[ident.Upstream]bool{}
 		for range 12 {
 			u, _ := t.Pick(production, start)
-			kept[u] = true
+			usedByProduction[u] = true
 			t.AddOwn(u, 1)
 		}
-		Expect(kept).To(HaveLen(2))
+		Expect(usedByProduction).To(HaveLen(2))
 		for range 300 {
 			u, _ := t.Pick(bulk, start)
-			Expect(kept).NotTo(HaveKey(u))
+			Expect(usedByProduction).NotTo(HaveKey(u))
 			t.AddOwn(u, 1)
 		}
 		for range 200 {
 			u, _ := t.Pick(production, start)
 			t.AddOwn(u, 1)
-			kept[u] = true
+			usedByProduction[u] = true
 		}
-		Expect(kept).To(HaveLen(9), "more than the reserve holds goes anywhere")
+		Expect(usedByProduction).To(HaveLen(9), "production that exceeds the reserve uses all upstreams")
 	})
 
-	It("serves what decides a step's end, and bulk when nothing else suits", func() {
-		t := busy(newTable(9))
+	It("serves step-critical rollouts, and bulk when no other upstream can", func() {
+		t := afterBulk(newTable(9))
 		t.SetReserve(1)
 		t.Pick(bulk, start)
-		kept, _ := t.Pick(long, start)
+		reserved, _ := t.Pick(long, start)
 		for i := range 9 {
 			u := name(i)
-			t.Update(u, func(m *routing.Upstream) { m.Eligible = u == kept })
+			t.Update(u, func(m *routing.Upstream) { m.Eligible = u == reserved })
 		}
 		t.SetReserve(1)
 		got, ok := t.Pick(bulk, start)
 		Expect(ok).To(BeTrue())
-		Expect(got).To(Equal(kept))
+		Expect(got).To(Equal(reserved))
 	})
 
-	// Eight daemons hear of each other late. Each fills a prefix's upstream to the
-	// bound, and together they put four times the mean on it.
-	It("takes its own part of a bound only, for production", func() {
-		most := func(daemons int) (most int) {
+	// Eight daemons learn of each other's requests with a delay. If each fills the
+	// upstream of a prefix to the bound, its load is four times the mean.
+	It("limits each daemon to its share of the affinity bound for production", func() {
+		maxOwn := func(daemons int) (highest int) {
 			t := newTable(9)
-			t.See(start)
+			t.AdvanceClock(start)
 			t.SetDaemons(daemons)
 			own := map[ident.Upstream]int{}
 			for range 8 {
 				u, _ := t.Pick(production, start)
 				t.AddOwn(u, 1)
 				own[u]++
-				most = max(most, own[u])
+				highest = max(highest, own[u])
 			}
-			return most
+			return highest
 		}
-		Expect(most(8)).To(Equal(1))
-		Expect(most(1)).To(BeNumerically(">", 1))
+		Expect(maxOwn(8)).To(Equal(1))
+		Expect(maxOwn(1)).To(BeNumerically(">", 1))
 	})
 
-	It("spreads over a large reserve, each prefix in its place", func() {
-		t := busy(newTable(522))
+	It("spreads prefixes over a large reserve and keeps each on its upstream", func() {
+		t := afterBulk(newTable(522))
 		t.SetReserve(1e6)
-		Expect(t.Reserved()).To(Equal(174))
+		Expect(t.ReserveSize()).To(Equal(174))
 		used := map[ident.Upstream]int{}
 		for p := range uint64(600) {
 			r := production
@@ -287,25 +290,25 @@
 		}
 	})
 
-	It("leaves out slow ones, takes a third at most, and none without need", func() {
-		t := busy(trained())
+	It("excludes slow upstreams, holds at most a third of them, and is empty when not needed", func() {
+		t := afterBulk(newTrainedTable())
 		t.SetReserve(1e6)
-		Expect(t.Reserved()).To(Equal(4))
+		Expect(t.ReserveSize()).To(Equal(4))
 		for range 24 {
 			u, _ := t.Pick(production, start)
-			Expect(t.Speed(u, routing.ClassProduction)).To(BeNumerically("<=", 1.25))
+			Expect(t.Slowdown(u, routing.ClassProduction)).To(BeNumerically("<=", 1.25))
 			t.AddOwn(u, 1)
 		}
 		t.SetReserve(0)
-		Expect(t.Reserved()).To(BeZero())
-		calm := newTable(9)
-		calm.SetReserve(100)
-		Expect(calm.Reserved()).To(BeZero(), "no bulk to keep off")
+		Expect(t.ReserveSize()).To(BeZero())
+		noBulk := newTable(9)
+		noBulk.SetReserve(100)
+		Expect(noBulk.ReserveSize()).To(BeZero(), "there is no bulk to separate")
 	})
 })
 
-var _ = Describe("the choice", func() {
-	It("prefers the own data centre when loads are alike", func() {
+var _ = Describe("Pick", func() {
+	It("prefers the local data centre when loads are similar", func() {
 		t := newTable(13)
 		for range 5 {
 			u, _ := t.Pick(routing.Request{}, start)
@@ -315,7 +318,7 @@
 		}
 	})
 
-	It("keeps a quarantined request on its upstream", func() {
+	It("sends a quarantined request only to its upstream", func() {
 		t := newTable(13)
 		u, ok := t.Pick(routing.Request{Only: "u4"}, start)
 		Expect(u).To(Equal(ident.Upstream("u4")))
@@ -339,22 +342,22 @@
 		return list
 	}
 
-	It("is everything in a small fleet", func() {
+	It("returns all upstreams of a small group", func() {
 		Expect(routing.Subset("vmu1", members(13), daemons(13), 50)).To(Equal(members(13)))
 	})
 
-	It("spreads evenly and loses one daemon without stir", func() {
+	It("uses each upstream from equally many daemons, and reassigns only those of a lost daemon", func() {
 		all, vms := members(522), daemons(30)
-		keepers, before := map[ident.Upstream]int{}, map[string][]ident.Upstream{}
+		usedBy, before := map[ident.Upstream]int{}, map[string][]ident.Upstream{}
 		for _, d := range vms {
 			before[d] = routing.Subset(d, all, vms, 52)
 			Expect(len(before[d])).To(And(BeNumerically(">=", 30), BeNumerically("<=", 75)))
 			for _, u := range before[d] {
-				keepers[u]++
+				usedBy[u]++
 			}
 		}
-		Expect(keepers).To(HaveLen(522))
-		for _, n := range keepers {
+		Expect(usedBy).To(HaveLen(522))
+		for _, n := range usedBy {
 			Expect(n).To(Equal(3))
 		}
 		gained := 0
--- a/internal/routing/reserve.go
+++ b/internal/routing/reserve.go
@@ -6,164 +6,183 @@
 	"slices"
 )
 
-// The reserve is a few upstreams that bulk rollouts keep off, so that what a
-// person or a step's end waits for runs at nearly the speed of an idle upstream.
-// Engines know no priority and slow each stream down by the others: a reserve of
-// places on each engine still leaves every production token as slow as the batch
-// around it. Daemons agree on the members without talking: they are the first by
-// hash, but for those known to be slow.
+// The reserve is a small set of upstreams that bulk rollouts avoid, so that
+// latency-sensitive requests run at nearly the speed of an idle upstream. A request
+// is latency-sensitive if it is production or step-critical, that is, likely to
+// determine when its step ends. All other rollouts are bulk.
+//
+// Engines have no priorities, and every concurrent request slows down all others:
+// with slots reserved on each engine instead, every production token would still be
+// as slow as the batch that it runs in. Daemons agree on the reserved members
+// without communication: these are the first ones by hash, except for members known
+// to be slow.
 
 const (
-	// reserveShare bounds the reserve, as a share of the live members.
-	reserveShare = 1.0 / 3
-	// reserveSlowest is the speed score up to which a member may be reserved.
-	reserveSlowest = 1.1
-	// leastBulk is the bulk in flight a member, at its peak of late, from which on a
-	// reserve pays: below it the members do best alike.
-	leastBulk = 12.0
-	// bulkKept is what a call of SetReserve leaves of that peak: with one each 50 ms,
-	// half after some 3 minutes, so that a step meets the reserve of the last one.
-	bulkKept = 0.9998
-	// ownPart is how much of its even part of a bound a daemon's own production
-	// takes by affinity.
-	ownPart = 1.5
-	// lengthRate is the weight of a new expected length in their mean.
-	lengthRate = 0.02
+	// maxReserveFraction is the maximum size of the reserve, as a fraction of the
+	// eligible members.
+	maxReserveFraction = 1.0 / 3
+	// maxReserveSlowdown is the maximum slowdown of a reserved member.
+	maxReserveSlowdown = 1.1
+	// minBulkPerMember is the recent peak of bulk requests in flight per eligible
+	// member from which on members are reserved. With less bulk it is better
+	// to spread all requests over all members.
+	minBulkPerMember = 12.0
+	// bulkPeakDecay is the factor by which that peak decays with each update of the
+	// reserve. With an update every 50 ms the half-life is about 3 minutes, so that the
+	// reserve of one step is still there when the next step starts.
+	bulkPeakDecay = 0.9998
+	// affinityShareFactor bounds a daemon's own requests in flight at an upstream that
+	// it picks by prefix for production, as a multiple of the daemon's equal share of
+	// the affinity bound.
+	affinityShareFactor = 1.5
+	// expectedTokensWeight is the weight of a new value in the moving average of
+	// expected lengths.
+	expectedTokensWeight = 0.02
 )
 
-// SetReserve sets how much sensitive work is in flight, over all daemons, and
-// reserves as many members as that fills, up to a third. It reserves none for 0,
-// or while there is little bulk. Call it each 50 ms or so.
+// SetReserve updates the reserve. inFlight is the number of latency-sensitive requests
+// in flight over all daemons; as many members are reserved as these fill, up to a
+// third of the eligible ones. None is reserved if inFlight is 0 or if there was little
+// bulk recently. Call it about every 50 ms.
 func (t *Table) SetReserve(inFlight float64) {
-	want := 0
-	t.bulkPeak = max(t.sumLoad-inFlight, t.bulkPeak*bulkKept)
-	if inFlight > 0 && t.bulkPeak >= leastBulk*float64(len(t.live.items)) {
-		most := math.Floor(reserveShare * float64(len(t.live.items)))
-		want = int(min(most, math.Ceil(inFlight/t.options.ReserveLoad)))
+	remaining := 0
+	t.bulkPeak = max(t.sumLoad-inFlight, t.bulkPeak*bulkPeakDecay)
+	if inFlight > 0 && t.bulkPeak >= minBulkPerMember*float64(len(t.eligible.items)) {
+		maxSize := math.Floor(maxReserveFraction * float64(len(t.eligible.items)))
+		remaining = int(min(maxSize, math.Ceil(inFlight/t.options.MaxReserveLoad)))
 	}
-	t.reserveSpan = 0
-	for at, i := range t.reserveBy {
-		in := want > 0 && t.live.at[i] >= 0 && t.speedOf(&t.hot[i], ClassProduction) <= reserveSlowest
-		if in {
-			want--
-			t.reserveSpan = at + 1
+	t.reserveOrderEnd = 0
+	for at, i := range t.reserveOrder {
+		reserved := remaining > 0 && t.eligible.position[i] >= 0 && t.slowdown(&t.pickStates[i], ClassProduction) <= maxReserveSlowdown
+		if reserved {
+			remaining--
+			t.reserveOrderEnd = at + 1
 		}
-		t.reserve.set(int(i), in)
+		t.reserve.set(int(i), reserved)
 	}
 }
 
-// Reserved returns how many members are reserved.
-func (t *Table) Reserved() int { return len(t.reserve.items) }
+// ReserveSize returns the number of reserved members.
+func (t *Table) ReserveSize() int { return len(t.reserve.items) }
 
-// Sensitive says whether a request may use the reserve: production, and what
-// decides when a step ends.
+// Sensitive reports whether a request is latency-sensitive and may therefore use the
+// reserve: production, and step-critical rollouts.
 func (t *Table) Sensitive(r Request) bool {
-	return r.Class == ClassProduction || t.decides(&r)
+	return r.Class == ClassProduction || t.stepCritical(&r)
 }
 
-// decides says whether a rollout is likely to be among the last of its step.
-func (t *Table) decides(r *Request) bool {
+// stepCritical reports whether a rollout is likely to be among the last of its step to
+// end, because it is a straggler or is expected to be long.
+func (t *Table) stepCritical(r *Request) bool {
 	if r.Straggler {
 		return true
 	}
-	long := t.meanTokens > 0 && float64(r.ExpectedTokens) >= t.options.LongFactor*t.meanTokens
+	long := t.meanExpectedTokens > 0 && float64(r.ExpectedTokens) >= t.options.LongSampleFactor*t.meanExpectedTokens
 	return long && r.Class == ClassRollout
 }
 
-// noteLength learns the mean expected length of rollouts.
-func (t *Table) noteLength(r *Request) {
+// observeExpectedTokens updates the mean expected length of rollouts.
+func (t *Table) observeExpectedTokens(r *Request) {
 	switch {
 	case r.Class != ClassRollout || r.ExpectedTokens <= 0:
-	case t.meanTokens == 0:
-		t.meanTokens = float64(r.ExpectedTokens)
+	case t.meanExpectedTokens == 0:
+		t.meanExpectedTokens = float64(r.ExpectedTokens)
 	default:
-		t.meanTokens += lengthRate * (float64(r.ExpectedTokens) - t.meanTokens)
+		t.meanExpectedTokens += expectedTokensWeight * (float64(r.ExpectedTokens) - t.meanExpectedTokens)
 	}
 }
 
-// kept says whether a member is kept free of this request.
-func (t *Table) kept(i int, r *Request) bool {
-	return r.Class == ClassRollout && !t.spill && len(t.reserve.items) > 0 && t.reserve.at[i] >= 0 && !t.decides(r)
+// excludedByReserve reports whether a member is reserved and the request is bulk, so
+// that it must go elsewhere.
+func (t *Table) excludedByReserve(i int, r *Request) bool {
+	return r.Class == ClassRollout && !t.ignoreReserve && len(t.reserve.items) > 0 && t.reserve.position[i] >= 0 && !t.stepCritical(r)
 }
 
-// pickReserve takes a reserved member with room: the one that rendezvous hashing
-// names for the prefix while it keeps to the bound, else the cheapest.
+// pickReserve returns a reserved member with capacity: the one with the highest
+// rendezvous score for the prefix among those within the affinity bound, else the
+// cheapest. It returns noMember if none accepts the request.
 func (t *Table) pickReserve(r *Request) int {
-	if len(t.reserve.items) > scanUpTo {
+	if len(t.reserve.items) > maxFullScan {
 		return t.pickLargeReserve(r)
 	}
-	best, lowest := none, math.Inf(1)
-	affine, highest := none, uint64(0)
-	bound := t.reserveBound()
+	best, lowestCost := noMember, math.Inf(1)
+	preferred, highestScore := noMember, uint64(0)
+	bound := t.reserveAffinityBound()
 	for _, i := range t.reserve.items {
-		h := &t.hot[i]
-		busy := t.busy(h, r.Class)
-		if !t.takes(int(i), busy, r) {
+		p := &t.pickStates[i]
+		load := t.equivalentLoad(p, r.Class)
+		if !t.reserveAccepts(int(i), load, r) {
 			continue
 		}
-		if cost := t.cost(h, r.Class); cost < lowest {
-			best, lowest = int(i), cost
+		if cost := t.cost(p, r.Class); cost < lowestCost {
+			best, lowestCost = int(i), cost
 		}
-		if rank := pair(r.Prefix, t.hashes[i]); r.Prefix != 0 && busy <= bound && rank >= highest && t.inPart(int(i), bound, r) {
-			affine, highest = int(i), rank
+		if score := rendezvousScore(r.Prefix, t.hashes[i]); r.Prefix != 0 && load <= bound && score >= highestScore && t.withinAffinityShare(int(i), bound, r) {
+			preferred, highestScore = int(i), score
 		}
 	}
-	if affine != none {
-		return affine
+	if preferred != noMember {
+		return preferred
 	}
 	return best
 }
 
-// SetDaemons sets how many daemons use the group, this one too.
-func (t *Table) SetDaemons(n int) { t.daemons = n }
+// SetDaemons sets the number of daemons that use the group, including this one.
+func (t *Table) SetDaemons(n int) { t.daemonCount = n }
 
-// inPart says whether affinity may take one more production request to a member.
-// Callers come to all daemons alike and news of the others is late: if each filled
-// a preferred member up to the bound, they would together overrun it.
-func (t *Table) inPart(i int, bound float64, r *Request) bool {
-	if r.Class != ClassProduction || t.daemons <= 1 {
+// withinAffinityShare reports whether one more request may be sent to a member for
+// prefix affinity. The affinity bound of a member is divided between the daemons for
+// production requests: these arrive at all daemons alike and a daemon learns with a
+// delay what the others sent, so if each filled a preferred member up to the bound,
+// together they would exceed it. bound is the affinity bound in requests.
+func (t *Table) withinAffinityShare(i int, bound float64, r *Request) bool {
+	if r.Class != ClassProduction || t.daemonCount <= 1 {
 		return true
 	}
-	return float64(t.members[i].Own) < max(1, ownPart*bound/float64(t.daemons))
+	return float64(t.members[i].Own) < max(1, affinityShareFactor*bound/float64(t.daemonCount))
 }
 
-// takes says whether a reserved member takes one more request.
-func (t *Table) takes(i int, busy float64, r *Request) bool {
-	h := &t.hot[i]
-	return busy <= t.options.ReserveLoad*h.weight && t.room(h) && t.suits(i, r)
+// reserveAccepts reports whether a reserved member may take one more request. load is
+// its equivalent load including that request.
+func (t *Table) reserveAccepts(i int, load float64, r *Request) bool {
+	p := &t.pickStates[i]
+	return load <= t.options.MaxReserveLoad*p.weight && t.hasCapacity(p) && t.canServe(i, r)
 }
 
-// pickLargeReserve looks at a few members from the prefix's place on, or from
-// anywhere without one, in the order in which members are reserved.
+// pickLargeReserve returns the first of at most maxProbes consecutive members in
+// reserveOrder that accepts the request. The prefix determines the first position
+// probed; without a prefix it is random.
 func (t *Table) pickLargeReserve(r *Request) int {
-	span := uint64(t.reserveSpan)
+	span := uint64(t.reserveOrderEnd)
 	from := r.Prefix % span
 	if r.Prefix == 0 {
-		from = uint64(t.random.below(t.reserveSpan))
+		from = uint64(t.random.intn(t.reserveOrderEnd))
 	}
-	for n := range uint64(tries) {
-		i := t.reserveBy[(from+n)%span]
-		if t.reserve.at[i] >= 0 && t.takes(int(i), t.busy(&t.hot[i], r.Class), r) {
+	for n := range uint64(maxProbes) {
+		i := t.reserveOrder[(from+n)%span]
+		if t.reserve.position[i] >= 0 && t.reserveAccepts(int(i), t.equivalentLoad(&t.pickStates[i], r.Class), r) {
 			return int(i)
 		}
 	}
-	return none
+	return noMember
 }
 
-// reserveBound is what a reserved member may be loaded to by affinity.
-func (t *Table) reserveBound() float64 {
+// reserveAffinityBound returns the maximum equivalent load, in requests, up to which a
+// reserved member is picked for its rendezvous score.
+func (t *Table) reserveAffinityBound() float64 {
 	sum := 0.0
 	for _, i := range t.reserve.items {
-		sum += t.loadOf(&t.hot[i])
+		sum += t.currentLoad(&t.pickStates[i])
 	}
 	mean := (sum + 1) / float64(max(1, len(t.reserve.items)))
-	return max(leastBound, t.options.PrefixLoadFactor*(mean+1))
+	return max(minAffinityBound, t.options.PrefixLoadFactor*(mean+1))
 }
 
-func (t *Table) orderReserve() {
-	t.reserveBy = make([]int32, len(t.members))
-	for i := range t.reserveBy {
-		t.reserveBy[i] = int32(i)
+// sortReserveOrder orders the members by hash. They are reserved in this order.
+func (t *Table) sortReserveOrder() {
+	t.reserveOrder = make([]int32, len(t.members))
+	for i := range t.reserveOrder {
+		t.reserveOrder[i] = int32(i)
 	}
-	slices.SortFunc(t.reserveBy, func(a, b int32) int { return cmp.Compare(t.hashes[a], t.hashes[b]) })
+	slices.SortFunc(t.reserveOrder, func(a, b int32) int { return cmp.Compare(t.hashes[a], t.hashes[b]) })
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,34 +1,41 @@
-// Package routing decides which upstream a request goes to.
+// Package routing selects the upstream that serves a request.
 //
-// It is pure: time is passed in, nothing is locked, started or read from a
-// clock, and chance comes from a small seeded generator of its own. The same
-// session of calls gives the same picks to the byte. A Table is not safe for
-// concurrent use; the runtime around it locks or shards.
+// The package is deterministic: callers pass the time in, random choices come from
+// a seeded generator, and there are no locks, goroutines or clock reads. The same
+// sequence of calls with the same seed returns exactly the same picks. A Table is
+// not safe for concurrent use; its caller must lock or shard it.
 //
-// # How a pick is made
+// # Selection
 //
-//  1. A quarantined request (Only) goes to its upstream or nowhere.
-//  2. Production, and what decides when a step ends (a straggler, or a sample
-//     expected to be long), takes an upstream of the reserve while that has room;
-//     other rollouts keep off the reserve while anything else suits (reserve.go).
-//  3. A straggler or a long sample takes the fastest upstream with room.
-//  4. A request with a prefix takes the upstream that rendezvous hashing names,
-//     while that one's load, times its speed score, stays within PrefixLoadFactor
-//     times the mean.
-//  5. Anything else takes the cheapest of a few random choices.
+//  1. A quarantined request (Only) goes to its upstream or to none.
+//  2. A latency-sensitive request takes a reserved upstream while one has capacity.
+//     Production is latency-sensitive, and so are rollouts that are likely to
+//     determine when their step ends (stragglers, and samples that are expected to
+//     be long). Other rollouts avoid reserved upstreams unless no other upstream can
+//     serve them (reserve.go).
+//  3. A straggler or a long sample takes the fastest upstream with capacity.
+//  4. A request with a prefix takes the less loaded of the two upstreams with the
+//     highest rendezvous scores, among those whose load, adjusted for slowdown, is
+//     at most PrefixLoadFactor times the mean.
+//  5. Any other request takes the cheapest of a few random upstreams, or of all in
+//     a small group.
 //
-// Cost is ((load+1) x locality penalty / slow-start weight + HalfLoad) x speed score:
-// an engine's token time is about linear in its load, and not in proportion to it,
-// so an empty slow engine is dearer than a fast one with some load. The product of
-// locality and speed is the L x V product of PAL (see speed.go).
+// The cost of an upstream is
 //
-// # What was weighed
+//	((load + 1) x locality penalty / slow-start weight + HalfSpeedLoad) x slowdown
 //
-// A full scan is exact and linear; it is used up to scanUpTo members, where it
-// is cheap. Above it, power-of-d choices keeps the cost of a pick flat, and its
-// heaviest upstream stays close to the mean. A heap by cost would need an update
-// at each change of load, for each class; late reports make such an exact
-// minimum worse besides, since every daemon would herd onto the same upstream.
+// An engine's time per token grows linearly with its load but is not proportional
+// to it, so an empty slow engine costs more than a fast one with some load. The
+// product of locality and slowdown is the L x V product of PAL (see speed.go).
+//
+// # Alternatives considered
+//
+// A full scan is exact but linear in the number of members; it is used up to
+// maxFullScan members, where it is cheap. In larger groups, power-of-d choices
+// keeps the cost of a pick constant and the most loaded upstream close to the mean.
+// A heap ordered by cost would need an update for each class whenever a load
+// changes. With delayed load reports an exact minimum is also worse, because every
+// daemon would send its requests to the same upstream.
 package routing
 
 import (
@@ -37,19 +44,20 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Class separates requests that differ in priority and in what slows them.
+// Class is the priority class of a request. Classes also differ in what slows a
+// request down, so token times are learnt for each class separately.
 type Class uint8
 
 const (
-	// ClassProduction is a caller's request; people wait for it.
+	// ClassProduction is a caller's request, with a person waiting for the answer.
 	ClassProduction Class = iota
-	// ClassRollout is a sample of a training step.
+	// ClassRollout is a request for a sample of a training step.
 	ClassRollout
 
-	classes = 2
+	classCount = 2
 )
 
-// String names the class.
+// String returns the name of the class.
 func (c Class) String() string {
 	if c == ClassRollout {
 		return "rollout"
@@ -57,78 +65,86 @@
 	return "production"
 }
 
-// Upstream is what the table knows of one upstream.
+// Upstream is the state of one upstream in a Table.
 type Upstream struct {
 	Name       ident.Upstream
 	DataCentre ident.DataCentre
-	// Eligible is false while it is unhealthy or leaving: it is never picked.
+	// Eligible is false while the upstream is unhealthy or leaving; it is then never
+	// picked.
 	Eligible bool
-	// Weight is the slow-start weight, 0 to 1; below minWeight counts as that.
+	// Weight is the slow-start weight, from 0 to 1. Values below minWeight count as
+	// minWeight.
 	Weight float64
-	// Limit is its concurrency limit in requests, 0 if unknown.
+	// Limit is the concurrency limit in requests, 0 if unknown.
 	Limit int
-	// Own and Peers are requests in flight from this daemon and from others.
+	// Own and Peers are the numbers of requests in flight from this daemon and from
+	// the other daemons.
 	Own, Peers int
-	// ReportedRunning and ReportedQueued are its own, late, words.
+	// ReportedRunning and ReportedQueued are the requests that the upstream counted
+	// in its last load report, which arrives with a delay.
 	ReportedRunning, ReportedQueued int
-	// ReportedAt is when it said so, not when we heard.
+	// ReportedAt is when the upstream made the report, not when it arrived.
 	ReportedAt time.Time
-	// Serving is the newest weight version it serves.
+	// Serving is the newest weight version that the upstream serves.
 	Serving ident.Version
 }
 
-// Request is what Pick needs to know of a request.
+// Request holds the properties of a request that Pick considers.
 type Request struct {
 	Class Class
-	// Prefix is a hash of the prompt's shared beginning, 0 for none.
+	// Prefix is a hash of the prompt prefix that requests share, 0 for none.
 	Prefix uint64
-	// MinVersion leaves out upstreams that serve an older one, 0 for any.
+	// MinVersion excludes upstreams that only serve older weight versions, 0 for
+	// none.
 	MinVersion ident.Version
-	// Exclude names upstreams already tried.
+	// Exclude lists upstreams that must not be picked, such as those already tried.
 	Exclude []ident.Upstream
-	// Straggler marks one of the last of a step.
+	// Straggler marks one of the last unfinished samples of a step.
 	Straggler bool
-	// ExpectedTokens is the expected length of the answer, 0 if unknown.
+	// ExpectedTokens is the expected length of the answer in tokens, 0 if unknown.
 	ExpectedTokens int
-	// Only names the single upstream allowed (quarantine), empty for any.
+	// Only is the single upstream allowed for a quarantined request, empty for any.
 	Only ident.Upstream
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultPrefixLoadFactor = 1.25
 	DefaultLocalityPenalty  = 1.1
-	DefaultLongFactor       = 2.0
-	DefaultReserveLoad      = 10.0
-	DefaultHalfLoad         = 16.0
-	DefaultReportLife       = 4 * time.Second
+	DefaultLongSampleFactor = 2.0
+	DefaultMaxReserveLoad   = 10.0
+	DefaultHalfSpeedLoad    = 16.0
+	DefaultReportTTL        = 4 * time.Second
 	DefaultChoices          = 4
 )
 
-// Options tune a Table; zero values take the defaults.
+// Options configures a Table. Zero values select the defaults.
 type Options struct {
 	// Self is this daemon's data centre.
 	Self ident.DataCentre
-	// Seed starts the generator of random choices.
+	// Seed initialises the random number generator.
 	Seed uint64
-	// PrefixLoadFactor bounds a preferred upstream's load, in means. At least 1.
+	// PrefixLoadFactor is the maximum load of an upstream picked by prefix, as a
+	// multiple of the mean load. At least 1.
 	PrefixLoadFactor float64
-	// LocalityPenalty multiplies the cost of another data centre. At least 1.
+	// LocalityPenalty multiplies the load of upstreams in other data centres when
+	// costs are compared. At least 1.
 	LocalityPenalty float64
-	// LongFactor is how many times the mean expected length of rollouts makes a
-	// long one. Above 1.
-	LongFactor float64
-	// HalfLoad is about how many requests at once make an engine's token take twice
-	// the time that it takes one alone: what speed is weighed against load by.
-	HalfLoad float64
-	// ReserveLoad is how many requests a reserved upstream takes, in requests at
-	// one of median speed.
-	ReserveLoad float64
-	// ReportLife is how long a load report counts after it was made.
-	ReportLife time.Duration
-	// Choices is d of the power-of-d choices.
+	// LongSampleFactor is the multiple of the rollouts' mean expected length from
+	// which on a sample counts as long. Above 1.
+	LongSampleFactor float64
+	// HalfSpeedLoad is about the number of concurrent requests at which an engine
+	// takes twice as long per token as with a single request. It sets how slowdown
+	// is weighed against load in the cost.
+	HalfSpeedLoad float64
+	// MaxReserveLoad is the number of requests that a reserved upstream accepts,
+	// expressed as the equivalent load of an upstream of median speed.
+	MaxReserveLoad float64
+	// ReportTTL is how long a load report stays valid after it was made.
+	ReportTTL time.Duration
+	// Choices is d in power-of-d choices.
 	Choices int
-	// IgnoreSpeed counts every speed score as 1 (for the bench).
+	// IgnoreSpeed treats the slowdown of every upstream as 1, for benchmarks.
 	IgnoreSpeed bool
 }
 
@@ -139,17 +155,17 @@
 	if o.LocalityPenalty < 1 {
 		o.LocalityPenalty = DefaultLocalityPenalty
 	}
-	if o.LongFactor <= 1 {
-		o.LongFactor = DefaultLongFactor
+	if o.LongSampleFactor <= 1 {
+		o.LongSampleFactor = DefaultLongSampleFactor
 	}
-	if o.HalfLoad <= 0 {
-		o.HalfLoad = DefaultHalfLoad
+	if o.HalfSpeedLoad <= 0 {
+		o.HalfSpeedLoad = DefaultHalfSpeedLoad
 	}
-	if o.ReserveLoad < 1 {
-		o.ReserveLoad = DefaultReserveLoad
+	if o.MaxReserveLoad < 1 {
+		o.MaxReserveLoad = DefaultMaxReserveLoad
 	}
-	if o.ReportLife <= 0 {
-		o.ReportLife = DefaultReportLife
+	if o.ReportTTL <= 0 {
+		o.ReportTTL = DefaultReportTTL
 	}
 	if o.Choices < 2 {
 		o.Choices = DefaultChoices
--- a/internal/routing/suite_test.go
+++ b/internal/routing/suite_test.go
@@ -18,12 +18,13 @@
 	RunSpecs(t, "routing")
 }
 
+// start is the time at which every test begins.
 var start = time.Unix(1_700_000_000, 0)
 
 func name(i int) ident.Upstream { return ident.Upstream(fmt.Sprintf("u%d", i)) }
 
-// fleet makes n idle upstreams in three data centres.
-func fleet(n int) []routing.Upstream {
+// idleUpstreams returns n idle upstreams in three data centres.
+func idleUpstreams(n int) []routing.Upstream {
 	list := make([]routing.Upstream, n)
 	for i := range list {
 		list[i] = routing.Upstream{
@@ -38,9 +39,10 @@
 	return list
 }
 
+// newTable returns a table of n idle upstreams.
 func newTable(n int) *routing.Table {
 	t := routing.NewTable(routing.Options{Self: "dc0", Seed: 7})
-	t.SetMembers(fleet(n))
+	t.SetMembers(idleUpstreams(n))
 	return t
 }
 
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -7,84 +7,94 @@
 )
 
 const (
-	// minWeight keeps an upstream in slow start from costing infinitely much.
+	// minWeight is the lowest slow-start weight. It keeps the cost of an upstream in
+	// slow start finite.
 	minWeight = 0.05
-	// unfit marks an upstream that isn't eligible, below all versions.
-	unfit ident.Version = -1
-	// scanUpTo is the number of members up to which a pick looks at all of them.
-	scanUpTo = 64
+	// notEligible stands for the version of a member that is not eligible. It is
+	// lower than every weight version.
+	notEligible ident.Version = -1
+	// maxFullScan is the largest number of members that a pick examines one by one.
+	maxFullScan = 64
 )
 
-// hot is what a pick reads of a member, kept small for the cache. It is derived from members[i], which stays the truth.
-type hot struct {
-	load     float64 // own + peers + surplus of the last report, in requests
-	external float64 // that surplus alone
-	until    int64   // when it expires, in ns since 1970
-	scale    float64 // locality penalty / slow-start weight
-	weight   float64
-	token    [classes]float64 // normalised token time, 0 while unknown
-	limit    int32            // 0 unknown
+// pickState holds the values of one member that a pick reads. It is kept small so
+// that many of them fit in the CPU cache. It is derived from members[i], which is
+// authoritative.
+type pickState struct {
+	load              float64             // requests: known load + unattributed
+	unattributed      float64             // unattributed load, in requests; see reportState
+	unattributedUntil int64               // when unattributed expires, in ns since 1970
+	loadMultiplier    float64             // locality penalty / slow-start weight
+	weight            float64             // slow-start weight, minWeight to 1
+	tokenTime         [classCount]float64 // normalised token time by class, 0 while unknown
+	limit             int32               // concurrency limit in requests, 0 if unknown
 }
 
-// Table holds the members of one upstream group and what was learnt of them.
+// Table holds the members of one upstream group and the token times learnt for
+// them. Slices are indexed by member unless stated otherwise.
 //
-// Invariants: hot[i], fit[i] and fitRoomy[i] are derived from members[i]; live holds the
-// eligible members and roomy those of them below their limit; sumLoad and
-// sumWeight are the sums over live.
+// Invariants: pickStates[i], eligibleVersions[i] and withCapacityVersions[i] are
+// derived from members[i]; eligible holds the eligible members, and withCapacity
+// those of them below their concurrency limit; sumLoad and sumWeight are sums over
+// eligible.
 type Table struct {
 	options Options
-	random  generator
-
-	members []Upstream
-	hashes  []uint64
-	hot     []hot
-	reports []reportState
-	index   map[ident.Upstream]int
-
-	fit       []ident.Version // version served, or unfit: what a scan reads first
-	fitRoomy  []ident.Version // the same, and unfit outside roomy
-	live      indexSet
-	roomy     indexSet
-	sumLoad   float64
-	sumWeight float64
-
-	buckets buckets
-	speeds  speeds
-
-	reserve     indexSet
-	reserveBy   []int32   // members in the order in which they are reserved
-	reserveSpan int       // how much of reserveBy holds the reserve
-	bulkPeak    float64   // in flight beside sensitive work, a fading maximum
-	daemons     int       // that use the group
-	spill       bool      // a pick that may use the reserve for want of anything else
-	meanTokens  float64   // of rollouts' expected lengths
-	latest      time.Time // newest time seen: the clock of AddOwn and SetPeers
-	nanos       int64     // the same in ns since 1970
-	sweep       int       // next member whose report is checked for age
+	random  splitMix64
+
+	members     []Upstream
+	hashes      []uint64 // of the names
+	pickStates  []pickState
+	reports     []reportState
+	indexByName map[ident.Upstream]int
+
+	// eligibleVersions holds the weight version served, or notEligible. A scan reads
+	// it first.
+	eligibleVersions []ident.Version
+	// withCapacityVersions is eligibleVersions with notEligible also for members that
+	// are not in withCapacity.
+	withCapacityVersions []ident.Version
+	eligible             indexSet
+	withCapacity         indexSet
+	sumLoad              float64 // requests
+	sumWeight            float64 // slow-start weights
+
+	buckets    buckets
+	tokenTimes tokenTimes
+
+	reserve            indexSet
+	reserveOrder       []int32   // members in the order in which they are reserved
+	reserveOrderEnd    int       // length of the part of reserveOrder that holds the reserve
+	bulkPeak           float64   // decaying maximum of bulk requests in flight; see reserve.go
+	daemonCount        int       // daemons that use the group, including this one
+	ignoreReserve      bool      // lets bulk rollouts use reserved members; set during a retry in Pick
+	meanExpectedTokens float64   // moving average of rollouts' expected lengths, in tokens
+	latestTime         time.Time // latest time passed in; the current time for calls without one
+	latestNanos        int64     // latestTime in ns since 1970
+	expiryCursor       int       // member whose load report was last checked for expiry
 }
 
 // NewTable returns an empty table.
 func NewTable(o Options) *Table {
-	t := &Table{options: o.withDefaults(), random: generator{state: o.Seed}}
-	t.speeds.known = make(map[ident.Upstream]*[classes]score)
+	t := &Table{options: o.withDefaults(), random: splitMix64{state: o.Seed}}
+	t.tokenTimes.estimates = make(map[ident.Upstream]*[classCount]tokenTimeEstimate)
 	t.SetMembers(nil)
 	return t
 }
 
-// SetMembers replaces the member list. Learnt speeds are kept, also of those
-// that left and may come back (up to maxRemembered names); of two members with
-// one name the first counts.
+// SetMembers replaces the member list. Of several members with the same name, the
+// first is used. Learnt token times are kept, including those of members that left
+// and may return (up to maxEstimates names).
 func (t *Table) SetMembers(list []Upstream) {
-	old, oldReports := t.index, t.reports
+	old, oldReports := t.indexByName, t.reports
 	t.members = make([]Upstream, 0, len(list))
-	t.index = make(map[ident.Upstream]int, len(list))
+	t.indexByName = make(map[ident.Upstream]int, len(list))
 	t.reports = make([]reportState, 0, len(list))
 	t.hashes = make([]uint64, 0, len(list))
 	for _, u := range list {
-		if _, twice := t.index[u.Name]; twice {
+		if _, duplicate := t.indexByName[u.Name]; duplicate {
 			continue
 		}
-		t.index[u.Name] = len(t.members)
+		t.indexByName[u.Name] = len(t.members)
 		t.members = append(t.members, u)
 		t.hashes = append(t.hashes, hashString(string(u.Name)))
 		if i, kept := old[u.Name]; kept {
@@ -96,27 +106,28 @@
 	t.rebuild()
 }
 
+// rebuild derives all other state from the member list.
 func (t *Table) rebuild() {
 	n := len(t.members)
-	t.hot = make([]hot, n)
-	t.fit, t.fitRoomy = make([]ident.Version, n), make([]ident.Version, n)
-	t.live, t.roomy, t.reserve = newIndexSet(n), newIndexSet(n), newIndexSet(n)
-	t.orderReserve()
-	t.sumLoad, t.sumWeight, t.sweep = 0, 0, 0
-	t.speeds.rebuild(t.members, t.index)
+	t.pickStates = make([]pickState, n)
+	t.eligibleVersions, t.withCapacityVersions = make([]ident.Version, n), make([]ident.Version, n)
+	t.eligible, t.withCapacity, t.reserve = newIndexSet(n), newIndexSet(n), newIndexSet(n)
+	t.sortReserveOrder()
+	t.sumLoad, t.sumWeight, t.expiryCursor = 0, 0, 0
+	t.tokenTimes.rebuild(t.members, t.indexByName)
 	for i := range t.members {
-		for c := range classes {
-			t.hot[i].token[c] = t.speeds.tokenOf(t.members[i].Name, Class(c))
+		for c := range classCount {
+			t.pickStates[i].tokenTime[c] = t.tokenTimes.normalised(t.members[i].Name, Class(c))
 		}
 		t.refresh(i)
 	}
 	t.buckets.build(t.hashes)
 }
 
-// Update changes a member in place; an unknown name is ignored, and so is a
-// changed name.
+// Update changes a member in place. Unknown names are ignored, and so are changes
+// of the name.
 func (t *Table) Update(name ident.Upstream, change func(*Upstream)) {
-	i, ok := t.index[name]
+	i, ok := t.indexByName[name]
 	if !ok {
 		return
 	}
@@ -125,9 +136,10 @@
 	t.refresh(i)
 }
 
-// AddOwn changes this daemon's count in flight; it never falls below 0.
+// AddOwn adds delta to the number of this daemon's requests in flight at an upstream.
+// The number never falls below 0.
 func (t *Table) AddOwn(name ident.Upstream, delta int) {
-	i, ok := t.index[name]
+	i, ok := t.indexByName[name]
 	if !ok {
 		return
 	}
@@ -135,9 +147,10 @@
 	t.refresh(i)
 }
 
-// SetPeers sets what the other daemons have in flight there.
+// SetPeers sets the number of requests that the other daemons have in flight at an
+// upstream.
 func (t *Table) SetPeers(name ident.Upstream, n int) {
-	i, ok := t.index[name]
+	i, ok := t.indexByName[name]
 	if !ok {
 		return
 	}
@@ -145,9 +158,9 @@
 	t.refresh(i)
 }
 
-// Member returns a copy of what is known of an upstream.
+// Member returns a copy of the state of an upstream, and whether it is a member.
 func (t *Table) Member(name ident.Upstream) (Upstream, bool) {
-	i, ok := t.index[name]
+	i, ok := t.indexByName[name]
 	if !ok {
 		return Upstream{}, false
 	}
@@ -157,38 +170,39 @@
 // Len returns the number of members, eligible or not.
 func (t *Table) Len() int { return len(t.members) }
 
-// refresh derives hot[i] and the sums from members[i]. O(1).
+// refresh derives pickStates[i], the index sets and the sums from members[i] in O(1).
 func (t *Table) refresh(i int) {
-	u, h := &t.members[i], &t.hot[i]
-	t.count(i, -1)
-	t.reports[i].note(float64(u.Own+u.Peers), t.latest, t.options.ReportLife)
-	h.external = t.reports[i].external
-	h.until = t.reports[i].at.Add(t.options.ReportLife).UnixNano()
-	h.load = float64(u.Own+u.Peers) + h.external
-	h.weight = min(1, max(minWeight, u.Weight))
-	h.scale = 1 / h.weight
+	u, p := &t.members[i], &t.pickStates[i]
+	t.addToSums(i, -1)
+	t.reports[i].recordKnown(float64(u.Own+u.Peers), t.latestTime, t.options.ReportTTL)
+	p.unattributed = t.reports[i].unattributed
+	p.unattributedUntil = t.reports[i].reportedAt.Add(t.options.ReportTTL).UnixNano()
+	p.load = float64(u.Own+u.Peers) + p.unattributed
+	p.weight = min(1, max(minWeight, u.Weight))
+	p.loadMultiplier = 1 / p.weight
 	if u.DataCentre != t.options.Self {
-		h.scale *= t.options.LocalityPenalty
+		p.loadMultiplier *= t.options.LocalityPenalty
 	}
-	h.limit = int32(max(0, u.Limit))
-	roomy := u.Eligible && t.room(h)
-	t.live.set(i, u.Eligible)
-	t.roomy.set(i, roomy)
-	t.fit[i], t.fitRoomy[i] = unfit, unfit
+	p.limit = int32(max(0, u.Limit))
+	hasCapacity := u.Eligible && t.hasCapacity(p)
+	t.eligible.set(i, u.Eligible)
+	t.withCapacity.set(i, hasCapacity)
+	t.eligibleVersions[i], t.withCapacityVersions[i] = notEligible, notEligible
 	if u.Eligible {
-		t.fit[i] = max(0, u.Serving)
+		t.eligibleVersions[i] = max(0, u.Serving)
 	}
-	if roomy {
-		t.fitRoomy[i] = t.fit[i]
+	if hasCapacity {
+		t.withCapacityVersions[i] = t.eligibleVersions[i]
 	}
-	t.count(i, 1)
+	t.addToSums(i, 1)
 }
 
-// count adds a live member to the sums, or takes it out.
-func (t *Table) count(i int, sign float64) {
-	if t.live.at[i] < 0 {
+// addToSums adds an eligible member to the sums if sign is 1 and subtracts it if
+// sign is -1. Other members are ignored.
+func (t *Table) addToSums(i int, sign float64) {
+	if t.eligible.position[i] < 0 {
 		return
 	}
-	t.sumLoad += sign * t.hot[i].load
-	t.sumWeight += sign * t.hot[i].weight
+	t.sumLoad += sign * t.pickStates[i].load
+	t.sumWeight += sign * t.pickStates[i].weight
 }
