--- a/internal/limits/drain.go
+++ b/internal/limits/drain.go
@@ -7,83 +7,86 @@
 )
 
 const (
-	averageRate = 0.1 // weight of a new service time once many are known
-	averageMin  = 5   // service times until the average counts
+	minAverageWeight = 0.1 // weight of a new service time once many are known
+	minServiceTimes  = 5   // number of service times from which on the average is used
 )
 
-// average is a moving mean of service times, in seconds.
-type average struct {
+// movingAverage is the average of service times in seconds: a plain mean at first, then
+// an exponential moving average.
+type movingAverage struct {
 	mean  float64
 	count int
 }
 
-func (a *average) add(x float64) {
+func (a *movingAverage) add(value float64) {
 	a.count++
-	a.mean += max(averageRate, 1/float64(a.count)) * (x - a.mean)
+	a.mean += max(minAverageWeight, 1/float64(a.count)) * (value - a.mean)
 }
 
-func (a *average) known() bool { return a.count >= averageMin && a.mean > 0 }
+func (a *movingAverage) known() bool { return a.count >= minServiceTimes && a.mean > 0 }
 
-// drainRate returns how many entries of a class start a second while its queue
-// isn't empty; false while that isn't known.
+// drainRate returns the number of entries of a class that start per second while its
+// queue is not empty, and false while it is unknown.
 //
-// It is slots over service time (Little's law) and not a count of recent starts:
-// after a quiet time few starts were seen because few were asked for, and a burst
-// would be refused for want of traffic before it.
+// It is the number of slots divided by the service time (Little's law) instead of a count
+// of recent starts. After a quiet period few starts have been counted because few were
+// requested, and a burst would be refused for lack of earlier traffic.
 func (q *Queue) drainRate(c routing.Class) (float64, bool) {
-	slots := q.total - q.peers
+	slots := q.total - q.peersInFlight
 	if c == routing.ClassRollout {
-		slots = min(slots-q.started[routing.ClassProduction], slots-q.reserve())
+		slots = min(slots-q.runningCount[routing.ClassProduction], slots-q.reservedSlots())
 	}
 	mean, known := q.serviceTime(c)
 	if !known || q.total == 0 {
 		return 0, false
 	}
-	// Peers may hold all slots for now; one of them frees up as well sometime.
+	// Peers may hold all slots at the moment, but will release some of them.
 	return float64(max(1, slots)) / mean, true
 }
 
-// serviceTime is the mean time that a slot stays taken, as the class sees it.
-// Production takes any slot that frees up, so rollouts that run count in its mean.
+// serviceTime returns the mean time for which the slots that a class may use stay taken,
+// and false while it is unknown. Production may use any slot that is released, so its
+// mean includes running rollouts.
 func (q *Queue) serviceTime(c routing.Class) (seconds float64, known bool) {
 	if c == routing.ClassRollout {
-		return q.service[c].mean, q.service[c].known()
+		return q.serviceTimes[c].mean, q.serviceTimes[c].known()
 	}
 	var slots, rate float64
-	for class := range q.service {
-		if q.service[class].known() {
-			n := float64(q.started[class])
+	for class := range q.serviceTimes {
+		if q.serviceTimes[class].known() {
+			n := float64(q.runningCount[class])
 			slots += n
-			rate += n / q.service[class].mean
+			rate += n / q.serviceTimes[class].mean
 		}
 	}
 	if rate == 0 {
-		return q.service[c].mean, q.service[c].known()
+		return q.serviceTimes[c].mean, q.serviceTimes[c].known()
 	}
 	return slots / rate, true
 }
 
-// wait estimates how long a new entry of a team would be queued. It is behind
-// all of its team's, and behind the others' as far as their share goes: of n
-// teams alike, its own k entries take n*k starts, but never more than are queued.
-// Production entries wait behind production alone, rollouts behind both.
-func (q *Queue) wait(t *team, c routing.Class) (time.Duration, bool) {
+// estimateWait estimates how long a new entry of a team would be queued, and returns
+// false if that is unknown. The entry starts after all entries of its team, and after
+// those of other teams in proportion to their weights: with n teams of equal weight and
+// k entries of its own team, after n*k starts, but never more than are queued.
+// Production waits only for production, rollouts for both classes.
+func (q *Queue) estimateWait(t *team, c routing.Class) (time.Duration, bool) {
 	rate, known := q.drainRate(c)
 	if !known {
 		return 0, false
 	}
-	ahead := min(float64(q.lanes[c].count), float64(t.flow(c).len())*q.activeWeight(t, c)/t.weight)
+	ahead := min(float64(q.classQueues[c].length), float64(t.flow(c).len())*q.activeWeight(t, c)/t.weight)
 	if c == routing.ClassRollout {
-		ahead += float64(q.lanes[routing.ClassProduction].count)
+		ahead += float64(q.classQueues[routing.ClassProduction].length)
 	}
 	return time.Duration((ahead + 1) / rate * float64(time.Second)), true
 }
 
-// activeWeight sums the weights of the teams with entries in a class, and this
-// one's.
+// activeWeight returns the sum of the weights of the given team and of all others with
+// entries queued in a class.
 func (q *Queue) activeWeight(t *team, c routing.Class) float64 {
 	sum := 0.0
-	for _, f := range q.lanes[c].flows {
+	for _, f := range q.classQueues[c].flows {
 		if f.team != t {
 			sum += f.team.weight
 		}
@@ -91,10 +94,10 @@
 	return sum + t.weight
 }
 
-// retryAfter turns an estimated wait into an advice to callers.
+// retryAfter returns the RetryAfter for an estimated wait.
 func retryAfter(wait time.Duration, known bool) time.Duration {
 	if !known {
-		return unknownRetryAfter
+		return defaultRetryAfter
 	}
 	return min(MaxRetryAfter, max(MinRetryAfter, wait))
 }
--- a/internal/limits/heaps.go
+++ b/internal/limits/heaps.go
@@ -1,14 +1,15 @@
 package limits
 
-// entryHeap orders a flow's entries: stragglers, then the earliest step
-// deadline, then first come.
+// entryHeap orders the entries of a flow: stragglers first, then by step deadline, then
+// by arrival.
 type entryHeap flow
 
 func (h *entryHeap) Len() int { return len(h.entries) }
 
-func (h *entryHeap) Less(i, j int) bool { return before(h.entries[i], h.entries[j]) }
+func (h *entryHeap) Less(i, j int) bool { return startsBefore(h.entries[i], h.entries[j]) }
 
-func before(a, b *queued) bool {
+// startsBefore reports whether a starts before b if both are in the same flow.
+func startsBefore(a, b *queuedEntry) bool {
 	if a.Straggler != b.Straggler {
 		return a.Straggler
 	}
@@ -23,17 +24,17 @@
 
 func (h *entryHeap) Swap(i, j int) {
 	h.entries[i], h.entries[j] = h.entries[j], h.entries[i]
-	h.entries[i].inFlow, h.entries[j].inFlow = i, j
+	h.entries[i].flowIndex, h.entries[j].flowIndex = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *entryHeap) Push(x any) {
-	e := x.(*queued)
-	e.inFlow = len(h.entries)
+	e := x.(*queuedEntry)
+	e.flowIndex = len(h.entries)
 	h.entries = append(h.entries, e)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *entryHeap) Pop() any {
 	last := len(h.entries) - 1
 	e := h.entries[last]
@@ -42,31 +43,31 @@
 	return e
 }
 
-// flowHeap orders flows by tag, then by name.
+// flowHeap orders flows by start tag, then by name.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].name < h[j].name
 }
 
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].lane, h[j].lane = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.lane = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *flowHeap) Pop() any {
 	last := len(*h) - 1
 	f := (*h)[last]
@@ -75,39 +76,40 @@
 	return f
 }
 
-// dueHeap orders entries by deadline, then first come.
-type dueHeap []*queued
+// deadlineHeap orders entries by deadline, then by arrival.
+type deadlineHeap []*queuedEntry
 
-func (h dueHeap) first() *queued {
+// first returns the entry with the earliest deadline, or nil if the heap is empty.
+func (h deadlineHeap) first() *queuedEntry {
 	if len(h) == 0 {
 		return nil
 	}
 	return h[0]
 }
 
-func (h dueHeap) Len() int { return len(h) }
+func (h deadlineHeap) Len() int { return len(h) }
 
-func (h dueHeap) Less(i, j int) bool {
+func (h deadlineHeap) Less(i, j int) bool {
 	if !h[i].Deadline.Equal(h[j].Deadline) {
 		return h[i].Deadline.Before(h[j].Deadline)
 	}
 	return h[i].sequence < h[j].sequence
 }
 
-func (h dueHeap) Swap(i, j int) {
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].inDues, h[j].inDues = i, j
+	h[i].deadlineIndex, h[j].deadlineIndex = i, j
 }
 
-// Push is for container/heap.
-func (h *dueHeap) Push(x any) {
-	e := x.(*queued)
-	e.inDues = len(*h)
+// Push implements heap.Interface.
+func (h *deadlineHeap) Push(x any) {
+	e := x.(*queuedEntry)
+	e.deadlineIndex = len(*h)
 	*h = append(*h, e)
 }
 
-// Pop is for container/heap.
-func (h *dueHeap) Pop() any {
+// Pop implements heap.Interface.
+func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
 	e := (*h)[last]
 	(*h)[last] = nil
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,17 +1,20 @@
-// Package limits decides how many requests may run at once and which ones.
+// Package limits implements admission control: how many requests may run at once, and
+// which ones.
 //
-// Engines know no priority and admit everything, so the queues live in the
-// daemons. Three parts:
+// Engines have no priorities and accept every request, so requests are queued in the
+// daemons. The package has three parts:
 //
-//   - Controller finds one upstream's concurrency limit by its token time.
-//   - Share splits an upstream's limit between daemons that hear of each other late.
-//   - Queue admits requests to an upstream group: production first, rollouts by
-//     step deadline behind a reserve, teams by weight, and refuses early.
+//   - Controller adapts the concurrency limit of one upstream to its token times.
+//   - Share divides the limit of an upstream between daemons that learn of each other's
+//     requests with a delay.
+//   - Queue admits requests to an upstream group. Production comes first. Rollouts are
+//     ordered by step deadline and leave a reserve free for production. Teams share
+//     capacity by weight. Requests that cannot start in time are refused early.
 //
-// The package is pure: time is passed in, there is no clock, lock or goroutine,
-// and results don't depend on the order of a map. Nothing here is safe for
-// concurrent use. A request refused or expired here was never sent: its outcome
-// is "not run".
+// The package is deterministic: callers pass the time in, there are no clock reads,
+// locks or goroutines, and results do not depend on map order. Nothing in it is safe for
+// concurrent use. A request that is refused or expires here was never sent, so its
+// outcome is "not run".
 package limits
 
 import (
@@ -21,64 +24,66 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// Ticket names an entry; the caller chooses it, unique within a Queue.
+// Ticket identifies an entry. It is chosen by the caller and unique within a Queue.
 type Ticket uint64
 
-// Entry is a request that wants to start.
+// Entry is a request to be admitted.
 type Entry struct {
 	Ticket Ticket
 	Team   ident.Team
 	Class  routing.Class
-	// Deadline is when it must have started at the latest; zero for never.
+	// Deadline is the latest time at which the request may start; zero for none.
 	Deadline time.Time
-	// StepDeadline orders a team's rollouts, earliest first; zero comes last.
+	// StepDeadline orders the rollouts of a team, earliest first; zero comes last.
 	StepDeadline time.Time
-	// Cost is the work expected, in tokens; less than 1 counts as 1.
+	// Cost is the expected work in tokens. Values below 1 count as 1.
 	Cost float64
-	// Straggler puts it before its team's others of the class.
+	// Straggler orders the request before its team's other requests of the class.
 	Straggler bool
 }
 
-// RefuseReason says why an entry wasn't taken.
+// RefuseReason is the reason why an entry was refused.
 type RefuseReason uint8
 
 const (
-	// RefuseNone means that it was taken.
+	// RefuseNone means that the entry was admitted or queued.
 	RefuseNone RefuseReason = iota
-	// RefuseTeamFull means that the team's queue for the class is full.
+	// RefuseTeamFull means that the queue of the team for the class is full.
 	RefuseTeamFull
-	// RefuseFull means that the whole queue is full and the team has its part.
+	// RefuseFull means that the whole queue is full and that the team has used up its
+	// share of it.
 	RefuseFull
-	// RefuseDeadline means that it couldn't start before its deadline.
+	// RefuseDeadline means that the entry could not start before its deadline.
 	RefuseDeadline
-	// RefuseDuplicate means that the ticket is queued or running already.
+	// RefuseDuplicate means that the ticket is already queued or running.
 	RefuseDuplicate
 )
 
 var reasonNames = [...]string{"none", "team-full", "full", "deadline", "duplicate"}
 
-// String names the reason.
+// String returns the name of the reason.
 func (r RefuseReason) String() string { return reasonNames[r] }
 
-// Decision answers Enqueue. Exactly one of Admit, Queued and Refused is set.
+// Decision is the result of Enqueue. Exactly one of Admit, Queued and Refused is set.
 type Decision struct {
-	// Admit means that it may start now and counts as running.
+	// Admit means that the request may start now. It counts as running.
 	Admit bool
-	// Queued means that a later Next names it, as a start or as expired.
+	// Queued means that a later call of Next returns the ticket, to start or as expired.
 	Queued bool
-	// Refused says why it was neither.
+	// Refused is the reason if the request was neither admitted nor queued.
 	Refused RefuseReason
-	// RetryAfter is when a refused caller should try again.
+	// RetryAfter is how long a refused caller should wait before it tries again.
 	RetryAfter time.Duration
 }
 
-// Expired is an entry that missed its deadline in the queue.
+// Expired is an entry whose deadline passed while it was queued.
 type Expired struct {
-	Ticket     Ticket
+	Ticket Ticket
+	// RetryAfter is how long the caller should wait before it tries again.
 	RetryAfter time.Duration
 }
 
-// Defaults and bounds.
+// Defaults and bounds of a Queue.
 const (
 	DefaultProductionReserve = 0.3
 	MaxProductionReserve     = 0.9
@@ -86,9 +91,9 @@
 	DefaultTeamQueue         = 1000
 	DefaultWeight            = 1.0
 
-	// MinRetryAfter and MaxRetryAfter bound every RetryAfter.
+	// MinRetryAfter and MaxRetryAfter are the bounds of RetryAfter.
 	MinRetryAfter = 100 * time.Millisecond
 	MaxRetryAfter = 60 * time.Second
-	// unknownRetryAfter is given while the drain rate isn't known.
-	unknownRetryAfter = time.Second
+	// defaultRetryAfter is used while the drain rate is unknown.
+	defaultRetryAfter = time.Second
 )
--- a/internal/limits/naive_test.go
+++ b/internal/limits/naive_test.go
@@ -12,47 +12,50 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// naive is the same policy on plain lists: each question is a pass over all
-// entries. RetryAfter and refusals by estimate are the real queue's; the naive one
-// takes over the latter (peek) and checks that they are possible at all.
-type naive struct {
-	real                   *limits.Queue
+// reference implements the same policy with plain lists; every query is a pass over all
+// entries. It calls the queue under test as well and compares the results. RetryAfter and
+// refusals by estimated wait are taken from that queue, and of the latter it only checks
+// that the entry has a deadline.
+type reference struct {
+	queueUnderTest         *limits.Queue
 	total, peers, maxQueue int
 	weight                 map[ident.Team]float64
-	bound                  map[ident.Team]int
-	tags                   [2]map[ident.Team]float64
-	clock                  [2]float64
-	queue                  []limits.Entry
+	teamQueue              map[ident.Team]int
+	startTags              [2]map[ident.Team]float64 // by class
+	virtualTime            [2]float64                // by class
+	queue                  []limits.Entry            // in order of arrival
 	running                map[limits.Ticket]routing.Class
 }
 
-func newNaive(o limits.Options) *naive {
-	return &naive{
-		real: limits.NewQueue(o), maxQueue: o.MaxQueue,
-		weight: map[ident.Team]float64{}, bound: map[ident.Team]int{},
-		tags:    [2]map[ident.Team]float64{{}, {}},
-		running: map[limits.Ticket]routing.Class{},
+func newReference(o limits.Options) *reference {
+	return &reference{
+		queueUnderTest: limits.NewQueue(o), maxQueue: o.MaxQueue,
+		weight: map[ident.Team]float64{}, teamQueue: map[ident.Team]int{},
+		startTags: [2]map[ident.Team]float64{{}, {}},
+		running:   map[limits.Ticket]routing.Class{},
 	}
 }
 
-func (n *naive) SetTeam(t ident.Team, w float64, m int) {
-	n.real.SetTeam(t, w, m)
-	n.weight[t], n.bound[t] = w, m
+func (n *reference) SetTeam(t ident.Team, w float64, m int) {
+	n.queueUnderTest.SetTeam(t, w, m)
+	n.weight[t], n.teamQueue[t] = w, m
 }
 
-func (n *naive) SetCapacity(total, used int) {
-	n.real.SetCapacity(total, used)
+func (n *reference) SetCapacity(total, used int) {
+	n.queueUnderTest.SetCapacity(total, used)
 	n.total, n.peers = total, used
 }
 
-func (n *naive) weightOf(t ident.Team) float64 {
+// weightOf returns the weight of a team, 1 by default.
+func (n *reference) weightOf(t ident.Team) float64 {
 	if w, ok := n.weight[t]; ok {
 		return w
 	}
 	return 1
 }
 
-func (n *naive) count(match func(limits.Entry) bool) (c int) {
+// count returns the number of queued entries that match.
+func (n *reference) count(match func(limits.Entry) bool) (c int) {
 	for _, e := range n.queue {
 		if match(e) {
 			c++
@@ -61,7 +64,8 @@
 	return c
 }
 
-func (n *naive) free(c routing.Class) bool {
+// canStart reports whether one more request of a class may run, with a reserve of 0.3.
+func (n *reference) canStart(c routing.Class) bool {
 	if len(n.running)+n.peers >= n.total {
 		return false
 	}
@@ -74,51 +78,53 @@
 	return c == production || waiting == 0 && rollouts < n.total-reserve
 }
 
-func (n *naive) begin(e limits.Entry) {
+// start charges the team of an entry and marks the entry as running.
+func (n *reference) start(e limits.Entry) {
 	c, team := e.Class, e.Team
-	n.clock[c] = max(n.clock[c], n.tags[c][team])
-	n.tags[c][team] = n.clock[c] + max(1, e.Cost)/n.weightOf(team)
+	n.virtualTime[c] = max(n.virtualTime[c], n.startTags[c][team])
+	n.startTags[c][team] = n.virtualTime[c] + max(1, e.Cost)/n.weightOf(team)
 	n.running[e.Ticket] = c
 }
 
-func (n *naive) Enqueue(e limits.Entry, now time.Time) limits.Decision {
-	real := n.real.Enqueue(e, now)
-	ours := func(o limits.Entry) bool { return o.Class == e.Class && o.Team == e.Team }
-	team := func(o limits.Entry) bool { return o.Team == e.Team }
+func (n *reference) Enqueue(e limits.Entry, now time.Time) limits.Decision {
+	got := n.queueUnderTest.Enqueue(e, now)
+	sameFlow := func(o limits.Entry) bool { return o.Class == e.Class && o.Team == e.Team }
+	sameTeam := func(o limits.Entry) bool { return o.Team == e.Team }
 	late := !e.Deadline.IsZero() && !now.Before(e.Deadline)
-	same := n.count(func(o limits.Entry) bool { return o.Class == e.Class })
-	bound, ok := n.bound[e.Team]
+	sameClass := n.count(func(o limits.Entry) bool { return o.Class == e.Class })
+	teamQueue, ok := n.teamQueue[e.Team]
 	if !ok {
-		bound = limits.DefaultTeamQueue
+		teamQueue = limits.DefaultTeamQueue
 	}
 	active := map[ident.Team]bool{e.Team: true}
 	for _, o := range n.queue {
 		active[o.Team] = true
 	}
-	want := limits.Decision{RetryAfter: real.RetryAfter}
+	want := limits.Decision{RetryAfter: got.RetryAfter}
 	switch {
-	case same == 0 && n.free(e.Class) && !late:
+	case sameClass == 0 && n.canStart(e.Class) && !late:
 		want.Admit = true
-		n.begin(e)
-	case n.count(ours) >= bound:
+		n.start(e)
+	case n.count(sameFlow) >= teamQueue:
 		want.Refused = limits.RefuseTeamFull
-	case len(n.queue) >= n.maxQueue && n.count(team) >= n.maxQueue/len(active):
+	case len(n.queue) >= n.maxQueue && n.count(sameTeam) >= n.maxQueue/len(active):
 		want.Refused = limits.RefuseFull
-	case late, real.Refused == limits.RefuseDeadline:
+	case late, got.Refused == limits.RefuseDeadline:
 		Expect(e.Deadline.IsZero()).To(BeFalse())
 		want.Refused = limits.RefuseDeadline
 	default:
 		want.Queued = true
 		n.queue = append(n.queue, e)
-		if n.count(ours) == 1 {
-			n.tags[e.Class][e.Team] = max(n.tags[e.Class][e.Team], n.clock[e.Class])
+		if n.count(sameFlow) == 1 {
+			n.startTags[e.Class][e.Team] = max(n.startTags[e.Class][e.Team], n.virtualTime[e.Class])
 		}
 	}
-	Expect(real).To(Equal(want))
-	return real
+	Expect(got).To(Equal(want))
+	return got
 }
 
-func (n *naive) drop(t limits.Ticket) {
+// drop removes a queued entry.
+func (n *reference) drop(t limits.Ticket) {
 	for i, e := range n.queue {
 		if e.Ticket == t {
 			n.queue = append(n.queue[:i:i], n.queue[i+1:]...)
@@ -127,48 +133,48 @@
 	}
 }
 
-func (n *naive) Done(t limits.Ticket, now time.Time) {
-	n.real.Done(t, now)
+func (n *reference) Done(t limits.Ticket, now time.Time) {
+	n.queueUnderTest.Done(t, now)
 	delete(n.running, t)
 }
 
-func (n *naive) Cancel(t limits.Ticket, now time.Time) {
-	n.real.Cancel(t, now)
+func (n *reference) Cancel(t limits.Ticket, now time.Time) {
+	n.queueUnderTest.Cancel(t, now)
 	delete(n.running, t)
 	n.drop(t)
 }
 
-// better orders two entries of one class.
-func (n *naive) better(a, b limits.Entry) bool {
-	x, y := n.tags[a.Class][a.Team], n.tags[b.Class][b.Team]
+// startsBefore reports whether a starts before b, both of one class.
+func (n *reference) startsBefore(a, b limits.Entry) bool {
+	x, y := n.startTags[a.Class][a.Team], n.startTags[b.Class][b.Team]
 	if a.Team != b.Team {
 		return x < y || x == y && a.Team < b.Team
 	}
 	if a.Straggler != b.Straggler {
 		return a.Straggler
 	}
-	far := func(e limits.Entry) time.Time {
+	stepDeadline := func(e limits.Entry) time.Time {
 		if e.StepDeadline.IsZero() {
 			return start.Add(time.Hour)
 		}
 		return e.StepDeadline
 	}
-	return far(a).Before(far(b))
+	return stepDeadline(a).Before(stepDeadline(b))
 }
 
-func (n *naive) Next(now time.Time) ([]limits.Ticket, []limits.Expired) {
-	starts, expired := n.real.Next(now)
+func (n *reference) Next(now time.Time) ([]limits.Ticket, []limits.Expired) {
+	starts, expired := n.queueUnderTest.Next(now)
 	for _, x := range expired {
 		n.drop(x.Ticket)
 	}
 	late := func(e limits.Entry) bool { return !e.Deadline.IsZero() && !now.Before(e.Deadline) }
-	Expect(n.count(late)).To(BeZero(), "all that is late, and no more, expires")
+	Expect(n.count(late)).To(BeZero(), "exactly the entries whose deadline has passed expire")
 	var want []limits.Ticket
 	for c := production; c <= rollout; c++ {
-		for n.free(c) {
+		for n.canStart(c) {
 			best := -1
 			for i, e := range n.queue {
-				if e.Class == c && (best < 0 || n.better(e, n.queue[best])) {
+				if e.Class == c && (best < 0 || n.startsBefore(e, n.queue[best])) {
 					best = i
 				}
 			}
@@ -176,7 +182,7 @@
 				break
 			}
 			e := n.queue[best]
-			n.begin(e)
+			n.start(e)
 			n.drop(e.Ticket)
 			want = append(want, e.Ticket)
 		}
@@ -185,8 +191,8 @@
 	return starts, expired
 }
 
-var _ = It("agrees with the naive queue over random sessions", func() {
+var _ = It("agrees with the reference implementation in random sessions", func() {
 	for seed := range uint64(40) {
-		session(seed, 600, newNaive(limits.Options{ProductionReserve: 0.3, MaxQueue: 30 + int(seed)}))
+		runSession(seed, 600, newReference(limits.Options{ProductionReserve: 0.3, MaxQueue: 30 + int(seed)}))
 	}
 })
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -8,51 +8,55 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-const classes = 2
+// classCount is the number of classes in package routing.
+const classCount = 2
 
 // Queue is the admission queue of one upstream group.
 //
 // Invariants after each call:
-//   - own running + peers' in flight exceed the total only if the total shrank,
-//     peers grew, or the caller starts tickets on its own;
-//   - rollouts start only while rollouts and peers' requests not known to be
-//     production leave the reserve free;
+//   - this daemon's running requests and those of its peers together exceed the total
+//     number of slots only if the total shrank, the peers' requests increased, or the
+//     caller starts tickets on its own;
+//   - rollouts start only while rollouts and the peers' requests that are not known to
+//     be production leave the reserve free;
 //   - a rollout starts only if no production entry could start in its place;
-//   - each ticket gets one Admit or Refused, or one Queued and then one start,
-//     one expiry, or a Cancel;
-//   - a team holds at most its bound queued in each class.
+//   - each ticket gets one Admit or Refused, or one Queued and then one start, one
+//     expiry, or a Cancel;
+//   - a team has at most its maximum number of entries queued in each class.
 type Queue struct {
-	options Options
-	teams   map[ident.Team]*team
-	lanes   [classes]lane
-	entries map[Ticket]*queued
-	running map[Ticket]running
-	dues    dueHeap
+	options     Options
+	teams       map[ident.Team]*team
+	classQueues [classCount]classQueue
+	entries     map[Ticket]*queuedEntry
+	running     map[Ticket]runningEntry
+	deadlines   deadlineHeap
 
-	total, peers    int
-	peersProduction int
-	started         [classes]int // own requests running
-	service         [classes]average
-	sequence        uint64
+	total, peersInFlight int                       // slots of the group, and those used by other daemons
+	peerProduction       int                       // part of peersInFlight known to be production
+	runningCount         [classCount]int           // this daemon's running requests
+	serviceTimes         [classCount]movingAverage // seconds from start to Done
+	sequence             uint64                    // of the newest entry
 }
 
-type running struct {
-	class routing.Class
-	since time.Time
+// runningEntry is a request that was started.
+type runningEntry struct {
+	class     routing.Class
+	startedAt time.Time
 }
 
 // NewQueue returns an empty queue without slots.
 func NewQueue(o Options) *Queue {
 	return &Queue{
-		options: o.forQueue(),
+		options: o.withQueueDefaults(),
 		teams:   make(map[ident.Team]*team),
-		entries: make(map[Ticket]*queued),
-		running: make(map[Ticket]running),
+		entries: make(map[Ticket]*queuedEntry),
+		running: make(map[Ticket]runningEntry),
 	}
 }
 
-// SetTeam sets a team's fair share and its bound on entries queued in each class;
-// 0 or less takes the defaults. A smaller bound drops nobody queued already.
+// SetTeam sets the weight of a team and the maximum number of entries that it may have
+// queued in each class. Values of 0 or less select the defaults. A lower maximum does not
+// drop entries that are already queued.
 func (q *Queue) SetTeam(name ident.Team, weight float64, maxQueue int) {
 	t := q.team(name)
 	t.weight, t.maxQueue = DefaultWeight, DefaultTeamQueue
@@ -64,72 +68,74 @@
 	}
 }
 
-// SetCapacity sets the slots of the whole group and how many of them other
-// daemons' requests take.
-func (q *Queue) SetCapacity(total int, used int) {
-	q.total, q.peers = max(0, total), max(0, used)
+// SetCapacity sets the total number of slots of the group and how many of them requests
+// of other daemons use.
+func (q *Queue) SetCapacity(total int, usedByPeers int) {
+	q.total, q.peersInFlight = max(0, total), max(0, usedByPeers)
 }
 
-// SetPeerProduction says how many of the peers' requests are production. Unless
-// told, all count as rollouts: that keeps the reserve free at the price of
-// rollouts that could have run.
-func (q *Queue) SetPeerProduction(n int) { q.peersProduction = max(0, n) }
+// SetPeerProduction sets how many of the peers' requests are production. By default all
+// count as rollouts, which keeps the reserve free but may delay rollouts that could have
+// run.
+func (q *Queue) SetPeerProduction(n int) { q.peerProduction = max(0, n) }
 
-// Enqueue asks for a start.
+// Enqueue admits, queues or refuses a request.
 func (q *Queue) Enqueue(e Entry, now time.Time) Decision {
-	if e.Class >= classes {
+	if e.Class >= classCount {
 		e.Class = routing.ClassRollout
 	}
 	e.Cost = max(1, e.Cost)
-	if q.holds(e.Ticket) {
+	if q.contains(e.Ticket) {
 		return Decision{Refused: RefuseDuplicate, RetryAfter: MinRetryAfter}
 	}
 	t := q.team(e.Team)
-	if q.lanes[e.Class].count == 0 && q.mayStart(e.Class) && !passed(e.Deadline, now) {
-		q.lanes[e.Class].charge(t.flow(e.Class), e.Cost)
+	if q.classQueues[e.Class].length == 0 && q.canStart(e.Class) && !deadlinePassed(e.Deadline, now) {
+		q.classQueues[e.Class].charge(t.flow(e.Class), e.Cost)
 		q.start(e.Ticket, e.Class, now)
 		return Decision{Admit: true}
 	}
-	wait, known := q.wait(t, e.Class)
-	if reason := q.refuse(t, e, wait, known, now); reason != RefuseNone {
+	wait, known := q.estimateWait(t, e.Class)
+	if reason := q.refusalReason(t, e, wait, known, now); reason != RefuseNone {
 		return Decision{Refused: reason, RetryAfter: retryAfter(wait, known)}
 	}
 	q.push(t, e)
 	return Decision{Queued: true}
 }
 
-// refuse says whether an entry that can't start now may not wait either.
-func (q *Queue) refuse(t *team, e Entry, wait time.Duration, known bool, now time.Time) RefuseReason {
+// refusalReason returns why an entry that cannot start now may not be queued, or
+// RefuseNone if it may. wait is the estimated time in the queue and is valid if known.
+func (q *Queue) refusalReason(t *team, e Entry, wait time.Duration, known bool, now time.Time) RefuseReason {
 	if t.flow(e.Class).len() >= t.maxQueue {
 		return RefuseTeamFull
 	}
-	// A full queue still takes a team below its part of it, so that a team that
-	// fills it doesn't shut the others out. It holds 2*MaxQueue at most.
-	if len(q.entries) >= q.options.MaxQueue && t.queued() >= q.options.MaxQueue/q.activeWith(t) {
+	// A full queue still accepts entries of a team below its equal share, so that a
+	// team which fills the queue does not exclude the others. The queue never holds more
+	// than 2*MaxQueue entries.
+	if len(q.entries) >= q.options.MaxQueue && t.queued() >= q.options.MaxQueue/q.countActiveTeams(t) {
 		return RefuseFull
 	}
 	if e.Deadline.IsZero() {
 		return RefuseNone
 	}
-	if passed(e.Deadline, now) || known && now.Add(wait).After(e.Deadline) {
+	if deadlinePassed(e.Deadline, now) || known && now.Add(wait).After(e.Deadline) {
 		return RefuseDeadline
 	}
 	return RefuseNone
 }
 
-// Next returns the entries that may start now, which count as running from here,
-// and those that missed their deadline. The caller asks after each event that may
-// have freed a slot, and on a timer for the deadlines.
+// Next returns the tickets that may start now, which count as running from then on, and
+// the entries whose deadline has passed. Call it after each event that may have released
+// a slot, and on a timer for the deadlines.
 func (q *Queue) Next(now time.Time) (starts []Ticket, expired []Expired) {
-	for e := q.dues.first(); e != nil && passed(e.Deadline, now); e = q.dues.first() {
+	for e := q.deadlines.first(); e != nil && deadlinePassed(e.Deadline, now); e = q.deadlines.first() {
 		q.remove(e)
-		wait, known := q.wait(q.team(e.Team), e.Class)
+		wait, known := q.estimateWait(q.team(e.Team), e.Class)
 		expired = append(expired, Expired{Ticket: e.Ticket, RetryAfter: retryAfter(wait, known)})
 	}
-	for c := routing.ClassProduction; c < classes; c++ {
-		for q.lanes[c].count > 0 && q.mayStart(c) {
-			e := q.lanes[c].next()
-			q.lanes[c].charge(e.flow, e.Cost)
+	for c := routing.ClassProduction; c < classCount; c++ {
+		for q.classQueues[c].length > 0 && q.canStart(c) {
+			e := q.classQueues[c].first()
+			q.classQueues[c].charge(e.flow, e.Cost)
 			q.remove(e)
 			q.start(e.Ticket, c, now)
 			starts = append(starts, e.Ticket)
@@ -138,19 +144,18 @@
 	return starts, expired
 }
 
-// Done ends a running ticket and learns its service time. An unknown ticket is
-// ignored.
+// Done ends a running ticket and records its service time. Unknown tickets are ignored.
 func (q *Queue) Done(t Ticket, now time.Time) {
 	r, ok := q.running[t]
 	if !ok {
 		return
 	}
 	q.stop(t, r)
-	q.service[r.class].add(now.Sub(r.since).Seconds())
+	q.serviceTimes[r.class].add(now.Sub(r.startedAt).Seconds())
 }
 
-// Cancel takes a ticket out, queued or running, without learning from it. The
-// work it was charged for stays charged.
+// Cancel removes a queued or running ticket without recording its service time. The cost
+// already charged to its team is not refunded.
 func (q *Queue) Cancel(t Ticket, _ time.Time) {
 	if r, ok := q.running[t]; ok {
 		q.stop(t, r)
@@ -161,13 +166,13 @@
 	}
 }
 
-// Queued and Running count a class's entries.
-func (q *Queue) Queued(c routing.Class) int { return q.lanes[c].count }
+// Queued returns the number of queued entries of a class.
+func (q *Queue) Queued(c routing.Class) int { return q.classQueues[c].length }
 
-// Running counts a class's tickets that started and aren't done.
-func (q *Queue) Running(c routing.Class) int { return q.started[c] }
+// Running returns the number of tickets of a class that were started and not yet ended.
+func (q *Queue) Running(c routing.Class) int { return q.runningCount[c] }
 
-// TeamQueued counts a team's entries of a class.
+// TeamQueued returns the number of queued entries of a team in a class.
 func (q *Queue) TeamQueued(name ident.Team, c routing.Class) int {
 	t, ok := q.teams[name]
 	if !ok {
@@ -176,44 +181,46 @@
 	return t.flow(c).len()
 }
 
-// NextDeadline returns the earliest deadline of a queued entry, false if none has one.
+// NextDeadline returns the earliest deadline of all queued entries, and false if none has
+// one.
 func (q *Queue) NextDeadline() (time.Time, bool) {
-	e := q.dues.first()
+	e := q.deadlines.first()
 	if e == nil {
 		return time.Time{}, false
 	}
 	return e.Deadline, true
 }
 
-// reserve is the number of slots that rollouts never take.
-func (q *Queue) reserve() int {
+// reservedSlots returns the number of slots that rollouts never use.
+func (q *Queue) reservedSlots() int {
 	return int(math.Ceil(float64(q.total)*q.options.ProductionReserve - 1e-9))
 }
 
-// mayStart says whether one more of a class may run.
-func (q *Queue) mayStart(c routing.Class) bool {
-	own := q.started[routing.ClassProduction] + q.started[routing.ClassRollout]
-	if own+q.peers >= q.total {
+// canStart reports whether one more request of a class may run.
+func (q *Queue) canStart(c routing.Class) bool {
+	own := q.runningCount[routing.ClassProduction] + q.runningCount[routing.ClassRollout]
+	if own+q.peersInFlight >= q.total {
 		return false
 	}
 	if c == routing.ClassProduction {
 		return true
 	}
-	rollouts := q.started[routing.ClassRollout] + max(0, q.peers-q.peersProduction)
-	return rollouts < q.total-q.reserve() && q.lanes[routing.ClassProduction].count == 0
+	rollouts := q.runningCount[routing.ClassRollout] + max(0, q.peersInFlight-q.peerProduction)
+	return rollouts < q.total-q.reservedSlots() && q.classQueues[routing.ClassProduction].length == 0
 }
 
 func (q *Queue) start(t Ticket, c routing.Class, now time.Time) {
-	q.running[t] = running{class: c, since: now}
-	q.started[c]++
+	q.running[t] = runningEntry{class: c, startedAt: now}
+	q.runningCount[c]++
 }
 
-func (q *Queue) stop(t Ticket, r running) {
+func (q *Queue) stop(t Ticket, r runningEntry) {
 	delete(q.running, t)
-	q.started[r.class]--
+	q.runningCount[r.class]--
 }
 
-func (q *Queue) holds(t Ticket) bool {
+// contains reports whether a ticket is queued or running.
+func (q *Queue) contains(t Ticket) bool {
 	if _, ok := q.running[t]; ok {
 		return true
 	}
@@ -221,7 +228,7 @@
 	return ok
 }
 
-// passed says whether a deadline, zero for none, is over.
-func passed(deadline, now time.Time) bool {
+// deadlinePassed reports whether a deadline has been reached; a zero deadline never is.
+func deadlinePassed(deadline, now time.Time) bool {
 	return !deadline.IsZero() && !now.Before(deadline)
 }
--- a/internal/limits/share.go
+++ b/internal/limits/share.go
@@ -5,128 +5,138 @@
 	"time"
 )
 
-// Share returns how many requests this daemon may have in flight at one upstream,
-// until it next hears from its peers.
+// Share returns the number of requests that this daemon may have in flight at one
+// upstream until the next update from its peers.
 //
-// limit is the upstream's, daemons how many use it (this one too), peers what the
-// others had in flight by their last word, and own what this daemon had in flight
-// when that word was made. Not own now: what it started since is what the peers
-// don't know of either, and counted in, each of them would be granted more for it.
-// Sharer keeps the past counts.
+// limit is the concurrency limit of the upstream, daemons the number of daemons that use
+// it, including this one, and peers the number of requests that the others had in flight
+// according to their last update. own is the number of requests that this daemon had in
+// flight when that update was made, not the current number: the peers do not know of the
+// requests started since, so if these were included, every daemon would be allowed more
+// because of its own.
 //
-// Each daemon always has its even part of the limit, and of what was free then it
-// may take a part by what it had in flight itself: a training step runs at one
-// daemon, and the others, which have a few production requests, need little of
-// what is free. So, however late the news is:
-//   - daemons that start together overshoot by rounding only, less than one
-//     request each: own and peers together are the same sum for all of them, and
-//     the parts of what is free add up to it;
-//   - a lone busy daemon comes to the whole limit in a few rounds of news, and
-//     takes most of what ended since the last one again;
-//   - if some fill the limit while others are idle and then start, these take
-//     their even parts at once: less than twice the limit in flight (and rounding),
-//     until the first ones hear of it and start nothing new.
+// Each daemon may always use an equal share of the limit. In addition it may use a part of
+// the capacity that was free, in proportion to its own requests in flight: a training
+// step is run by one daemon, and the others, which have a few production
+// requests, need little of the free capacity. Therefore, regardless of the delay of the
+// updates:
+//   - Daemons that start at the same time exceed the limit only by rounding, by less than
+//     one request each, because the sum of own and peers is the same for all of them and
+//     their parts add up to the free capacity.
+//   - A single busy daemon reaches the whole limit in a few rounds of updates, and takes
+//     most of what was released since the last one again.
+//   - If some daemons use the whole limit while others are idle, and these then start,
+//     they use their equal shares at once. Less than twice the limit (and rounding) is
+//     then in flight until the former learn of it and start no more requests.
 func Share(limit, own, peers, daemons int) int {
-	return int(math.Ceil(ShareExact(limit, own, peers, daemons) - rounding))
+	return int(math.Ceil(ShareExact(limit, own, peers, daemons) - roundingError))
 }
 
-// ShareExact is Share before it is rounded up. Over a group of upstreams, the sum
-// of exact shares is to be rounded: 13 daemons that round up their parts of a limit
-// of 14 take 26.
+// ShareExact is Share before rounding up. For a group of upstreams, add up the exact
+// shares and round the sum: 13 daemons that each round up their share of a limit of 14
+// use 26.
 func ShareExact(limit, own, peers, daemons int) float64 {
 	if limit <= 0 {
 		return 0
 	}
 	daemons = max(1, daemons)
-	even := float64(limit) / float64(daemons)
+	equal := float64(limit) / float64(daemons)
 	own, peers = max(0, own), max(0, peers)
 	free := limit - own - peers
 	if free <= 0 {
-		return even
+		return equal
 	}
-	part := float64(free*(busyWeight*own+1)) / float64(busyWeight*(own+peers)+daemons)
-	return min(float64(limit), max(even, float64(own)+part))
+	part := float64(free*(inFlightWeight*own+1)) / float64(inFlightWeight*(own+peers)+daemons)
+	return min(float64(limit), max(equal, float64(own)+part))
 }
 
-// rounding absorbs the error of a quotient that should be whole.
-const rounding = 1e-9
+// roundingError is subtracted before rounding up, so that the floating-point error of a
+// quotient that should be an integer does not add a request.
+const roundingError = 1e-9
 
-// busyWeight is how much a request in flight counts against a daemon that merely
-// is there, when what is free is parted.
-const busyWeight = 4
+// inFlightWeight is the weight of a request in flight when free capacity is divided
+// between the daemons. Each daemon itself has a weight of 1.
+const inFlightWeight = 4
 
-// remembered is how many changes of own a Sharer keeps. For what came before, the
-// least of them stands: it grants least.
-const remembered = 64
+// historySize is the number of changes of own that are kept. For earlier times the lowest
+// of them is used, which allows the fewest requests.
+const historySize = 64
 
-// Sharer is one daemon's share at one upstream.
+// Sharer tracks the share of one daemon at one upstream. It keeps past numbers of the
+// daemon's requests in flight, which Share needs.
 type Sharer struct {
-	limit, own, peers, daemons int
+	limit, own, peers, daemons int // see Share
 
-	past [remembered]ownSample // ring, the newest at head
-	head int
-	kept int
+	history    [historySize]ownCount // ring buffer
+	newest     int                   // index of the newest element of history
+	historyLen int
 }
 
-type ownSample struct {
+// ownCount is the number of this daemon's requests in flight from a time on.
+type ownCount struct {
 	at  time.Time
 	own int
 }
 
-// Note records what this daemon has in flight now; call it at each change.
+// Note records the number of requests that this daemon has in flight. Call it whenever
+// that number changes.
 func (s *Sharer) Note(own int, now time.Time) {
-	if s.kept > 0 && !now.After(s.past[s.head].at) {
-		s.past[s.head].own = own
+	if s.historyLen > 0 && !now.After(s.history[s.newest].at) {
+		s.history[s.newest].own = own
 		return
 	}
-	s.head = (s.head + 1) % remembered
-	s.past[s.head] = ownSample{at: now, own: own}
-	s.kept = min(remembered, s.kept+1)
+	s.newest = (s.newest + 1) % historySize
+	s.history[s.newest] = ownCount{at: now, own: own}
+	s.historyLen = min(historySize, s.historyLen+1)
 }
 
-// Heard takes the peers' word, and what this daemon had in flight when it was
-// made. Own as of now will do while news is no later than one round of it; older
-// news raises the overshoot then by the part of a round for each round.
+// Heard records an update from the peers, and own, the number of requests that this
+// daemon had in flight when the update was made. The current number may be used while
+// updates are delayed by at most one round. With longer delays each further round then
+// adds the part of one round to the excess over the limit.
 func (s *Sharer) Heard(limit, own, peers, daemons int) {
 	s.limit, s.own, s.peers, s.daemons = limit, own, peers, daemons
 }
 
-// HeardAt is Heard with own as Note knows it from the time that the peers' word
-// was made. Of words made at several times, the earliest counts.
+// HeardAt records an update from the peers that was made at the given time, and takes own
+// from the numbers recorded for that time. If the peers made their updates at different
+// times, pass the earliest.
 func (s *Sharer) HeardAt(limit, peers, daemons int, made time.Time) {
-	s.Heard(limit, s.ownAt(made), peers, daemons)
+	s.Heard(limit, s.ownInFlightAt(made), peers, daemons)
 }
 
-// SetLimit changes the limit between two words.
+// SetLimit changes the limit between two updates.
 func (s *Sharer) SetLimit(limit int) { s.limit = limit }
 
-// Allowed returns how many this daemon may have in flight.
+// Allowed returns the number of requests that this daemon may have in flight.
 func (s *Sharer) Allowed() int { return Share(s.limit, s.own, s.peers, s.daemons) }
 
-// AllowedExact is Allowed before it is rounded up.
+// AllowedExact is Allowed before rounding up.
 func (s *Sharer) AllowedExact() float64 {
 	return ShareExact(s.limit, s.own, s.peers, s.daemons)
 }
 
-// ownAt returns what was in flight at a time, 0 if nothing is known.
-func (s *Sharer) ownAt(at time.Time) int {
-	if s.kept < remembered {
-		return s.newestBy(at, 0)
+// ownInFlightAt returns the number of this daemon's requests that were in flight at a
+// time, or 0 if it is unknown.
+func (s *Sharer) ownInFlightAt(at time.Time) int {
+	if s.historyLen < historySize {
+		return s.lastAtOrBefore(at, 0)
 	}
-	least := s.past[0].own
-	for _, sample := range s.past {
-		least = min(least, sample.own)
+	lowest := s.history[0].own
+	for _, count := range s.history {
+		lowest = min(lowest, count.own)
 	}
-	return s.newestBy(at, least)
+	return s.lastAtOrBefore(at, lowest)
 }
 
-// newestBy returns the newest count from no later than a time.
-func (s *Sharer) newestBy(at time.Time, otherwise int) int {
-	for n := range s.kept {
-		sample := s.past[(s.head-n+remembered)%remembered]
-		if !sample.at.After(at) {
-			return sample.own
+// lastAtOrBefore returns the number that was last recorded at or before a time, or
+// fallback if there is none.
+func (s *Sharer) lastAtOrBefore(at time.Time, fallback int) int {
+	for n := range s.historyLen {
+		count := s.history[(s.newest-n+historySize)%historySize]
+		if !count.at.After(at) {
+			return count.own
 		}
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/limits/share_test.go
+++ b/internal/limits/share_test.go
@@ -11,22 +11,23 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/limits"
 )
 
-// swarm is daemons that share one upstream and hear of each other late rounds
-// late.
-type swarm struct {
-	limit, late int
-	running     []int   // by daemon
-	past        [][]int // the same by round
-	rule        func(limit, own, peers, daemons int) int
+// cluster is a set of daemons that share one upstream and receive updates from each other
+// with a delay.
+type cluster struct {
+	limit, delay int     // requests, rounds
+	running      []int   // requests in flight by daemon
+	history      [][]int // running at the end of each round
+	rule         func(limit, own, peers, daemons int) int
 }
 
-// heard returns the newest word that reached a daemon, and its own count then.
-func (s *swarm) heard(daemon int) (own, peers int) {
-	at := len(s.past) - 1 - s.late
+// lastUpdate returns what the peers of a daemon had in flight according to the newest
+// update that it received, and what the daemon itself had in flight then.
+func (s *cluster) lastUpdate(daemon int) (own, peers int) {
+	at := len(s.history) - 1 - s.delay
 	if at < 0 {
 		return 0, 0
 	}
-	return s.past[at][daemon], sum(s.past[at]) - s.past[at][daemon]
+	return s.history[at][daemon], sum(s.history[at]) - s.history[at][daemon]
 }
 
 func sum(list []int) (total int) {
@@ -36,51 +37,53 @@
 	return total
 }
 
-// round lets some of what runs end, then each of the first busy daemons start all
-// it may, and returns what is in flight over all.
-func (s *swarm) round(ends, busy int) int {
+// round ends up to the given number of requests of each daemon. Then each of the first
+// busy daemons starts as many as it may. It returns the number of requests in flight over
+// all daemons.
+func (s *cluster) round(ends, busy int) int {
 	for d := range s.running {
 		s.running[d] -= min(ends, s.running[d])
 		if d < busy {
-			own, peers := s.heard(d)
+			own, peers := s.lastUpdate(d)
 			s.running[d] = max(s.running[d], s.rule(s.limit, own, peers, len(s.running)))
 		}
 	}
-	s.past = append(s.past, slices.Clone(s.running))
+	s.history = append(s.history, slices.Clone(s.running))
 	return sum(s.running)
 }
 
-// most runs 60 rounds in which all daemons want all they can get from the first.
-func most(daemons, late int, rule func(limit, own, peers, daemons int) int) (peak int) {
-	s := &swarm{limit: 32, late: late, running: make([]int, daemons), rule: rule}
+// peakInFlight returns the peak of the requests in flight over 60 rounds in which all
+// daemons start as many as they may, at a limit of 32.
+func peakInFlight(daemons, delay int, rule func(limit, own, peers, daemons int) int) (peak int) {
+	s := &cluster{limit: 32, delay: delay, running: make([]int, daemons), rule: rule}
 	for range 60 {
 		peak = max(peak, s.round(1, daemons))
 	}
 	return peak
 }
 
-// greedy takes all that looks free: the naive rule.
+// greedy uses all capacity that appears to be free.
 func greedy(limit, own, peers, _ int) int { return max(own, limit-peers) }
 
 var _ = Describe("sharing without a coordinator", func() {
-	// A step starts and every daemon sees an idle engine, since news of the others
-	// is a round old. All send their fill, and the engine's tokens crawl for
-	// everybody. Cause: each takes what looks free.
-	It("overshoots boundedly, whatever the delay", func() {
+	// A step starts and every daemon considers the engine idle, because the updates from
+	// the others are a round old. If each uses all capacity that appears to be free, the
+	// engine is overloaded and slow for all.
+	It("exceeds the limit by a bounded number at any delay", func() {
 		for _, daemons := range []int{2, 3, 4, 13} {
-			for late := range 5 {
+			for delay := range 5 {
 				bound := 32 + daemons
-				ours := most(daemons, late, limits.Share)
-				naive := most(daemons, late, greedy)
-				AddReportEntry(fmt.Sprintf("daemons %d, %d rounds late: peak %d, naive %d of 32", daemons, late, ours, naive))
-				Expect(ours).To(BeNumerically("<=", bound))
-				Expect(naive).To(BeNumerically(">", bound), "the check must catch the naive one")
+				share := peakInFlight(daemons, delay, limits.Share)
+				greedyPeak := peakInFlight(daemons, delay, greedy)
+				AddReportEntry(fmt.Sprintf("%d daemons, delay of %d rounds, limit 32: peak %d, greedy %d", daemons, delay, share, greedyPeak))
+				Expect(share).To(BeNumerically("<=", bound))
+				Expect(greedyPeak).To(BeNumerically(">", bound), "the greedy rule must fail this check")
 			}
 		}
 	})
 
-	It("lets a lone daemon have the whole limit, and latecomers their part", func() {
-		s := &swarm{limit: 32, late: 1, running: make([]int, 4), rule: limits.Share}
+	It("gives a single daemon the whole limit, and equal shares to those that start later", func() {
+		s := &cluster{limit: 32, delay: 1, running: make([]int, 4), rule: limits.Share}
 		total := 0
 		for range 30 {
 			total = s.round(0, 1)
@@ -94,15 +97,15 @@
 		Expect(s.running[3]).To(BeNumerically(">=", 7))
 	})
 
-	// A step begins at one daemon and its samples wait there, while the engines idle
-	// for a second or two: each round gave it an even part of what was free.
-	It("gives what is free to the daemon that is busy", func() {
-		even := func(limit, own, peers, daemons int) int {
+	// A step starts at one daemon. If each round gives that daemon only an equal part of
+	// the free capacity, its samples wait while the engines are idle for a second or two.
+	It("gives free capacity to the busy daemon", func() {
+		equalParts := func(limit, own, peers, daemons int) int {
 			free := max(0, limit-own-peers)
 			return max((limit+daemons-1)/daemons, own+(free+daemons-1)/daemons)
 		}
 		rounds := func(rule func(limit, own, peers, daemons int) int) int {
-			s := &swarm{limit: 32, running: make([]int, 8), rule: rule}
+			s := &cluster{limit: 32, running: make([]int, 8), rule: rule}
 			n := 1
 			for ; s.round(0, 1) < 30; n++ {
 				Expect(n).To(BeNumerically("<", 100))
@@ -110,12 +113,12 @@
 			return n
 		}
 		Expect(rounds(limits.Share)).To(BeNumerically("<=", 4))
-		Expect(rounds(even)).To(BeNumerically(">", 8), "the check must catch the even parts")
+		Expect(rounds(equalParts)).To(BeNumerically(">", 8), "equal parts must fail this check")
 	})
 
-	// Thirteen daemons each rounded up their part of a limit of 14, at nine engines,
-	// and an overload ran at twice the limit.
-	It("adds up to the limit before it is rounded", func() {
+	// Thirteen daemons each rounded up their share of a limit of 14 at nine engines, so
+	// that nearly twice the limit was in flight during an overload.
+	It("adds up to the limit before rounding", func() {
 		exact, rounded := 0.0, 0
 		for range 13 {
 			exact += limits.ShareExact(14, 0, 0, 13)
@@ -125,7 +128,7 @@
 		Expect(rounded).To(Equal(26))
 	})
 
-	It("counts from what it had when the word was made", func() {
+	It("uses the requests in flight when the update was made", func() {
 		var s limits.Sharer
 		at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 		s.HeardAt(32, 0, 4, at(0))
@@ -133,14 +136,14 @@
 		for n := range 8 {
 			s.Note(n+1, at(100+n))
 		}
-		Expect(s.Allowed()).To(Equal(8), "no news, no more")
+		Expect(s.Allowed()).To(Equal(8), "no update, no increase")
 		s.HeardAt(32, 0, 4, at(103))
 		Expect(s.Allowed()).To(Equal(4 + 24))
 		for n := range 100 {
 			s.Note(8+n%2, at(200+n))
 		}
 		s.HeardAt(32, 0, 4, at(103))
-		Expect(s.Allowed()).To(Equal(8+22), "so far back the least of what is remembered stands")
+		Expect(s.Allowed()).To(Equal(8+22), "the lowest recorded number is used for times before the history")
 		s.HeardAt(32, 40, 4, at(400))
 		Expect(s.Allowed()).To(Equal(8))
 		s.Heard(32, 8, 0, 4)
--- a/internal/limits/suite_test.go
+++ b/internal/limits/suite_test.go
@@ -27,10 +27,12 @@
 	rollout    = routing.ClassRollout
 )
 
+// start is the time at which every test begins.
 var start = time.Unix(1_700_000_000, 0)
 
 func rng(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 2)) }
 
+// randomEntry returns a random entry that arrives at the given time.
 func randomEntry(r *rand.Rand, ticket int, now time.Time) limits.Entry {
 	e := limits.Entry{
 		Ticket:    limits.Ticket(ticket),
@@ -48,7 +50,8 @@
 	return e
 }
 
-// admitter is what a session drives: the queue, or a naive one.
+// admitter is the interface of a Queue, also implemented by the alternatives that it is
+// compared with.
 type admitter interface {
 	SetTeam(ident.Team, float64, int)
 	SetCapacity(int, int)
@@ -58,8 +61,8 @@
 	Next(time.Time) ([]limits.Ticket, []limits.Expired)
 }
 
-// session drives a queue at random and writes down all that it says.
-func session(seed uint64, steps int, q admitter) string {
+// runSession performs random operations on a queue and returns a log of all results.
+func runSession(seed uint64, steps int, q admitter) string {
 	var out strings.Builder
 	r, now := rng(seed), start
 	var running []limits.Ticket
@@ -92,11 +95,11 @@
 	return out.String()
 }
 
-var _ = It("replays a session to the byte", func() {
-	play := func() string {
-		return session(1, 400, limits.NewQueue(limits.Options{ProductionReserve: 0.3, MaxQueue: 60}))
+var _ = It("returns identical output when a session is repeated", func() {
+	run := func() string {
+		return runSession(1, 400, limits.NewQueue(limits.Options{ProductionReserve: 0.3, MaxQueue: 60}))
 	}
-	got := play()
-	Expect(play()).To(Equal(got))
+	got := run()
+	Expect(run()).To(Equal(got))
 	golden.Expect("session.golden", got)
 })
