--- a/internal/scaling/model_test.go
+++ b/internal/scaling/model_test.go
@@ -11,69 +11,75 @@
 	. "github.com/onsi/gomega"
 )
 
-// A model of three trainers on one service, to compare ways of ordering servers without any
-// of the daemons' other decisions. Figures are those of a deployment with 48 servers:
-// steps of some 240 samples each 4 s, a seventh of which are many times as long as the
-// others; a token takes 0.632 ms and 0.0149 ms more for each sample beside; servers boot
-// for 4 s; spot servers cost 0.22 of the others, and are taken away a data centre at a time.
+// This file simulates three trainers that use one service, to compare policies for ordering
+// servers independently of the daemons' other decisions. The parameters are those of a
+// deployment with 48 servers: a step of about 240 samples every 4 s, of which a seventh are
+// many times as long as the others; 0.632 ms per token, and 0.0149 ms more for each other
+// sample on the server; 4 s to boot a server; spot servers at 0.22 of the regular price, which
+// are reclaimed for a whole data centre at a time.
 const (
-	tick        = 20 * time.Millisecond
-	horizon     = 60 * time.Second
-	stepEvery   = 4 * time.Second
-	trainTakes  = 700 * time.Millisecond
-	due         = 8200 * time.Millisecond
-	groupSize   = 16
-	eventTokens = 68
-	maxEvents   = 123
+	tick           = 20 * time.Millisecond
+	duration       = 60 * time.Second
+	stepInterval   = 4 * time.Second
+	trainingTime   = 700 * time.Millisecond  // on one step, after its samples
+	stepTimeLimit  = 8200 * time.Millisecond // for a step to count as in time
+	groupSize      = 16
+	tokensPerEvent = 68
+	maxEvents      = 123 // of a sample
 )
 
+// modelSample is a sample that waits or runs.
 type modelSample struct {
-	group  int
-	tokens float64 // left
+	group           int // within the step
+	remainingTokens float64
 }
 
+// modelServer is a server with its running samples.
 type modelServer struct {
-	dc    string
-	spot  bool
-	ready time.Duration
-	gone  time.Duration // 0: stays
-	slow  float64       // how many times longer a token takes
-	runs  []*modelSample
-	step  []*modelStep
+	dc        string
+	spot      bool
+	readyAt   time.Duration
+	removedAt time.Duration // 0 if it stays
+	slowdown  float64       // factor on the time per token
+	running   []*modelSample
+	steps     []*modelStep // of the samples in running
 }
 
+// modelStep is a step of one trainer.
 type modelStep struct {
-	began   time.Duration
-	waiting []*modelSample
-	open    map[int]int // samples left by group
-	groups  int
-	ended   time.Duration
+	startedAt  time.Duration
+	waiting    []*modelSample
+	unfinished map[int]int // number of unfinished samples by group
+	groups     int
+	endedAt    time.Duration // 0 while it runs
 }
 
-// wanted is how many groups a trainer waits for.
-func (s *modelStep) wanted() int { return int(math.Ceil(0.9 * float64(s.groups))) }
+// neededGroups returns the number of finished groups with which the step ends.
+func (s *modelStep) neededGroups() int { return int(math.Ceil(0.9 * float64(s.groups))) }
 
-// worldModel is the service and its trainers.
-type worldModel struct {
-	random   *rand.Rand
-	now      time.Duration
-	servers  []*modelServer
-	trainers [3][]*modelStep
-	cost     float64 // of servers, in seconds of a regular one
-	closed   map[string]time.Duration
+// serviceModel simulates the service and its trainers.
+type serviceModel struct {
+	random               *rand.Rand
+	now                  time.Duration
+	servers              []*modelServer
+	trainers             [3][]*modelStep // steps of each trainer
+	cost                 float64         // of all servers, in seconds of a regular one
+	spotUnavailableUntil map[string]time.Duration
 }
 
-func newModel(seed uint64) *worldModel {
-	w := &worldModel{random: rand.New(rand.NewPCG(seed, 11)), closed: map[string]time.Duration{}}
+// newModel returns a model with 16 regular servers in each of three data centres.
+func newModel(seed uint64) *serviceModel {
+	w := &serviceModel{random: rand.New(rand.NewPCG(seed, 11)), spotUnavailableUntil: map[string]time.Duration{}}
 	for _, dc := range []string{"a", "b", "c"} {
 		for range 16 {
-			w.servers = append(w.servers, &modelServer{dc: dc, slow: 1})
+			w.servers = append(w.servers, &modelServer{dc: dc, slowdown: 1})
 		}
 	}
 	return w
 }
 
-func (w *worldModel) events() float64 {
+// events returns a random number of events of a sample.
+func (w *serviceModel) events() float64 {
 	n := 17 * math.Exp(0.75*w.random.NormFloat64()-0.28)
 	if w.random.Float64() < 0.104 {
 		n *= 5
@@ -81,22 +87,24 @@
 	return min(maxEvents, max(1, n))
 }
 
-func (w *worldModel) newStep(groups int) *modelStep {
-	s := &modelStep{began: w.now, open: map[int]int{}, groups: groups}
+// newStep returns a step of random samples, longest first.
+func (w *serviceModel) newStep(groups int) *modelStep {
+	s := &modelStep{startedAt: w.now, unfinished: map[int]int{}, groups: groups}
 	for g := range groups {
 		for range groupSize {
-			s.open[g]++
-			s.waiting = append(s.waiting, &modelSample{group: g, tokens: eventTokens * w.events()})
+			s.unfinished[g]++
+			s.waiting = append(s.waiting, &modelSample{group: g, remainingTokens: tokensPerEvent * w.events()})
 		}
 	}
-	slices.SortFunc(s.waiting, func(a, b *modelSample) int { return cmp.Compare(b.tokens, a.tokens) })
+	slices.SortFunc(s.waiting, func(a, b *modelSample) int { return cmp.Compare(b.remainingTokens, a.remainingTokens) })
 	return s
 }
 
-func (w *worldModel) there() map[string]Servers {
+// currentServers returns the servers that are not leaving, by data centre.
+func (w *serviceModel) currentServers() map[string]Servers {
 	out := map[string]Servers{}
 	for _, s := range w.servers {
-		if s.gone > 0 {
+		if s.removedAt > 0 {
 			continue // leaving
 		}
 		x := out[s.dc]
@@ -110,96 +118,99 @@
 	return out
 }
 
-// order carries an order out: servers boot, or leave at once.
-func (w *worldModel) order(o Order) bool {
-	have := 0
+// execute carries out an order: servers start to boot, or are removed at once. It returns
+// false if no spot server is available.
+func (w *serviceModel) execute(o Order) bool {
+	existing := 0
 	for _, s := range w.servers {
-		if s.dc == o.DataCentre && s.spot == o.Spot && s.gone == 0 {
-			have++
+		if s.dc == o.DataCentre && s.spot == o.Spot && s.removedAt == 0 {
+			existing++
 		}
 	}
-	if o.Count > have && o.Spot && w.now < w.closed[o.DataCentre] {
+	if o.Count > existing && o.Spot && w.now < w.spotUnavailableUntil[o.DataCentre] {
 		return false
 	}
-	for ; have < o.Count; have++ {
-		w.servers = append(w.servers, &modelServer{dc: o.DataCentre, spot: o.Spot, ready: w.now + market.Boot, slow: 1})
+	for ; existing < o.Count; existing++ {
+		w.servers = append(w.servers, &modelServer{dc: o.DataCentre, spot: o.Spot, readyAt: w.now + market.Boot, slowdown: 1})
 	}
 	for _, s := range w.servers {
-		if have > o.Count && s.dc == o.DataCentre && s.spot == o.Spot && s.gone == 0 {
-			s.gone = w.now + tick
-			have--
+		if existing > o.Count && s.dc == o.DataCentre && s.spot == o.Spot && s.removedAt == 0 {
+			s.removedAt = w.now + tick
+			existing--
 		}
 	}
 	return true
 }
 
-// reclaim takes the spot servers of a data centre away after a notice; for ten seconds none
-// is to be had there.
-func (w *worldModel) reclaim(dc string) {
+// reclaim removes the spot servers of a data centre after a notice period. No spot server is
+// available there for ten seconds.
+func (w *serviceModel) reclaim(dc string) {
 	for _, s := range w.servers {
-		if s.dc == dc && s.spot && s.gone == 0 {
-			s.gone = w.now + 2500*time.Millisecond
+		if s.dc == dc && s.spot && s.removedAt == 0 {
+			s.removedAt = w.now + 2500*time.Millisecond
 		}
 	}
-	w.closed[dc] = w.now + 10*time.Second
+	w.spotUnavailableUntil[dc] = w.now + 10*time.Second
 }
 
-func (w *worldModel) run(p orderPolicy, trouble func(*worldModel)) {
+// run simulates the whole duration. fault is called at every tick.
+func (w *serviceModel) run(p orderPolicy, fault func(*serviceModel)) {
 	groups := [3]int{14, 16, 16}
-	for ; w.now < horizon; w.now += tick {
-		trouble(w)
-		p.act(w)
+	for ; w.now < duration; w.now += tick {
+		fault(w)
+		p.apply(w)
 		for i := range w.trainers {
-			if w.asks(i) {
+			if w.wantsStep(i) {
 				w.trainers[i] = append(w.trainers[i], w.newStep(groups[i]))
 			}
 		}
-		w.serve()
+		w.advance()
 	}
 }
 
-// asks reports whether a trainer asks for its next step: on its schedule, or later if it
-// hasn't trained on the step before the last one.
-func (w *worldModel) asks(i int) bool {
+// wantsStep reports whether a trainer requests its next step: at the step interval, or later
+// if it has not finished training on the step before the last one.
+func (w *serviceModel) wantsStep(i int) bool {
 	steps := w.trainers[i]
-	if w.now < time.Duration(len(steps))*stepEvery {
+	if w.now < time.Duration(len(steps))*stepInterval {
 		return false
 	}
 	if len(steps) < 2 {
 		return true
 	}
 	before := steps[len(steps)-2]
-	return before.ended > 0 && w.now >= before.ended+trainTakes
+	return before.endedAt > 0 && w.now >= before.endedAt+trainingTime
 }
 
-// serve places waiting samples and lets all servers work for a tick.
-func (w *worldModel) serve() {
+// advance removes servers, places waiting samples, and simulates all servers for one tick.
+func (w *serviceModel) advance() {
 	w.servers = slices.DeleteFunc(w.servers, func(s *modelServer) bool {
-		if s.gone == 0 || w.now < s.gone {
+		if s.removedAt == 0 || w.now < s.removedAt {
 			return false
 		}
-		for i, x := range s.runs { // they go on elsewhere
-			s.step[i].waiting = slices.Insert(s.step[i].waiting, 0, x)
+		for i, x := range s.running { // they resume on other servers
+			s.steps[i].waiting = slices.Insert(s.steps[i].waiting, 0, x)
 		}
 		return true
 	})
-	w.place()
+	w.placeSamples()
 	for _, s := range w.servers {
 		w.cost += price(s) * tick.Seconds()
-		if len(s.runs) == 0 {
+		if len(s.running) == 0 {
 			continue
 		}
-		perToken := (0.632 + 0.0149*float64(len(s.runs)-1)) * s.slow
+		perToken := (0.632 + 0.0149*float64(len(s.running)-1)) * s.slowdown
 		done := float64(tick) / float64(time.Millisecond) / perToken
-		for i := len(s.runs) - 1; i >= 0; i-- {
-			if s.runs[i].tokens -= done; s.runs[i].tokens <= 0 {
-				w.finished(s.step[i], s.runs[i].group)
-				s.runs, s.step = slices.Delete(s.runs, i, i+1), slices.Delete(s.step, i, i+1)
+		for i := len(s.running) - 1; i >= 0; i-- {
+			if s.running[i].remainingTokens -= done; s.running[i].remainingTokens <= 0 {
+				w.sampleEnded(s.steps[i], s.running[i].group)
+				s.running, s.steps = slices.Delete(s.running, i, i+1), slices.Delete(s.steps, i, i+1)
 			}
 		}
 	}
 }
 
+// price returns the price of a server relative to a regular one.
 func price(s *modelServer) float64 {
 	if s.spot {
 		return market.SpotPrice
@@ -207,185 +218,189 @@
 	return 1
 }
 
-// place starts samples, the longest first, each on the server with the fewest.
-func (w *worldModel) place() {
+// placeSamples starts waiting samples, longest first, each on the server with the lowest sum
+// of running samples and slowdown.
+func (w *serviceModel) placeSamples() {
 	for {
 		var step *modelStep
 		for _, steps := range w.trainers {
 			for _, s := range steps {
-				if s.ended == 0 && len(s.waiting) > 0 && (step == nil || s.waiting[0].tokens > step.waiting[0].tokens) {
+				if s.endedAt == 0 && len(s.waiting) > 0 && (step == nil || s.waiting[0].remainingTokens > step.waiting[0].remainingTokens) {
 					step = s
 				}
 			}
 		}
 		var best *modelServer
 		for _, s := range w.servers {
-			if w.now >= s.ready && s.gone == 0 && len(s.runs) < market.Slots && (best == nil || float64(len(s.runs))+s.slow < float64(len(best.runs))+best.slow) {
+			if w.now >= s.readyAt && s.removedAt == 0 && len(s.running) < market.Slots && (best == nil || float64(len(s.running))+s.slowdown < float64(len(best.running))+best.slowdown) {
 				best = s
 			}
 		}
 		if step == nil || best == nil {
 			return
 		}
-		best.runs, best.step = append(best.runs, step.waiting[0]), append(best.step, step)
+		best.running, best.steps = append(best.running, step.waiting[0]), append(best.steps, step)
 		step.waiting = step.waiting[1:]
 	}
 }
 
-func (w *worldModel) finished(s *modelStep, group int) {
-	s.open[group]--
-	if s.open[group] == 0 {
-		delete(s.open, group)
+// sampleEnded records that a sample ended. It ends the step if enough groups are finished.
+func (w *serviceModel) sampleEnded(s *modelStep, group int) {
+	s.unfinished[group]--
+	if s.unfinished[group] == 0 {
+		delete(s.unfinished, group)
 	}
-	if s.ended == 0 && s.groups-len(s.open) >= s.wanted() {
-		s.ended = w.now
-		s.waiting = nil // the trainer wants no more of it
+	if s.endedAt == 0 && s.groups-len(s.unfinished) >= s.neededGroups() {
+		s.endedAt = w.now
+		s.waiting = nil // the trainer needs no more samples
 	}
 }
 
-// inTime returns the steps that were whole when they were due, those that should have come,
-// and the mean time of those that ended.
-func (w *worldModel) inTime() (right, all int, mean time.Duration) {
+// results returns the number of steps that ended in time, the number expected, and the mean
+// time of those that ended.
+func (w *serviceModel) results() (inTime, expected int, mean time.Duration) {
 	ended := 0
 	for _, steps := range w.trainers {
-		all += 1 + int((horizon-due)/stepEvery)
+		expected += 1 + int((duration-stepTimeLimit)/stepInterval)
 		for _, s := range steps {
-			if s.began > horizon-due {
+			if s.startedAt > duration-stepTimeLimit {
 				continue
 			}
-			if s.ended > 0 {
+			if s.endedAt > 0 {
 				ended++
-				mean += s.ended - s.began
+				mean += s.endedAt - s.startedAt
 			}
-			if s.ended > 0 && s.ended-s.began <= due {
-				right++
+			if s.endedAt > 0 && s.endedAt-s.startedAt <= stepTimeLimit {
+				inTime++
 			}
 		}
 	}
-	return right, all, mean / time.Duration(max(1, ended))
+	return inTime, expected, mean / time.Duration(max(1, ended))
 }
 
-// orderPolicy decides what is ordered.
-type orderPolicy interface{ act(w *worldModel) }
+// orderPolicy decides which servers to order. apply is called at every tick.
+type orderPolicy interface{ apply(w *serviceModel) }
 
-// asFound orders nothing.
-type asFound struct{}
+// noOrders keeps the initial servers.
+type noOrders struct{}
 
-func (asFound) act(*worldModel) {}
+func (noOrders) apply(*serviceModel) {}
 
-// byPlan is the policy in force, with the places for each sample of a step scaled.
-type byPlan struct {
-	ledger *Ledger
-	factor float64
+// planned is the policy of this package, with the number of slots for each sample of a step
+// scaled by a factor.
+type planned struct {
+	planner        *Ledger
+	slotsPerSample float64
 }
 
-func (p *byPlan) act(w *worldModel) {
-	view := View{Now: w.now, There: w.there(), Samples: int(p.factor * 736)}
-	for _, o := range p.ledger.Decide(market, view) {
-		if w.order(o) {
-			p.ledger.Ordered(o, w.now)
+func (p *planned) apply(w *serviceModel) {
+	view := View{Now: w.now, There: w.currentServers(), Samples: int(p.slotsPerSample * 736)}
+	for _, o := range p.planner.Decide(market, view) {
+		if w.execute(o) {
+			p.planner.Ordered(o, w.now)
 		} else {
-			p.ledger.Refused(o.Key, w.now)
+			p.planner.Refused(o.Key, w.now)
 		}
 	}
 }
 
-// byUse orders more when most places are taken, and gives back what was idle for a while.
-type byUse struct{ busy, idle time.Duration }
+// utilisationBased orders more spot servers when most slots are taken, and releases some after
+// utilisation was low for a while.
+type utilisationBased struct{ grownAt, lowSince time.Duration }
 
-func (p *byUse) act(w *worldModel) {
-	places, used, waiting := 0, 0, 0
+func (p *utilisationBased) apply(w *serviceModel) {
+	slots, used, waiting := 0, 0, 0
 	for _, s := range w.servers {
-		places += market.Slots
-		used += len(s.runs)
+		slots += market.Slots
+		used += len(s.running)
 	}
 	for _, steps := range w.trainers {
 		for _, s := range steps {
 			waiting += len(s.waiting)
 		}
 	}
-	const high, low, longIdle = 0.8, 0.3, 10 * time.Second
-	switch part := float64(used+waiting) / float64(max(1, places)); {
-	case part > high && w.now-p.busy > market.Boot:
-		p.busy, p.idle = w.now, w.now
-		for dc, s := range w.there() {
-			w.order(Order{Key{dc, true}, min(market.Max-s.Regular, s.Spot+4)})
+	const high, low, lowTime = 0.8, 0.3, 10 * time.Second
+	switch utilisation := float64(used+waiting) / float64(max(1, slots)); {
+	case utilisation > high && w.now-p.grownAt > market.Boot:
+		p.grownAt, p.lowSince = w.now, w.now
+		for dc, s := range w.currentServers() {
+			w.execute(Order{Key{dc, true}, min(market.Max-s.Regular, s.Spot+4)})
 		}
-	case part > low:
-		p.idle = w.now
-	case w.now-p.idle > longIdle:
-		p.idle = w.now
-		for dc, s := range w.there() {
-			w.order(Order{Key{dc, true}, max(0, s.Spot-4)})
+	case utilisation > low:
+		p.lowSince = w.now
+	case w.now-p.lowSince > lowTime:
+		p.lowSince = w.now
+		for dc, s := range w.currentServers() {
+			w.execute(Order{Key{dc, true}, max(0, s.Spot-4)})
 		}
 	}
 }
 
-// at does something once at a time.
-func at(when time.Duration, do func(*worldModel)) func(*worldModel) {
-	return func(w *worldModel) {
+// atTime returns a fault that calls do once, at the given time.
+func atTime(when time.Duration, do func(*serviceModel)) func(*serviceModel) {
+	return func(w *serviceModel) {
 		if w.now == when {
 			do(w)
 		}
 	}
 }
 
-// share of the servers, chosen by chance.
-func (w *worldModel) share(part float64, do func(*modelServer)) {
+// forRandomServers calls do for each server with the given probability.
+func (w *serviceModel) forRandomServers(probability float64, do func(*modelServer)) {
 	for _, s := range w.servers {
-		if w.random.Float64() < part {
+		if w.random.Float64() < probability {
 			do(s)
 		}
 	}
 }
 
-// The ways to order servers, each under the same troubles and seeds. With a place for each
-// sample of a step, fewer steps are late than with the servers found, for a fifth more of
-// their cost; following the use orders too late and gives back too early. The table is
-// shown by go test -v -run Ways.
-func TestWaysOfOrderingServers(t *testing.T) {
-	troubles := []struct {
+// Compares order policies with the same faults and seeds. With one slot for each sample of a
+// step, fewer steps are late than with the initial servers only, at a fifth more of their
+// cost. A policy based on utilisation orders too late and releases too early. The table is
+// printed by go test -v -run OrderPolicies.
+func TestOrderPolicies(t *testing.T) {
+	faults := []struct {
 		name string
-		do   func(*worldModel)
+		do   func(*serviceModel)
 	}{
-		{"none", func(*worldModel) {}},
-		{"a fifth slow for 8 s", func(w *worldModel) {
-			at(20*time.Second, func(w *worldModel) { w.share(0.2, func(s *modelServer) { s.slow = 3.5 }) })(w)
-			at(28*time.Second, func(w *worldModel) { w.share(1, func(s *modelServer) { s.slow = 1 }) })(w)
+		{"none", func(*serviceModel) {}},
+		{"a fifth of the servers slow for 8 s", func(w *serviceModel) {
+			atTime(20*time.Second, func(w *serviceModel) { w.forRandomServers(0.2, func(s *modelServer) { s.slowdown = 3.5 }) })(w)
+			atTime(28*time.Second, func(w *serviceModel) { w.forRandomServers(1, func(s *modelServer) { s.slowdown = 1 }) })(w)
 		}},
-		{"a sixth lost for good", at(20*time.Second, func(w *worldModel) {
-			w.share(0.17, func(s *modelServer) { s.gone = w.now })
+		{"a sixth of the servers lost", atTime(20*time.Second, func(w *serviceModel) {
+			w.forRandomServers(0.17, func(s *modelServer) { s.removedAt = w.now })
 		})},
-		{"spot servers of a data centre taken away, twice", func(w *worldModel) {
-			at(20*time.Second, func(w *worldModel) { w.reclaim("a") })(w)
-			at(36*time.Second, func(w *worldModel) { w.reclaim("c") })(w)
+		{"spot servers of a data centre reclaimed, twice", func(w *serviceModel) {
+			atTime(20*time.Second, func(w *serviceModel) { w.reclaim("a") })(w)
+			atTime(36*time.Second, func(w *serviceModel) { w.reclaim("c") })(w)
 		}},
 	}
-	ways := []struct {
+	policies := []struct {
 		name string
 		new  func() orderPolicy
 	}{
-		{"as found", func() orderPolicy { return asFound{} }},
-		{"by use", func() orderPolicy { return &byUse{} }},
-		{"by plan, 1 place a sample", func() orderPolicy { return &byPlan{NewLedger(), 1} }},
-		{"by plan, 0.75", func() orderPolicy { return &byPlan{NewLedger(), 0.75} }},
-		{"by plan, 1.6", func() orderPolicy { return &byPlan{NewLedger(), 1.6} }},
+		{"no orders", func() orderPolicy { return noOrders{} }},
+		{"by utilisation", func() orderPolicy { return &utilisationBased{} }},
+		{"planned, 1 slot a sample", func() orderPolicy { return &planned{NewLedger(), 1} }},
+		{"planned, 0.75", func() orderPolicy { return &planned{NewLedger(), 0.75} }},
+		{"planned, 1.6", func() orderPolicy { return &planned{NewLedger(), 1.6} }},
 	}
 	g := NewWithT(t)
-	for _, trouble := range troubles {
+	for _, fault := range faults {
 		late := map[string]int{}
-		for _, way := range ways {
-			right, all, mean, cost := 0, 0, time.Duration(0), 0.0
+		for _, policy := range policies {
+			inTime, expected, mean, cost := 0, 0, time.Duration(0), 0.0
 			const seeds = 6
 			for seed := range uint64(seeds) {
 				w := newModel(seed)
-				w.run(way.new(), trouble.do)
-				r, a, m := w.inTime()
-				right, all, mean, cost = right+r, all+a, mean+m/seeds, cost+w.cost/seeds
+				w.run(policy.new(), fault.do)
+				i, e, m := w.results()
+				inTime, expected, mean, cost = inTime+i, expected+e, mean+m/seeds, cost+w.cost/seeds
 			}
-			late[way.name] = all - right
-			t.Logf("%-48s %-26s %3d of %3d steps in time, mean %v, cost %4.0f", trouble.name, way.name, right, all, mean.Round(10*time.Millisecond), cost)
+			late[policy.name] = expected - inTime
+			t.Logf("%-48s %-26s %3d of %3d steps in time, mean %v, cost %4.0f", fault.name, policy.name, inTime, expected, mean.Round(10*time.Millisecond), cost)
 		}
-		g.Expect(late["by plan, 1 place a sample"]).To(BeNumerically("<=", late["as found"]), trouble.name)
+		g.Expect(late["planned, 1 slot a sample"]).To(BeNumerically("<=", late["no orders"]), fault.name)
 	}
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,12 +1,14 @@
-// Package scaling decides how many servers of a service are wanted in each data centre, and
-// of which kind. It is pure: what is there, what is asked for and time go in, orders come
-// out. Not safe for concurrent use.
+// Package scaling decides how many servers of a service to run in each data centre, and
+// whether they are regular or spot servers. It is deterministic: the current servers, the
+// demand and the time are passed in, and orders are returned. Not safe for concurrent use.
 //
-// What decides is the samples of a step, which are wanted all at once, and not how many run
-// in the mean: between the starts of two steps most places are free, and a server ordered
-// when a step begins boots for as long as steps are apart. So the servers for a step's start
-// are there all the time. Those beyond the ones found are spot servers, at a part of the
-// price: a sample whose server is taken away goes on elsewhere behind its last event.
+// The number of servers follows from the samples of one step, which are all requested at
+// once, and not from the mean number of running samples. Between the starts of two steps
+// most slots are free, but a server ordered when a step starts takes as long to boot as the
+// time between steps. Therefore the servers needed at the start of a step are kept at all
+// times. The ones needed in addition to the regular servers are spot servers, which cost a
+// fraction of the price: a sample whose server is reclaimed resumes elsewhere after its last
+// event.
 package scaling
 
 import (
@@ -15,65 +17,73 @@
 	"time"
 )
 
-// Market is what may be ordered for a service.
+// Market describes which servers may be ordered for a service.
 type Market struct {
-	Min, Max int           // servers of a data centre, both kinds together
-	Boot     time.Duration // from an order until its servers serve
-	// SpotPrice is a spot server's price as a part of a regular one's; 0: there are none.
+	Min, Max int           // servers per data centre, regular and spot together
+	Boot     time.Duration // time from an order until the servers are ready
+	// SpotPrice is the price of a spot server as a fraction of that of a regular one, 0 if
+	// there are no spot servers.
 	SpotPrice float64
-	// Prices of a regular server, by data centre. Servers can be ordered in these.
+	// Prices holds the price of a regular server by data centre. Servers can be ordered in
+	// these data centres only.
 	Prices map[string]float64
-	Slots  int // samples that a server runs at once
+	Slots  int // samples that a server runs concurrently
 }
 
-// Servers are a service's servers in one data centre that aren't leaving.
+// Servers holds the numbers of servers of a service in one data centre, without those that
+// are leaving.
 type Servers struct{ Regular, Spot int }
 
-// Key is what one order is about.
+// Key identifies the servers that an order applies to: those of one kind in one data centre.
 type Key struct {
 	DataCentre string `cbor:"1,keyasint"`
 	Spot       bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// Order asks for so many servers of a kind in a data centre, those there included.
+// Order sets the total number of servers of one kind in a data centre, including the
+// existing ones.
 type Order struct {
 	Key
 	Count int `cbor:"3,keyasint"`
 }
 
-// View is what is known when it is looked what to order.
+// View is the state of a service that a decision is based on.
 type View struct {
-	Now   time.Duration
-	There map[string]Servers // by data centre
-	// Samples of one batch of each model of the service together, 0 unknown.
+	Now   time.Duration      // only differences between times matter
+	There map[string]Servers // current servers by data centre
+	// Samples is the number of samples in one batch of each model of the service, added up;
+	// 0 if unknown.
 	Samples int
 }
 
 const (
-	// roomForStep is how many places there are for each sample of a step. With a place for
-	// each, all of a step's samples begin at once, and the longest one, which ends the step,
-	// shares its server with fewer others.
-	roomForStep = 1.0
-	// bootMargin is added to the boot time before servers that don't show count as lost:
-	// their entries are read some hundred ms later.
+	// slotsPerSample is the number of slots for each sample of a step. With one slot for each,
+	// all samples of a step start at once, and the longest one, which determines when the
+	// step ends, shares its server with fewer others.
+	slotsPerSample = 1.0
+	// bootMargin is added to the boot time before ordered servers that have not appeared are
+	// considered lost. The entry of a new server is read some hundred ms after it is ready.
 	bootMargin = 2 * time.Second
-	// refusedPause follows an order of which none was available; a data centre whose spot
-	// servers were taken back has none for some ten seconds.
-	refusedPause = 3 * time.Second
-	// spare is the part of the wanted servers that may be too many before some are given
-	// back: batches vary, and a server that comes back costs its boot time.
-	spare = 0.15
+	// unavailableBackoff is the time for which a data centre is not used after an order for
+	// which no server was available. A data centre whose spot servers were reclaimed has none
+	// for about ten seconds.
+	unavailableBackoff = 3 * time.Second
+	// maxSurplus is the number of surplus servers, as a fraction of those needed, up to which
+	// none is released. The size of batches varies, and a server that is ordered again takes
+	// its boot time.
+	maxSurplus = 0.15
 )
 
-// Wanted is how many servers a step's samples take.
-func (m Market) Wanted(samples int) int {
+// ServersNeeded returns the number of servers for the samples of a step.
+func (m Market) ServersNeeded(samples int) int {
 	if m.Slots <= 0 {
 		return 0
 	}
-	return ceil(roomForStep*float64(samples), float64(m.Slots))
+	return ceilDiv(slotsPerSample*float64(samples), float64(m.Slots))
 }
 
-func ceil(a, b float64) int {
+// ceilDiv returns a / b, rounded up.
+func ceilDiv(a, b float64) int {
 	n := int(a / b)
 	if float64(n)*b < a {
 		n++
@@ -81,71 +91,74 @@
 	return n
 }
 
-// Ledger remembers orders, whoever gave them.
+// Ledger records the orders of all daemons and decides on new ones.
 type Ledger struct {
-	orders  map[Key]placed
-	refused map[Key]time.Duration // when none was available
+	orders        map[Key]placedOrder
+	unavailableAt map[Key]time.Duration // time of the last order for which no server was available
 }
 
-type placed struct {
-	count int
-	at    time.Duration
+// placedOrder is the last order for servers of one kind in one data centre.
+type placedOrder struct {
+	count     int
+	orderedAt time.Duration
 }
 
-// NewLedger returns a ledger without orders.
+// NewLedger starts without recorded orders.
 func NewLedger() *Ledger {
-	return &Ledger{orders: map[Key]placed{}, refused: map[Key]time.Duration{}}
+	return &Ledger{orders: map[Key]placedOrder{}, unavailableAt: map[Key]time.Duration{}}
 }
 
-// Ordered notes an order that was given, or may have been.
+// Ordered records an order that was carried out, or may have been.
 func (l *Ledger) Ordered(o Order, at time.Duration) {
-	l.orders[o.Key] = placed{o.Count, at}
-	delete(l.refused, o.Key)
+	l.orders[o.Key] = placedOrder{o.Count, at}
+	delete(l.unavailableAt, o.Key)
 }
 
-// Last returns how many servers were ordered last.
+// Last returns the number of servers in the last order, and false if there was none.
 func (l *Ledger) Last(k Key) (count int, ok bool) {
 	o, ok := l.orders[k]
 	return o.count, ok
 }
 
-// Refused notes that none was available.
-func (l *Ledger) Refused(k Key, at time.Duration) { l.refused[k] = at }
+// Refused records that no server was available for an order.
+func (l *Ledger) Refused(k Key, at time.Duration) { l.unavailableAt[k] = at }
 
-// Decide returns the orders to give now, by data centre. Regular servers are left as they
-// are.
+// Decide returns the orders to give now, sorted by data centre. It only changes the number of
+// spot servers.
 //
-// Spot servers are spread so that the data centres have equally many servers: all spot
-// servers of one are taken away at once. What one has no room for, or has none of now, the
-// others take, and keep. Servers that are lost are ordered again.
+// Spot servers are distributed so that all data centres have the same number of servers,
+// because all spot servers of a data centre may be reclaimed at once. Servers that a data
+// centre cannot provide, because of its maximum or because none is available, are ordered in
+// the others and stay there. Lost servers are ordered again.
 func (l *Ledger) Decide(m Market, v View) []Order {
 	if m.SpotPrice <= 0 || v.Samples <= 0 {
 		return nil
 	}
-	held := l.held(m, v)
-	wanted := maps.Clone(held)
-	missing := m.Wanted(v.Samples) - total(held)
+	current := l.currentOrPending(m, v)
+	target := maps.Clone(current)
+	missing := m.ServersNeeded(v.Samples) - totalServers(current)
 	switch {
 	case missing > 0:
-		l.grow(m, v, wanted, missing)
-	case float64(-missing) > spare*float64(m.Wanted(v.Samples)):
-		shrink(wanted, -missing)
+		l.addSpot(m, v, target, missing)
+	case float64(-missing) > maxSurplus*float64(m.ServersNeeded(v.Samples)):
+		removeSpot(target, -missing)
 	}
-	var out []Order
-	for _, dc := range slices.Sorted(maps.Keys(wanted)) {
-		if wanted[dc] != held[dc] {
-			out = append(out, Order{Key{dc, true}, wanted[dc].Spot})
+	var orders []Order
+	for _, dc := range slices.Sorted(maps.Keys(target)) {
+		if target[dc] != current[dc] {
+			orders = append(orders, Order{Key{dc, true}, target[dc].Spot})
 		}
 	}
-	return out
+	return orders
 }
 
-// held returns the servers that are there or on their way.
-func (l *Ledger) held(m Market, v View) map[string]Servers {
+// currentOrPending returns the servers of each data centre, including ordered ones that are
+// still booting.
+func (l *Ledger) currentOrPending(m Market, v View) map[string]Servers {
 	out := map[string]Servers{}
 	for dc := range m.Prices {
 		s := v.There[dc]
-		if last, ok := l.orders[Key{dc, true}]; ok && v.Now-last.at < m.Boot+bootMargin {
+		if last, ok := l.orders[Key{dc, true}]; ok && v.Now-last.orderedAt < m.Boot+bootMargin {
 			s.Spot = last.count
 		}
 		out[dc] = s
@@ -153,57 +166,62 @@
 	return out
 }
 
-func total(servers map[string]Servers) int {
+// totalServers returns the number of servers in all data centres.
+func totalServers(servers map[string]Servers) int {
 	n := 0
 	for _, s := range servers {
-		n += s.all()
+		n += s.total()
 	}
 	return n
 }
 
-func (s Servers) all() int { return s.Regular + s.Spot }
+// total returns the number of regular and spot servers.
+func (s Servers) total() int { return s.Regular + s.Spot }
 
-// grow adds spot servers, one at a time to the data centre with the fewest servers.
-func (l *Ledger) grow(m Market, v View, servers map[string]Servers, missing int) {
+// addSpot adds spot servers one by one, each to the data centre with the fewest servers that
+// has capacity.
+func (l *Ledger) addSpot(m Market, v View, servers map[string]Servers, missing int) {
 	for ; missing > 0; missing-- {
-		next := ""
+		target := ""
 		for _, dc := range slices.Sorted(maps.Keys(servers)) {
-			if servers[dc].all() >= m.Max || l.closed(dc, v.Now) {
+			if servers[dc].total() >= m.Max || l.recentlyUnavailable(dc, v.Now) {
 				continue
 			}
-			if next == "" || servers[dc].all() < servers[next].all() {
-				next = dc
+			if target == "" || servers[dc].total() < servers[target].total() {
+				target = dc
 			}
 		}
-		if next == "" {
+		if target == "" {
 			return
 		}
-		s := servers[next]
+		s := servers[target]
 		s.Spot++
-		servers[next] = s
+		servers[target] = s
 	}
 }
 
-// closed reports whether a data centre had no spot server a moment ago.
-func (l *Ledger) closed(dc string, now time.Duration) bool {
-	at, refused := l.refused[Key{dc, true}]
-	return refused && now-at < refusedPause
+// recentlyUnavailable reports whether an order of spot servers in a data centre found none
+// available within unavailableBackoff.
+func (l *Ledger) recentlyUnavailable(dc string, now time.Duration) bool {
+	at, unavailable := l.unavailableAt[Key{dc, true}]
+	return unavailable && now-at < unavailableBackoff
 }
 
-// shrink takes spot servers away, one at a time from the data centre with the most of them.
-func shrink(servers map[string]Servers, surplus int) {
+// removeSpot removes spot servers one by one, each from the data centre with the most spot
+// servers.
+func removeSpot(servers map[string]Servers, surplus int) {
 	for ; surplus > 0; surplus-- {
-		next := ""
+		target := ""
 		for _, dc := range slices.Sorted(maps.Keys(servers)) {
-			if servers[dc].Spot > 0 && (next == "" || servers[dc].Spot > servers[next].Spot) {
-				next = dc
+			if servers[dc].Spot > 0 && (target == "" || servers[dc].Spot > servers[target].Spot) {
+				target = dc
 			}
 		}
-		if next == "" {
+		if target == "" {
 			return
 		}
-		s := servers[next]
+		s := servers[target]
 		s.Spot--
-		servers[next] = s
+		servers[target] = s
 	}
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -10,8 +10,9 @@
 
 var market = Market{Min: 1, Max: 32, Boot: 4 * time.Second, SpotPrice: 0.22, Prices: map[string]float64{"a": 1, "b": 0.8, "c": 1.25}, Slots: 8}
 
-// fleet is so many regular and spot servers in each data centre.
-func fleet(regular int, spot ...int) map[string]Servers {
+// serversOf returns data centres a, b and c with the given number of regular servers each
+// and of spot servers in this order.
+func serversOf(regular int, spot ...int) map[string]Servers {
 	out := map[string]Servers{}
 	for i, dc := range []string{"a", "b", "c"} {
 		s := Servers{Regular: regular}
@@ -34,28 +35,28 @@
 		samples int
 		want    []Order
 	}{
-		{"nothing known of the samples", nil, nil, fleet(16), 0, nil},
-		{"no spot servers on offer", func(m *Market) { m.SpotPrice = 0 }, nil, fleet(16), 736, nil},
-		{"enough are there", nil, nil, fleet(16), 384, nil},
-		{"a step wants more", nil, nil, fleet(16), 736, []Order{spotOrder("a", 15), spotOrder("b", 15), spotOrder("c", 14)}},
-		{"no more than may be ordered", nil, nil, fleet(16), 5000, []Order{spotOrder("a", 16), spotOrder("b", 16), spotOrder("c", 16)}},
-		{"a data centre without regular servers gets more", nil, nil, map[string]Servers{"a": {Regular: 10}, "b": {Regular: 10}}, 240,
+		{"the number of samples is unknown", nil, nil, serversOf(16), 0, nil},
+		{"there are no spot servers", func(m *Market) { m.SpotPrice = 0 }, nil, serversOf(16), 736, nil},
+		{"there are enough servers", nil, nil, serversOf(16), 384, nil},
+		{"a step needs more servers", nil, nil, serversOf(16), 736, []Order{spotOrder("a", 15), spotOrder("b", 15), spotOrder("c", 14)}},
+		{"a step needs more than the maximum", nil, nil, serversOf(16), 5000, []Order{spotOrder("a", 16), spotOrder("b", 16), spotOrder("c", 16)}},
+		{"a data centre without regular servers gets more spot servers", nil, nil, map[string]Servers{"a": {Regular: 10}, "b": {Regular: 10}}, 240,
 			[]Order{spotOrder("c", 10)}},
-		{"ordered a moment ago", nil, func(l *Ledger) {
+		{"the servers were ordered and may still be booting", nil, func(l *Ledger) {
 			for _, dc := range []string{"a", "b", "c"} {
 				l.Ordered(spotOrder(dc, 15), 8*time.Second)
 			}
-		}, fleet(16), 736, nil},
-		{"ordered, and they never came", nil, func(l *Ledger) { l.Ordered(spotOrder("a", 15), time.Second) }, fleet(16, 0, 15, 15), 736,
+		}, serversOf(16), 736, nil},
+		{"ordered servers did not appear in time", nil, func(l *Ledger) { l.Ordered(spotOrder("a", 15), time.Second) }, serversOf(16, 0, 15, 15), 736,
 			[]Order{spotOrder("a", 14)}},
-		{"a data centre's were taken away", nil, nil, fleet(16, 15, 0, 14), 736, []Order{spotOrder("b", 15)}},
-		{"and none is to be had there", nil, func(l *Ledger) { l.Refused(Key{"b", true}, 9*time.Second) }, fleet(16, 15, 0, 14), 736,
+		{"the spot servers of a data centre were reclaimed", nil, nil, serversOf(16, 15, 0, 14), 736, []Order{spotOrder("b", 15)}},
+		{"they were reclaimed and none is available there", nil, func(l *Ledger) { l.Refused(Key{"b", true}, 9*time.Second) }, serversOf(16, 15, 0, 14), 736,
 			[]Order{spotOrder("a", 16), spotOrder("c", 16)}},
-		{"the refusal is old", nil, func(l *Ledger) { l.Refused(Key{"b", true}, time.Second) }, fleet(16, 15, 0, 14), 736,
+		{"none was available there, but the backoff has passed", nil, func(l *Ledger) { l.Refused(Key{"b", true}, time.Second) }, serversOf(16, 15, 0, 14), 736,
 			[]Order{spotOrder("b", 15)}},
-		{"regular servers were lost", nil, nil, fleet(8), 384, []Order{spotOrder("a", 8), spotOrder("b", 8), spotOrder("c", 8)}},
-		{"a few too many", nil, nil, fleet(16, 2, 2, 2), 384, nil},
-		{"far too many", nil, nil, fleet(16, 15, 15, 14), 400, []Order{spotOrder("a", 0), spotOrder("b", 1), spotOrder("c", 1)}},
+		{"regular servers were lost", nil, nil, serversOf(8), 384, []Order{spotOrder("a", 8), spotOrder("b", 8), spotOrder("c", 8)}},
+		{"the surplus is small", nil, nil, serversOf(16, 2, 2, 2), 384, nil},
+		{"the surplus is large", nil, nil, serversOf(16, 15, 15, 14), 400, []Order{spotOrder("a", 0), spotOrder("b", 1), spotOrder("c", 1)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, l := market, NewLedger()
@@ -70,10 +71,10 @@
 	}
 }
 
-// Whatever is there and was ordered: no order is above the market's bound, none takes a
-// server away that the samples want, and once all orders are carried out none follows, so
-// that orders don't go back and forth.
-func TestOrdersSettle(t *testing.T) {
+// For random servers and orders: no order exceeds the maximum of a data centre, no order
+// removes a server that the samples need, and no order follows once all are carried out, so
+// that orders do not alternate.
+func TestOrdersConverge(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 2000 {
@@ -86,7 +87,7 @@
 			}
 		}
 		view := View{Now: 10 * time.Second, There: there, Samples: random.IntN(1000)}
-		before := total(there)
+		before := totalServers(there)
 		for _, o := range l.Decide(m, view) {
 			g.Expect(o.Count + there[o.DataCentre].Regular).To(BeNumerically("<=", m.Max))
 			g.Expect(o.Count).To(BeNumerically(">=", 0))
@@ -96,8 +97,8 @@
 			l.Ordered(o, view.Now)
 		}
 		g.Expect(l.Decide(m, view)).To(BeEmpty())
-		if after := total(there); after < before {
-			g.Expect(after).To(BeNumerically(">=", m.Wanted(view.Samples)))
+		if after := totalServers(there); after < before {
+			g.Expect(after).To(BeNumerically(">=", m.ServersNeeded(view.Samples)))
 		}
 	}
 }
