--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -109,8 +109,8 @@
 		return RefuseTeamFull
 	}
 	// A full queue still accepts entries of a team below its equal share, so that a
-	// team which fills the queue does not exclude the others. The queue never holds more
-	// than 2*MaxQueue entries.
+	// team which fills the queue does not exclude the others. With up to three teams the
+	// queue holds at most 2*MaxQueue entries; with more teams it may hold more.
 	if len(q.entries) >= q.options.MaxQueue && t.queued() >= q.options.MaxQueue/q.countActiveTeams(t) {
 		return RefuseFull
 	}
--- a/internal/limits/share.go
+++ b/internal/limits/share.go
@@ -16,10 +16,9 @@
 // because of its own.
 //
 // Each daemon may always use an equal share of the limit. In addition it may use a part of
-// the capacity that was free, in proportion to its own requests in flight: a training
-// step is run by one daemon, and the others, which have a few production
-// requests, need little of the free capacity. Therefore, regardless of the delay of the
-// updates:
+// the capacity that was free, in proportion to its own requests in flight: a training step
+// is run by one daemon, and the others, which have a few production requests, need little
+// of the free capacity. Therefore, regardless of the delay of the updates:
 //   - Daemons that start at the same time exceed the limit only by rounding, by less than
 //     one request each, because the sum of own and peers is the same for all of them and
 //     their parts add up to the free capacity.
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -77,8 +77,7 @@
 	Weight float64
 	// Limit is the concurrency limit in requests, 0 if unknown.
 	Limit int
-	// Own and Peers are the numbers of requests in flight from this daemon and from
-	// the other daemons.
+	// Numbers of requests in flight from this daemon and from the other daemons.
 	Own, Peers int
 	// ReportedRunning and ReportedQueued are the requests that the upstream counted
 	// in its last load report, which arrives with a delay.
