--- a/internal/gateway/course.go
+++ b/internal/gateway/course.go
@@ -2,54 +2,57 @@
 
 import "github.com/dogwoodflow/dogwoodflow/internal/retry"
 
-// course is what the next step of a stream depends on. It does no I/O.
+// streamState decides how a stream continues after each send. It does no I/O.
 //
-// Invariants: a stream that may not be resumed runs at most once; after the caller
-// has the header no other answer can follow, so the stream goes on or breaks off.
-type course struct {
-	rule    retry.Rule
-	sends   retry.Sends
-	started bool  // the caller has the answer's header
-	after   int   // ID of the last event passed on
-	version int64 // of the weights that made it, 0: unknown
+// Invariants: a stream that is not resumable runs at most once; once the response header
+// has been sent to the caller no other response can replace it, so the stream is either
+// resumed or aborted.
+type streamState struct {
+	rule          retry.Rule
+	sends         retry.Sends
+	headerSent    bool  // the caller has the response header
+	lastEventID   int   // ID of the last event forwarded to the caller, 0: none
+	weightVersion int64 // model weight version that produced that event, 0: unknown
 }
 
-type streamStep int
+// streamAction is what to do after a send.
+type streamAction int
 
 const (
-	sendOn      streamStep = iota // to another upstream, from the event behind after
-	refuseClean                   // "not run": no upstream can have run it
-	giveUp                        // it may have run: an answer that promises nothing
-	breakOff                      // end the caller's connection, so that the stream doesn't look whole
+	tryNextUpstream streamAction = iota // send to another upstream, resuming after lastEventID
+	refuseNotRun                        // report "not run": certainly no upstream ran the request
+	failMayHaveRun                      // fail without claiming "not run": an upstream may have run the request
+	abortStream                         // close the caller's connection, so that the stream does not look complete
 )
 
-// afterFailure takes the end of a send that brought no whole stream.
-func (c *course) afterFailure(mayHaveRun bool) streamStep {
+// actionAfterFailure returns the action after a send that did not complete the stream.
+// mayHaveRun is false only if the upstream certainly did not run the request.
+func (s *streamState) actionAfterFailure(mayHaveRun bool) streamAction {
 	if !mayHaveRun {
-		c.sends.NotRun()
+		s.sends.NotRun()
 	}
-	if c.rule.Forbids(c.sends) == retry.None {
-		return sendOn
+	if s.rule.Forbids(s.sends) == retry.None {
+		return tryNextUpstream
 	}
-	return c.afterLast()
+	return s.finalAction()
 }
 
-// afterLast is the step when no other upstream may or can be asked.
-func (c *course) afterLast() streamStep {
+// finalAction returns the action when no further upstream may be used or none is left.
+func (s *streamState) finalAction() streamAction {
 	switch {
-	case c.started:
-		return breakOff
-	case c.sends.Runs == 0:
-		return refuseClean
+	case s.headerSent:
+		return abortStream
+	case s.sends.Runs == 0:
+		return refuseNotRun
 	default:
-		return giveUp
+		return failMayHaveRun
 	}
 }
 
-// passed counts an event that the caller got.
-func (c *course) passed(e Event) {
-	c.after = e.ID
+// recordEvent notes an event that was forwarded to the caller.
+func (s *streamState) recordEvent(e Event) {
+	s.lastEventID = e.ID
 	if e.Version != 0 {
-		c.version = e.Version
+		s.weightVersion = e.Version
 	}
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -10,48 +10,52 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream/exchange"
 )
 
-// Crashes knows which requests crash the upstreams that run them.
-type Crashes interface {
-	// Blocked reports whether a request has crashed too many upstreams to be sent.
+// CrashTracker records which requests crash the upstreams that run them.
+type CrashTracker interface {
+	// Blocked reports whether a request has crashed so many upstreams that it must not be
+	// sent.
 	Blocked(request poison.Fingerprint) bool
-	// Crashed notes that an upstream crashed while it ran a request.
+	// Crashed records that an upstream, named by its incarnation, crashed while it ran a
+	// request.
 	Crashed(ctx context.Context, request poison.Fingerprint, upstream string)
-	// Succeeded clears a request.
+	// Succeeded drops all crashes recorded for a request.
 	Succeeded(ctx context.Context, request poison.Fingerprint)
 }
 
 const (
-	// crashComeBack is told to the caller of a request that isn't sent any more.
-	crashComeBack = time.Second
-	// crashCheckDelay passes before an upstream that broke off is looked at. A crashed
-	// one is away for seconds; the delay also lets a request that succeeds elsewhere at
-	// once clear itself before anything is recorded.
+	// retryAfterCrash is the Retry-After time of requests that are blocked.
+	retryAfterCrash = time.Second
+	// crashCheckDelay is the time between a broken connection and the check whether the
+	// upstream crashed. A crashed upstream is down for seconds, so the check still finds
+	// it down. Meanwhile a request that succeeds on a retry shows that it is harmless, and
+	// no crash is recorded for it.
 	crashCheckDelay = 300 * time.Millisecond
-	// crashCheckTimeout bounds the look and its record.
+	// crashCheckTimeout bounds the check and the recording of a crash together.
 	crashCheckTimeout = 3 * time.Second
 )
 
-// fingerprint names a request by what it asks, whoever asks and under whatever ID.
-func (c *Call) fingerprint() poison.Fingerprint {
+// computeFingerprint identifies a request by its host, method, target and body,
+// independent of the caller and of the call's ID.
+func (c *Call) computeFingerprint() poison.Fingerprint {
 	return poison.FingerprintOf(c.Host, c.Method, c.Target, string(c.Body))
 }
 
-// admit refuses a request that has crashed upstreams before: without that, each
-// repetition by its caller takes another upstream away from all others.
+// admit refuses a request that has crashed too many upstreams. Otherwise each retry by its
+// caller would take down another upstream that other callers need.
 func (g *Gateway) admit(call *Call) *Refusal {
-	call.request = call.fingerprint()
-	if !g.crashes.Blocked(call.request) {
+	call.requestFingerprint = call.computeFingerprint()
+	if !g.crashes.Blocked(call.requestFingerprint) {
 		return nil
 	}
 	callsRefused.Add(1)
-	g.log.Warn().Str("request", call.ID).Uint64("fingerprint", uint64(call.request)).Int("status", http.StatusServiceUnavailable).
-		Msg("request not sent: it crashed upstreams")
-	return &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: crashComeBack, Reason: "crashes upstreams"}
+	g.log.Warn().Str("request", call.ID).Uint64("fingerprint", uint64(call.requestFingerprint)).Int("status", http.StatusServiceUnavailable).
+		Msg("request blocked: it crashed upstreams")
+	return &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterCrash, Reason: "request crashed upstreams"}
 }
 
-// suspect looks whether an upstream that broke off has crashed. A connection that was
-// only reset leaves an upstream that still takes connections.
-func (g *Gateway) suspect(ctx context.Context, u registry.Upstream, call *Call, f *exchange.Failure) {
+// checkForCrash checks, after a delay, whether an upstream whose connection broke has
+// crashed. If only the connection was reset, the upstream still accepts new ones.
+func (g *Gateway) checkForCrash(ctx context.Context, u registry.Upstream, call *Call, f *exchange.Failure) {
 	if !f.Sent || (f.Kind != exchange.Reset && f.Kind != exchange.Truncated) {
 		return
 	}
@@ -62,14 +66,15 @@
 		if call.succeeded.Load() || g.upstreams.Reachable(ctx, u) {
 			return
 		}
-		g.crashes.Crashed(ctx, call.request, u.Incarnation())
+		g.crashes.Crashed(ctx, call.requestFingerprint, u.Incarnation())
 	})
 }
 
-// cleared takes an upstream's answer: what crashes upstreams never gets one.
-func (g *Gateway) cleared(ctx context.Context, call *Call, answer *Answer) {
-	if answer.NotRun || call.succeeded.Swap(true) {
+// clearCrashes drops the crashes recorded for a request once an upstream that ran it has
+// responded: a request that crashes upstreams never gets a response.
+func (g *Gateway) clearCrashes(ctx context.Context, call *Call, response *Answer) {
+	if response.NotRun || call.succeeded.Swap(true) {
 		return
 	}
-	g.crashes.Succeeded(context.WithoutCancel(ctx), call.request)
+	g.crashes.Succeeded(context.WithoutCancel(ctx), call.requestFingerprint)
 }
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -22,16 +22,16 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream/exchange"
 )
 
-// fragile upstreams crash on one body and answer any other.
-type fragile struct {
-	reset bool // they only reset the connection and stay
+// crashingUpstreams crash on the request body "killer" and respond to any other.
+type crashingUpstreams struct {
+	resetOnly bool // they reset the connection of a killer but stay up
 
-	mu   sync.Mutex
-	down map[string]bool
-	hits int
+	mu      sync.Mutex
+	down    map[string]bool // by ID
+	killers int             // killer requests that reached an upstream
 }
 
-func (f *fragile) Call(_ context.Context, u registry.Upstream, c *Call, _ bool) (*Answer, error) {
+func (f *crashingUpstreams) Call(_ context.Context, u registry.Upstream, c *Call, _ bool) (*Answer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down[u.ID] {
@@ -40,27 +40,27 @@
 	if string(c.Body) != "killer" {
 		return &Answer{Status: http.StatusOK, Load: -1}, nil
 	}
-	f.hits++
-	f.down[u.ID] = !f.reset
+	f.killers++
+	f.down[u.ID] = !f.resetOnly
 	return nil, &exchange.Failure{Kind: exchange.Reset, Sent: true, Err: errors.New("connection reset")}
 }
 
-func (f *fragile) Open(context.Context, registry.Upstream, *Call, Resume) (*Stream, error) {
-	return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("no streams here")}
+func (f *crashingUpstreams) Open(context.Context, registry.Upstream, *Call, Resume) (*Stream, error) {
+	return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("streams are not supported")}
 }
 
-func (f *fragile) Reachable(_ context.Context, u registry.Upstream) bool {
+func (f *crashingUpstreams) Reachable(_ context.Context, u registry.Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.down[u.ID]
 }
 
-// A request crashes each upstream that runs it, and its caller sends it again and
-// again. Each time upstreams would go down that others need; after three it has to be
-// refused without a send. One whose connections are only reset is sent on.
+// Guards against a request that crashes each upstream that runs it and is retried by its
+// caller until no upstream is left for other calls. After three crashes it must be refused
+// without a send. A request whose connections are only reset must still be sent.
 func TestRequestThatCrashesUpstreamsIsRefused(t *testing.T) {
-	for _, reset := range []bool{false, true} {
-		t.Run(fmt.Sprint("only reset: ", reset), func(t *testing.T) {
+	for _, resetOnly := range []bool{false, true} {
+		t.Run(fmt.Sprint("connection reset without a crash: ", resetOnly), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				ctx, cancel := context.WithCancel(context.Background())
@@ -73,10 +73,10 @@
 						r.Put(registry.Upstream{ID: fmt.Sprint("u", i), Service: "s", DataCentre: "here"})
 					}
 				})
-				ledger := crashes.New("vm", metastore.NewClient(metastore.New(1), time.Second), now, zerolog.Nop())
-				go ledger.Run(ctx)
-				f := &fragile{reset: reset, down: map[string]bool{}}
-				gate := New(Options{View: view, Upstreams: f, Crashes: ledger, Suspects: health.NewSuspects(), DataCentre: "here", Now: now, Logger: zerolog.Nop()})
+				tracker := crashes.New("vm", metastore.NewClient(metastore.New(1), time.Second), now, zerolog.Nop())
+				go tracker.Run(ctx)
+				f := &crashingUpstreams{resetOnly: resetOnly, down: map[string]bool{}}
+				gate := New(Options{View: view, Upstreams: f, Crashes: tracker, Suspects: health.NewSuspects(), DataCentre: "here", Now: now, Logger: zerolog.Nop()})
 				r := routes.Route{Kind: routes.Safe, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
 				do := func(body string) (*Answer, *Refusal) {
 					return gate.Do(ctx, r, &Call{ID: "c", Body: []byte(body), Deadline: time.Now().Add(time.Second)})
@@ -86,16 +86,16 @@
 					g.Expect(refusal).NotTo(BeNil())
 					time.Sleep(time.Second)
 				}
-				if reset {
-					g.Expect(f.hits).To(Equal(10))
+				if resetOnly {
+					g.Expect(f.killers).To(Equal(10))
 					return
 				}
-				g.Expect(f.hits).To(Equal(4), "two calls of two attempts each")
+				g.Expect(f.killers).To(Equal(4), "two calls with two sends each")
 				_, refusal := do("killer")
 				g.Expect(refusal.Status).To(Equal(http.StatusServiceUnavailable))
 				g.Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
-				answer, _ := do("fine")
-				g.Expect(answer).NotTo(BeNil())
+				response, _ := do("fine")
+				g.Expect(response).NotTo(BeNil())
 			})
 		})
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -23,132 +23,137 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream/exchange"
 )
 
-// fakeUpstreams answer by their ID's behaviour and count what reaches them.
+// fakeUpstreams respond by the behaviour set for their ID and count the sends.
 type fakeUpstreams struct {
-	mu   sync.Mutex
-	does map[string]func(ctx context.Context) (*Answer, error)
-	sent map[string]int
+	mu         sync.Mutex
+	behaviours map[string]func(ctx context.Context) (*Answer, error) // by ID
+	sends      map[string]int                                        // by ID
 }
 
 func (f *fakeUpstreams) Call(ctx context.Context, u registry.Upstream, _ *Call, _ bool) (*Answer, error) {
 	f.mu.Lock()
-	f.sent[u.ID]++
-	do := f.does[u.ID]
+	f.sends[u.ID]++
+	respond := f.behaviours[u.ID]
 	f.mu.Unlock()
-	return do(ctx)
+	return respond(ctx)
 }
 
 func (f *fakeUpstreams) total() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := 0
-	for _, c := range f.sent {
-		n += c
+	total := 0
+	for _, n := range f.sends {
+		total += n
 	}
-	return n
+	return total
 }
 
-// Reachable says that an upstream is there.
+// Reachable reports every upstream as reachable.
 func (f *fakeUpstreams) Reachable(context.Context, registry.Upstream) bool { return true }
 
-// noCrashes is a ledger of crashes that stays empty.
+// noCrashes is a CrashTracker that never blocks a request.
 type noCrashes struct{}
 
 func (noCrashes) Blocked(poison.Fingerprint) bool                     { return false }
 func (noCrashes) Crashed(context.Context, poison.Fingerprint, string) {}
 func (noCrashes) Succeeded(context.Context, poison.Fingerprint)       {}
 
-// Open isn't used by tests of calls.
+// Open fails: the tests with fakeUpstreams use no streams.
 func (f *fakeUpstreams) Open(context.Context, registry.Upstream, *Call, Resume) (*Stream, error) {
-	return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("no streams here")}
+	return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("streams are not supported")}
 }
 
+// behaviour is how an upstream responds to one send.
 type behaviour = func(ctx context.Context) (*Answer, error)
 
-func ok(after time.Duration) behaviour {
+// ok responds with status 200 after a delay.
+func ok(delay time.Duration) behaviour {
 	return func(ctx context.Context) (*Answer, error) {
 		select {
 		case <-ctx.Done():
 			return nil, &exchange.Failure{Kind: exchange.Cancelled, Sent: true, Err: ctx.Err()}
-		case <-time.After(after):
+		case <-time.After(delay):
 			return &Answer{Status: 200, Load: 1}, nil
 		}
 	}
 }
 
+// status responds with a status at once.
 func status(code int, notRun bool) behaviour {
 	return func(context.Context) (*Answer, error) { return &Answer{Status: code, NotRun: notRun, Load: -1}, nil }
 }
 
+// fails returns no response; sent tells whether the request may have left the gateway.
 func fails(kind exchange.Kind, sent bool) behaviour {
 	return func(context.Context) (*Answer, error) {
 		return nil, &exchange.Failure{Kind: kind, Sent: sent, Err: errors.New("test")}
 	}
 }
 
-// set up a gateway before upstreams u0, u1, ... In each the first is the nearest.
+// setup returns a gateway with upstreams u0, u1, ... in different data centres. u0 is in the
+// gateway's own, so it is chosen first.
 func setup(behaviours ...behaviour) (*Gateway, *fakeUpstreams) {
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	f := &fakeUpstreams{does: map[string]behaviour{}, sent: map[string]int{}}
+	f := &fakeUpstreams{behaviours: map[string]behaviour{}, sends: map[string]int{}}
 	view := fleet.New(now)
 	view.Upstreams(func(r *registry.Registry, _ time.Duration) {
 		for i, b := range behaviours {
 			id := fmt.Sprint("u", i)
-			f.does[id] = b
-			dc := "here"
+			f.behaviours[id] = b
+			dataCentre := "here"
 			if i > 0 {
-				dc = fmt.Sprint("far", i)
+				dataCentre = fmt.Sprint("far", i)
 			}
-			r.Put(registry.Upstream{ID: id, Service: "s", DataCentre: dc})
+			r.Put(registry.Upstream{ID: id, Service: "s", DataCentre: dataCentre})
 		}
 	})
 	return New(Options{View: view, Upstreams: f, Crashes: noCrashes{}, Suspects: health.NewSuspects(), DataCentre: "here", Now: now, Logger: zerolog.Nop()}), f
 }
 
-func route(kind routes.Kind, attempts int) routes.Route {
-	return routes.Route{Name: "r", Kind: kind, MaxAttempts: attempts, Timeout: time.Second, Target: 150 * time.Millisecond,
+func route(kind routes.Kind, maxAttempts int) routes.Route {
+	return routes.Route{Name: "r", Kind: kind, MaxAttempts: maxAttempts, Timeout: time.Second, Target: 150 * time.Millisecond,
 		Services: []routes.Share{{Service: "s", Weight: 1}}}
 }
 
 func call() *Call { return &Call{ID: "c", Deadline: time.Now().Add(800 * time.Millisecond)} }
 
-// What a caller gets after each kind of failure, how often the request is sent, and
-// whether "not run" is told only when no upstream can have run it.
+// Checks the response after each kind of failure, the number of sends, and that "not run"
+// (503) is reported only if certainly no upstream ran the request.
 func TestDo(t *testing.T) {
-	reset, refused, silent := fails(exchange.Reset, true), status(503, true), ok(time.Hour)
+	reset, refused, noResponse := fails(exchange.Reset, true), status(503, true), ok(time.Hour)
 	for _, c := range []struct {
-		name   string
-		kind   routes.Kind
-		does   []behaviour
-		status int
-		sends  int
+		name       string
+		kind       routes.Kind
+		behaviours []behaviour
+		status     int
+		sends      int
 	}{
-		{"safe, answered", routes.Safe, []behaviour{ok(0), ok(0)}, 200, 1},
+		{"safe, response", routes.Safe, []behaviour{ok(0), ok(0)}, 200, 1},
 		{"safe, reset: sent again", routes.Safe, []behaviour{reset, ok(0)}, 200, 2},
-		{"safe, silent: a second copy", routes.Safe, []behaviour{silent, ok(0)}, 200, 2},
+		{"safe, no response: hedged", routes.Safe, []behaviour{noResponse, ok(0)}, 200, 2},
 		{"safe, attempts used up", routes.Safe, []behaviour{reset, reset, reset}, 502, 2},
-		{"safe, all silent: deadline", routes.Safe, []behaviour{silent, silent, silent}, 504, 2},
+		{"safe, no response from any: deadline", routes.Safe, []behaviour{noResponse, noResponse, noResponse}, 504, 2},
 		{"safe, refusals don't count as attempts", routes.Safe, []behaviour{refused, refused, refused}, 503, 3},
-		{"safe, all refuse", routes.Safe, []behaviour{refused, refused}, 503, 2},
-		{"safe, a failed answer: sent again", routes.Safe, []behaviour{status(500, false), ok(0)}, 200, 2},
-		{"safe, failed answers only: the last one", routes.Safe, []behaviour{status(500, false), status(500, false)}, 500, 2},
-		{"safe, a refusal after a reset isn't 'not run'", routes.Safe, []behaviour{reset, refused}, 502, 2},
-		{"unsafe, reset: never again", routes.Unsafe, []behaviour{reset, ok(0)}, 502, 1},
-		{"unsafe, silent: no second copy", routes.Unsafe, []behaviour{silent, ok(0)}, 504, 1},
+		{"safe, all refused", routes.Safe, []behaviour{refused, refused}, 503, 2},
+		{"safe, status 500: sent again", routes.Safe, []behaviour{status(500, false), ok(0)}, 200, 2},
+		{"safe, status 500 only: the last response", routes.Safe, []behaviour{status(500, false), status(500, false)}, 500, 2},
+		{"safe, a refusal after a reset is not 'not run'", routes.Safe, []behaviour{reset, refused}, 502, 2},
+		{"unsafe, reset: not sent again", routes.Unsafe, []behaviour{reset, ok(0)}, 502, 1},
+		{"unsafe, no response: not hedged", routes.Unsafe, []behaviour{noResponse, ok(0)}, 504, 1},
 		{"unsafe, refused: sent again", routes.Unsafe, []behaviour{refused, ok(0)}, 200, 2},
-		{"unsafe, never left: sent again", routes.Unsafe, []behaviour{fails(exchange.Dial, false), ok(0)}, 200, 2},
-		{"unsafe, failed answer: passed on", routes.Unsafe, []behaviour{status(500, false), ok(0)}, 500, 1},
+		{"unsafe, not connected: sent again", routes.Unsafe, []behaviour{fails(exchange.Dial, false), ok(0)}, 200, 2},
+		{"unsafe, status 500: forwarded", routes.Unsafe, []behaviour{status(500, false), ok(0)}, 500, 1},
 		{"no upstream", routes.Safe, nil, 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				gate, f := setup(c.does...)
-				answer, refusal := gate.Do(context.Background(), route(c.kind, 2), call())
+				gate, f := setup(c.behaviours...)
+				response, refusal := gate.Do(context.Background(), route(c.kind, 2), call())
 				got := 0
-				if answer != nil {
-					got = answer.Status
+				if response != nil {
+					got = response.Status
 				} else {
 					got = refusal.Status
 				}
@@ -162,9 +167,9 @@
 	}
 }
 
-// A caller leaves. Its request's upstream would work on for nobody if the send
-// weren't cancelled.
-func TestCallerLeaves(t *testing.T) {
+// Guards against sends that continue after their caller disconnected: the upstream would
+// run the request for nobody.
+func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate, _ := setup(ok(time.Hour))
@@ -174,29 +179,29 @@
 		_, refusal := gate.Do(ctx, route(routes.Safe, 1), call())
 		g.Expect(refusal).NotTo(BeNil())
 		g.Expect(time.Since(began)).To(Equal(50 * time.Millisecond))
-		synctest.Wait() // the send has ended, or the bubble would hang
+		synctest.Wait() // deadlocks if the send does not end
 	})
 }
 
-// The nearest upstream goes dark. Only the first calls may wait for it; the next
-// ones have to go elsewhere at once.
-func TestDarkUpstreamIsAvoided(t *testing.T) {
+// Guards against calls that keep going to an unreachable upstream because it is the nearest.
+// Only the first may try it; the next ones must go to another upstream at once.
+func TestUnreachableUpstreamIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate, f := setup(fails(exchange.Dial, false), ok(time.Millisecond), ok(time.Millisecond))
 		for range 10 {
-			answer, _ := gate.Do(context.Background(), route(routes.Safe, 2), call())
-			g.Expect(answer).NotTo(BeNil())
+			response, _ := gate.Do(context.Background(), route(routes.Safe, 2), call())
+			g.Expect(response).NotTo(BeNil())
 		}
-		g.Expect(f.sent["u0"]).To(Equal(1))
+		g.Expect(f.sends["u0"]).To(Equal(1))
 		time.Sleep(health.MaxSuspicion)
 		gate.Do(context.Background(), route(routes.Safe, 2), call())
-		g.Expect(f.sent["u0"]).To(Equal(2), "it is tried again later")
+		g.Expect(f.sends["u0"]).To(Equal(2), "it is tried again later")
 	})
 }
 
-// A route's timeout is shorter than what the caller would wait.
-func TestRouteTimeoutHolds(t *testing.T) {
+// Guards against calls that outlast their route's timeout because the caller waits longer.
+func TestRouteTimeoutShortensDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate, _ := setup(ok(time.Hour))
@@ -210,56 +215,56 @@
 	})
 }
 
-func TestPoolForgetsWhoLeft(t *testing.T) {
+func TestBalancerDropsStateOfGoneUpstreams(t *testing.T) {
 	g := NewWithT(t)
-	p := newPool("here", policy.Set{}, health.NewSuspects())
-	_, found := p.pick([]registry.Upstream{{ID: "u"}}, nil, 0)
+	b := newBalancer("here", policy.Set{}, health.NewSuspects())
+	_, found := b.pick([]registry.Upstream{{ID: "u"}}, nil, 0)
 	g.Expect(found).To(BeTrue())
-	p.trim(2 * memberLife)
-	g.Expect(p.members).To(HaveLen(1), "a send is under way")
-	p.release("u", 0)
-	p.trim(2 * memberLife)
-	g.Expect(p.members).To(BeEmpty())
-	_, found = p.pick([]registry.Upstream{{ID: "u", Leaving: true}}, nil, 0)
+	b.trim(2 * idleStateTTL)
+	g.Expect(b.states).To(HaveLen(1), "a send is in flight")
+	b.release("u", 0)
+	b.trim(2 * idleStateTTL)
+	g.Expect(b.states).To(BeEmpty())
+	_, found = b.pick([]registry.Upstream{{ID: "u", Leaving: true}}, nil, 0)
 	g.Expect(found).To(BeFalse())
 }
 
-func TestInTurn(t *testing.T) {
+func TestRoundRobinWithoutLoadPolicy(t *testing.T) {
 	g := NewWithT(t)
-	p := newPool("here", policy.Without(policy.Load), health.NewSuspects())
+	b := newBalancer("here", policy.Without(policy.Load), health.NewSuspects())
 	candidates := []registry.Upstream{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	seen := map[string]int{}
 	for range 9 {
-		u, _ := p.pick(candidates, nil, 0)
+		u, _ := b.pick(candidates, nil, 0)
 		seen[u.ID]++
 	}
 	g.Expect(seen).To(Equal(map[string]int{"a": 3, "b": 3, "c": 3}))
 }
 
-// A reward call that fails everywhere ends its sample. How many upstreams said so has
-// to be told, whatever the call's own end was: counted short, a hopeless sample holds
-// its step up; counted long, one that could be scored is given up.
-func TestFailedAnswersAreCounted(t *testing.T) {
+// A sample is given up when its reward call failed at enough upstreams, so a call must
+// report how many responded with 500, however it ended. If the count is too low, a hopeless
+// sample delays its step; if it is too high, a sample that could be scored is given up.
+func TestServerErrorsAreCounted(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		does []behaviour
-		want int
+		name       string
+		behaviours []behaviour
+		want       int
 	}{
-		{"failed at each", []behaviour{status(500, false), status(500, false)}, 2},
-		{"failed, then answered", []behaviour{status(500, false), ok(0)}, 1},
-		{"failed, then reset", []behaviour{status(500, false), fails(exchange.Reset, true)}, 1},
-		{"refused with 500", []behaviour{status(500, true), ok(0)}, 0},
-		{"another failure", []behaviour{status(504, false), status(502, false)}, 0},
-		{"failed, then silent", []behaviour{status(500, false), ok(time.Hour)}, 1},
+		{"500 from each", []behaviour{status(500, false), status(500, false)}, 2},
+		{"500, then a response", []behaviour{status(500, false), ok(0)}, 1},
+		{"500, then reset", []behaviour{status(500, false), fails(exchange.Reset, true)}, 1},
+		{"refused with status 500", []behaviour{status(500, true), ok(0)}, 0},
+		{"other server errors", []behaviour{status(504, false), status(502, false)}, 0},
+		{"500, then no response", []behaviour{status(500, false), ok(time.Hour)}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				gate, _ := setup(c.does...)
-				answer, refusal := gate.Do(context.Background(), route(routes.Safe, 2), call())
+				gate, _ := setup(c.behaviours...)
+				response, refusal := gate.Do(context.Background(), route(routes.Safe, 2), call())
 				got := 0
-				if answer != nil {
-					got = answer.Failures
+				if response != nil {
+					got = response.Failures
 				} else {
 					got = refusal.Failures
 				}
@@ -270,47 +275,48 @@
 	}
 }
 
-// On-call engineers ask why a call ended in 504. The line has to say where it waited: each
-// upstream tried, what was known of its load, and the time spent there.
-func TestLineOfARefusedCallNamesWhatWasTried(t *testing.T) {
+// The log line of a call that ended with 504 must say where it waited: each upstream tried,
+// its last known load, and the time spent there. On-call engineers need this to explain it.
+func TestLogOfRefusedCallListsSends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate, _ := setup(ok(time.Hour), fails(exchange.Reset, true))
-		var lines bytes.Buffer
-		gate.log = zerolog.New(&lines)
+		var logged bytes.Buffer
+		gate.log = zerolog.New(&logged)
 		_, refusal := gate.Do(context.Background(), route(routes.Safe, 2), call())
 		g.Expect(refusal).NotTo(BeNil())
 		synctest.Wait()
-		g.Expect(lines.String()).To(And(
+		g.Expect(logged.String()).To(And(
 			ContainSubstring("u0 load=-1 age=0ms no answer after 780ms"),
 			ContainSubstring("u1 load=-1 age=0ms reset after 0ms")))
 	})
 }
 
-// A daemon on one of sixty VMs has a call every four seconds, and twenty upstreams are
-// equally free. Chosen at random, each call makes a new connection. The one that answered
-// last keeps its connection open, and is chosen unless it has more to do than another.
-func TestCallsGoWhereAConnectionIsOpen(t *testing.T) {
+// Guards against a new connection for each call where calls are rare: a daemon on one of
+// sixty VMs has a call every four seconds, and twenty upstreams are equally idle. The upstream
+// that responded last, whose connection is still open, is chosen unless it has a higher load
+// than another.
+func TestCallsPreferOpenConnections(t *testing.T) {
 	g := NewWithT(t)
-	p := newPool("here", policy.Set{}, health.NewSuspects())
+	b := newBalancer("here", policy.Set{}, health.NewSuspects())
 	var candidates []registry.Upstream
 	for i := range 20 {
 		candidates = append(candidates, registry.Upstream{ID: fmt.Sprint("u", i), DataCentre: "here"})
 	}
 	now := time.Minute
-	first, _ := p.pick(candidates, nil, now)
-	p.release(first.ID, now)
-	p.succeeded(first.ID, 0, now)
+	first, _ := b.pick(candidates, nil, now)
+	b.release(first.ID, now)
+	b.recordSuccess(first.ID, 0, now)
 	for range 20 {
 		now += 4 * time.Second
-		u, _ := p.pick(candidates, nil, now)
+		u, _ := b.pick(candidates, nil, now)
 		g.Expect(u.ID).To(Equal(first.ID))
-		p.release(u.ID, now)
-		p.succeeded(u.ID, 0, now)
+		b.release(u.ID, now)
+		b.recordSuccess(u.ID, 0, now)
 	}
-	p.succeeded(first.ID, 3, now)
-	u, _ := p.pick(candidates, nil, now)
-	g.Expect(u.ID).NotTo(Equal(first.ID), "it has three requests to do")
-	u, _ = p.pick(candidates, map[string]bool{u.ID: true}, now+warmTime+time.Second)
-	g.Expect(p.members[u.ID].answered).To(BeNumerically("<=", now))
+	b.recordSuccess(first.ID, 3, now)
+	u, _ := b.pick(candidates, nil, now)
+	g.Expect(u.ID).NotTo(Equal(first.ID), "it reported a load of three")
+	u, _ = b.pick(candidates, map[string]bool{u.ID: true}, now+warmDuration+time.Second)
+	g.Expect(b.states[u.ID].lastResponseAt).To(BeNumerically("<=", now))
 }
--- a/internal/gateway/hedge_test.go
+++ b/internal/gateway/hedge_test.go
@@ -12,29 +12,28 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// A whole service turns slow under its peak, so that every call takes longer than the
-// time after which a second copy is sent. Copies of all of them double the load and make
-// it slower still. The pattern: 400 calls at 40 a second, each answered after 120 ms, with
-// copies sent after 75 ms; the bound is the budget's, fifty at once, then three a second
-// and a tenth of the answers.
-func TestSlowServiceIsNotSentEverythingTwice(t *testing.T) {
+// Guards against hedging every call of a service that is slow at peak load: the copies would
+// double the load and slow it down further. 400 calls arrive at 40 per second; each is
+// answered after 120 ms and would be hedged after 75 ms. The bound is that of the hedge
+// budget: 50 at once, then 3 per second and a tenth of the responses.
+func TestHedgeBudgetLimitsCopiesToSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		slow := ok(120 * time.Millisecond)
 		gate, f := setup(slow, slow, slow)
-		const calls, spacing = 400, 25 * time.Millisecond
-		var work sync.WaitGroup
+		const calls, interval = 400, 25 * time.Millisecond
+		var pending sync.WaitGroup
 		for range calls {
-			work.Go(func() {
-				answer, _ := gate.Do(context.Background(), route(routes.Safe, 2), call())
-				g.Expect(answer).NotTo(BeNil())
+			pending.Go(func() {
+				response, _ := gate.Do(context.Background(), route(routes.Safe, 2), call())
+				g.Expect(response).NotTo(BeNil())
 			})
-			time.Sleep(spacing)
+			time.Sleep(interval)
 		}
-		work.Wait()
+		pending.Wait()
 		copies := f.total() - calls
-		seconds := (calls * spacing).Seconds()
-		g.Expect(copies).To(BeNumerically(">=", 50), "copies are sent while the budget lasts")
+		seconds := (calls * interval).Seconds()
+		g.Expect(copies).To(BeNumerically(">=", 50), "calls are hedged while the budget lasts")
 		g.Expect(float64(copies)).To(BeNumerically("<=", 50+3*seconds+calls/10))
 	})
 }
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -1,6 +1,9 @@
-// Package gateway passes callers' requests on to services: which upstream, what
-// after a failure, when a second copy is worth sending, and what is told to the
-// caller in the end.
+// Package gateway forwards callers' requests to the upstreams of a service. It chooses the
+// upstream, decides on retries and hedged requests, and determines the final response to
+// the caller.
+//
+// A call is one attempt of a caller. A send is one transmission of a call to an upstream;
+// retries and hedges are further sends of the same call.
 package gateway
 
 import (
@@ -13,56 +16,62 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/registry"
 )
 
-// loadLife is how long a reported load counts. Work takes tens of ms.
-const loadLife = 300 * time.Millisecond
-
-// pool chooses upstreams of services. It is safe for concurrent use.
-type pool struct {
-	local    string // data centre of this VM
-	policy   policy.Set
-	suspects *health.Suspects
-	turn     int
-	mu       sync.Mutex
-	// members by incarnation: one that started again has no request in flight.
-	members map[string]*member
+// reportedLoadTTL is how long a load reported by an upstream is used. Requests take tens
+// of milliseconds, so an older figure says nothing.
+const reportedLoadTTL = 300 * time.Millisecond
+
+// balancer chooses upstreams of services. It is safe for concurrent use.
+//
+// All times passed to it are readings of Options.Now.
+type balancer struct {
+	localDataCentre string // data centre of this VM
+	policy          policy.Set
+	suspects        *health.Suspects
+	picks           int // number of calls of pick, for round robin
+	mu              sync.Mutex
+	// states is keyed by incarnation: a restarted upstream has no request in flight.
+	states map[string]*upstreamState
 }
 
-type member struct {
-	inFlight int
-	reported int // requests that it runs and queues, by its own word
-	at       time.Duration
-	seen     time.Duration
-	answered time.Duration // when it last did, 0: never
+// upstreamState is what this daemon knows of one incarnation of an upstream.
+type upstreamState struct {
+	inFlight       int           // requests sent by this daemon without an outcome yet
+	reportedLoad   int           // requests running and queued, as last reported by the upstream
+	reportedAt     time.Duration // when it reported reportedLoad, 0: never
+	lastSeenAt     time.Duration // when it was last used or considered
+	lastResponseAt time.Duration // when it last responded to this daemon, 0: never
 }
 
-func newPool(dataCentre string, set policy.Set, suspects *health.Suspects) *pool {
-	return &pool{local: dataCentre, policy: set, suspects: suspects, members: map[string]*member{}}
+func newBalancer(dataCentre string, set policy.Set, suspects *health.Suspects) *balancer {
+	return &balancer{localDataCentre: dataCentre, policy: set, suspects: suspects, states: map[string]*upstreamState{}}
 }
 
-func (p *pool) memberLocked(incarnation string, now time.Duration) *member {
-	m := p.members[incarnation]
-	if m == nil {
-		m = &member{}
-		p.members[incarnation] = m
+func (b *balancer) stateLocked(incarnation string, now time.Duration) *upstreamState {
+	state := b.states[incarnation]
+	if state == nil {
+		state = &upstreamState{}
+		b.states[incarnation] = state
 	}
-	m.seen = now
-	return m
+	state.lastSeenAt = now
+	return state
 }
 
-// pick takes the cheapest of the candidates that isn't in tried, and counts the
-// request there until release. Upstreams under suspicion are the last resort.
-func (p *pool) pick(candidates []registry.Upstream, tried map[string]bool, now time.Duration) (registry.Upstream, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// pick returns the candidate with the lowest cost that is neither leaving nor in tried,
+// and counts a request in flight there until release is called. Suspected upstreams are
+// chosen only if there is no other. It reports false if no candidate is left. tried is
+// keyed by incarnation.
+func (b *balancer) pick(candidates []registry.Upstream, tried map[string]bool, now time.Duration) (registry.Upstream, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	best, bestCost := -1, 0.0
-	p.turn++
+	b.picks++
 	for i, u := range candidates {
 		if u.Leaving || tried[u.Incarnation()] {
 			continue
 		}
-		cost := p.costLocked(u, now)
-		if !p.policy.On(policy.Load) {
-			cost = float64((i + p.turn) % len(candidates))
+		cost := b.costLocked(u, now)
+		if !b.policy.On(policy.Load) {
+			cost = float64((i + b.picks) % len(candidates))
 		}
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
@@ -71,88 +80,94 @@
 	if best < 0 {
 		return registry.Upstream{}, false
 	}
-	p.memberLocked(candidates[best].Incarnation(), now).inFlight++
+	b.stateLocked(candidates[best].Incarnation(), now).inFlight++
 	return candidates[best], true
 }
 
+// Costs are in units of one request in flight.
 const (
-	suspectCost = 1e6 // any other upstream goes first
-	remoteCost  = 0.5 // of one request in flight: the way to another data centre and back
-	tieSpread   = 0.2 // keeps daemons from choosing alike
-	// coldCost is that of an upstream that hasn't answered this daemon within warmTime:
-	// a new connection takes a place there for a moment, and the way to make it. A daemon
-	// with a call every few seconds and dozens of upstreams would make one for each call.
-	// Below the cost of another data centre, and far below that of one request in flight.
+	suspectCost = 1e6 // higher than the cost of any upstream that is not suspected
+	remoteCost  = 0.5 // round trip to another data centre
+	tieSpread   = 0.2 // upper bound of a random cost, so that daemons break ties differently
+	// coldCost is added for an upstream that has not responded to this daemon within
+	// warmDuration: a new connection costs a round trip and briefly occupies a slot at the
+	// upstream. Without it, a daemon with a call every few seconds and dozens of upstreams
+	// would open a connection for each call. It is below the cost of another data centre,
+	// and far below that of one request in flight.
 	coldCost = 0.3
-	// warmTime is for how long an idle connection is kept by servers that state ten seconds.
-	warmTime = 8 * time.Second
+	// warmDuration is how long idle connections are kept to servers that announce a
+	// keep-alive timeout of ten seconds.
+	warmDuration = 8 * time.Second
 )
 
-func (p *pool) costLocked(u registry.Upstream, now time.Duration) float64 {
-	m := p.memberLocked(u.Incarnation(), now)
-	cost := float64(m.inFlight) + tieSpread*rand.Float64()
-	if now-m.at < loadLife {
-		cost = max(cost, float64(m.reported))
+func (b *balancer) costLocked(u registry.Upstream, now time.Duration) float64 {
+	state := b.stateLocked(u.Incarnation(), now)
+	cost := float64(state.inFlight) + tieSpread*rand.Float64()
+	if now-state.reportedAt < reportedLoadTTL {
+		cost = max(cost, float64(state.reportedLoad))
 	}
-	if p.policy.On(policy.Warm) && (m.answered == 0 || now-m.answered > warmTime) {
+	if b.policy.On(policy.Warm) && (state.lastResponseAt == 0 || now-state.lastResponseAt > warmDuration) {
 		cost += coldCost
 	}
-	if u.DataCentre != p.local {
+	if u.DataCentre != b.localDataCentre {
 		cost += remoteCost
 	}
-	if p.suspects.Holds(u.Incarnation(), now) {
+	if b.suspects.Holds(u.Incarnation(), now) {
 		cost += suspectCost
 	}
 	return cost
 }
 
-// known is the load that an upstream reported last and that figure's age, -1 for none.
-func (p *pool) known(incarnation string, now time.Duration) (load int, age time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	m := p.memberLocked(incarnation, now)
-	if m.at == 0 {
+// lastLoad returns the load that an upstream last reported and the age of that report. The
+// load is -1 if there is none.
+func (b *balancer) lastLoad(incarnation string, now time.Duration) (load int, age time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	state := b.stateLocked(incarnation, now)
+	if state.reportedAt == 0 {
 		return -1, 0
 	}
-	return m.reported, now - m.at
+	return state.reportedLoad, now - state.reportedAt
 }
 
-func (p *pool) release(incarnation string, now time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.memberLocked(incarnation, now).inFlight--
+// release ends a request that pick counted as in flight.
+func (b *balancer) release(incarnation string, now time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.stateLocked(incarnation, now).inFlight--
 }
 
-// succeeded clears suspicion; load is what the upstream reported, -1 if nothing.
-func (p *pool) succeeded(incarnation string, load int, now time.Duration) {
-	p.suspects.Worked(incarnation)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	m := p.memberLocked(incarnation, now)
-	m.answered = now
+// recordSuccess notes a response and clears suspicion of the upstream. load is the load
+// reported with the response, -1 if there was none.
+func (b *balancer) recordSuccess(incarnation string, load int, now time.Duration) {
+	b.suspects.Worked(incarnation)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	state := b.stateLocked(incarnation, now)
+	state.lastResponseAt = now
 	if load >= 0 {
-		m.reported, m.at = load, now
+		state.reportedLoad, state.reportedAt = load, now
 	}
 }
 
-// failed puts an upstream under suspicion.
-func (p *pool) failed(incarnation string, now time.Duration) {
-	if p.policy.On(policy.Suspicion) {
-		p.suspects.Failed(incarnation, now)
+// recordFailure marks an upstream as suspected.
+func (b *balancer) recordFailure(incarnation string, now time.Duration) {
+	if b.policy.On(policy.Suspicion) {
+		b.suspects.Failed(incarnation, now)
 	}
 }
 
-// memberLife is how long an upstream that isn't met any more is remembered.
-const memberLife = time.Minute
-
-// trim forgets upstreams that left.
-func (p *pool) trim(now time.Duration) {
-	p.suspects.Trim(now)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for id, m := range p.members {
-		if m.inFlight == 0 && now-m.seen > memberLife {
-			delete(p.members, id)
+// idleStateTTL is how long the state of an upstream is kept that is no longer a candidate.
+const idleStateTTL = time.Minute
+
+// trim drops the state of upstreams that are gone.
+func (b *balancer) trim(now time.Duration) {
+	b.suspects.Trim(now)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for incarnation, state := range b.states {
+		if state.inFlight == 0 && now-state.lastSeenAt > idleStateTTL {
+			delete(b.states, incarnation)
 		}
 	}
 }
--- a/internal/gateway/sendlog.go
+++ b/internal/gateway/sendlog.go
@@ -9,51 +9,54 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream/exchange"
 )
 
-// sendLog is what a late, refused or repeated call's line says of one send.
-type sendLog struct {
-	upstream string
-	load     int           // requests that the upstream was known to run and queue, -1 unknown
-	age      time.Duration // of that figure
-	began    time.Time
-	ended    string // "": no outcome yet
-	took     time.Duration
+// sendRecord describes one send in the log line of a call that was refused or sent more
+// than once.
+type sendRecord struct {
+	upstream  string        // incarnation
+	load      int           // load last reported by the upstream before the send, -1: unknown
+	loadAge   time.Duration // age of that report
+	startedAt time.Time
+	outcome   string        // "": none yet
+	duration  time.Duration // until the outcome
 }
 
-func (l sendLog) String() string {
-	ended, took := l.ended, l.took
-	if ended == "" {
-		ended, took = "no answer", time.Since(l.began)
+// String formats the record for the log field "tried".
+func (r sendRecord) String() string {
+	outcome, duration := r.outcome, r.duration
+	if outcome == "" {
+		outcome, duration = "no answer", time.Since(r.startedAt)
 	}
-	return fmt.Sprintf("%s load=%d age=%dms %s after %dms", l.upstream, l.load, l.age.Milliseconds(), ended, took.Milliseconds())
+	return fmt.Sprintf("%s load=%d age=%dms %s after %dms", r.upstream, r.load, r.loadAge.Milliseconds(), outcome, duration.Milliseconds())
 }
 
-// ended notes the outcome of a send for the call's line.
-func (a *attempt) ended(r result) {
-	for i := range a.log {
-		if a.log[i].upstream == r.upstream.Incarnation() {
-			a.log[i].ended, a.log[i].took = r.outcome(), r.took
+// recordOutcome adds the outcome of a send to its record.
+func (a *activeCall) recordOutcome(r sendResult) {
+	for i := range a.sendRecords {
+		if a.sendRecords[i].upstream == r.upstream.Incarnation() {
+			a.sendRecords[i].outcome, a.sendRecords[i].duration = r.outcome(), r.duration
 		}
 	}
 }
 
-func (a *attempt) sendsLog() []string {
-	out := make([]string, len(a.log))
-	for i, l := range a.log {
-		out[i] = l.String()
+// sendSummaries returns the records of all sends as text.
+func (a *activeCall) sendSummaries() []string {
+	out := make([]string, len(a.sendRecords))
+	for i, record := range a.sendRecords {
+		out[i] = record.String()
 	}
 	return out
 }
 
-// outcome says in a word what became of a send.
-func (r result) outcome() string {
+// outcome returns a short text for the log: the kind of failure, "refused" or the status.
+func (r sendResult) outcome() string {
 	var f *exchange.Failure
 	switch {
 	case errors.As(r.err, &f):
 		return f.Kind.String()
 	case r.err != nil:
 		return r.err.Error()
-	case r.answer.NotRun:
+	case r.response.NotRun:
 		return "refused"
 	}
-	return strconv.Itoa(r.answer.Status)
+	return strconv.Itoa(r.response.Status)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -18,177 +18,181 @@
 // Event is one event of a stream.
 type Event struct {
 	ID      int    // counted from 1
-	Raw     []byte // as the upstream sent it, its blank line included
-	Version int64  // of the weights from this event on, 0: as before
+	Raw     []byte // bytes as the upstream sent them, including the blank line that ends the event
+	Version int64  // model weight version from this event on, 0: unchanged
 }
 
-// Resume says from where a stream is wanted.
+// Resume tells an upstream where a stream has to start.
 type Resume struct {
-	Resumable bool
-	After     int   // the last event that the caller has
-	Version   int64 // of the weights that must go on with it, 0: any
+	Resumable bool  // the route allows streams to be resumed
+	After     int   // ID of the last event that the caller has, 0: none
+	Version   int64 // model weight version that must produce the remaining events, 0: any
 }
 
-// Stream is an upstream's answer to a call on a streaming route.
+// Stream is an upstream's response to a call on a streaming route.
 type Stream struct {
-	Answer         // its body is whole if Events is nil
-	Version int64  // of the weights at its first event, 0: unknown
-	Events  Events // nil: the answer is no stream
+	Answer         // has its whole body if Events is nil
+	Version int64  // model weight version at the first event, 0: unknown
+	Events  Events // nil: the response is not a stream
 }
 
-// Events reads a stream. It isn't safe for concurrent use.
+// Events reads the events of a stream. It is not safe for concurrent use.
 type Events interface {
-	// Next returns the next whole event, io.EOF at an end that the upstream's own
-	// framing confirms, an *exchange.Failure otherwise.
+	// Next returns the next complete event. It returns io.EOF at an end that is confirmed
+	// by the framing of the response body, an *exchange.Failure otherwise.
 	Next() (Event, error)
-	// Close ends the stream; an upstream still at work on it stops.
+	// Close ends the stream. An upstream that is still producing it stops.
 	Close()
 }
 
-// EventWriter is the caller's side of a stream. An error says that the caller left.
+// EventWriter sends a stream to the caller. An error means that the caller is gone.
 type EventWriter interface {
+	// Start sends the response header.
 	Start(status int, header http.Header) error
+	// Write sends one event.
 	Write(e Event) error
 }
 
-// ErrBrokenOff is returned after a stream that began can't be finished. The
-// caller's connection has to end, so that the stream doesn't look whole.
-var ErrBrokenOff = errors.New("stream broken off")
+// ErrStreamAborted is returned if a stream cannot be completed after its header was sent.
+// The caller's connection must then be closed, so that the stream does not look complete.
+var ErrStreamAborted = errors.New("stream aborted")
 
-// StreamResult is the end of a call on a streaming route. All fields are zero after
-// a whole stream.
+// StreamResult is the result of a call on a streaming route. It is zero after a complete
+// stream; otherwise one field is set.
 type StreamResult struct {
-	Answer  *Answer  // the upstream's answer, which is no stream
-	Refusal *Refusal // nothing was passed on
-	Err     error    // ErrBrokenOff
+	Answer  *Answer  // the upstream's response, which is not a stream
+	Refusal *Refusal // nothing was sent to the caller
+	Err     error    // ErrStreamAborted
 }
 
-// Stream sends a call and passes the events on as they come. Where the route allows
-// it, a stream that breaks goes on at another upstream behind the last event passed
-// on, under the weights that made that event.
-func (g *Gateway) Stream(ctx context.Context, route routes.Route, call *Call, after int, out EventWriter) StreamResult {
-	began := time.Now()
+// Stream sends a call and forwards the events to writer as they arrive. after is the ID of
+// the last event that the caller has, 0 for none. Where the route allows it, a broken
+// stream is resumed at another upstream after the last event forwarded, with the model
+// weight version that produced that event.
+func (g *Gateway) Stream(ctx context.Context, route routes.Route, call *Call, after int, writer EventWriter) StreamResult {
+	startedAt := time.Now()
 	if refusal := g.admit(call); refusal != nil {
 		return StreamResult{Refusal: refusal}
 	}
-	limitDeadline(call, route, began)
+	limitDeadline(call, route, startedAt)
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
-	s := &streamAttempt{
-		g: g, route: route, call: call, out: out, service: route.Pick(rand.Float64()), tried: map[string]bool{},
-		course: course{rule: ruleOf(route, route.Resumable), after: after},
+	s := &activeStream{
+		g: g, route: route, call: call, writer: writer, service: route.Pick(rand.Float64()), tried: map[string]bool{},
+		streamState: streamState{rule: sendRule(route, route.Resumable), lastEventID: after},
 	}
 	result := s.run(ctx)
-	s.report(result, time.Since(began))
+	s.report(result, time.Since(startedAt))
 	return result
 }
 
-// streamAttempt is one caller's stream under way.
-type streamAttempt struct {
+// activeStream is a call on a streaming route in progress.
+type activeStream struct {
 	g       *Gateway
 	route   routes.Route
 	call    *Call
-	out     EventWriter
-	service string
-	tried   map[string]bool
-	course
+	writer  EventWriter
+	service string          // chosen for this call
+	tried   map[string]bool // incarnations of the upstreams that it was sent to
+	streamState
 }
 
-func (s *streamAttempt) run(ctx context.Context) StreamResult {
+func (s *activeStream) run(ctx context.Context) StreamResult {
 	for {
-		u, ok := s.g.pool.pick(s.g.view.Of(s.service), s.tried, s.g.now())
+		u, ok := s.g.balancer.pick(s.g.view.Of(s.service), s.tried, s.g.now())
 		if !ok {
-			return s.end(ctx, s.afterLast())
+			return s.finalResult(ctx, s.finalAction())
 		}
 		s.tried[u.Incarnation()] = true
 		s.sends.Begin()
-		result, step := s.send(ctx, u)
+		result, action := s.send(ctx, u)
 		if result != nil {
 			return *result
 		}
-		if ctx.Err() != nil || step != sendOn {
-			return s.end(ctx, step)
+		if ctx.Err() != nil || action != tryNextUpstream {
+			return s.finalResult(ctx, action)
 		}
 	}
 }
 
-// end is the result when no upstream is asked any more.
-func (s *streamAttempt) end(ctx context.Context, step streamStep) StreamResult {
+// finalResult returns the result of a call that will not be sent again.
+func (s *activeStream) finalResult(ctx context.Context, action streamAction) StreamResult {
 	switch {
-	case s.started:
-		return StreamResult{Err: ErrBrokenOff}
-	case step == refuseClean:
-		return StreamResult{Refusal: &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: comeBack, Reason: "no upstream took it"}}
+	case s.headerSent:
+		return StreamResult{Err: ErrStreamAborted}
+	case action == refuseNotRun:
+		return StreamResult{Refusal: &Refusal{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterNotRun, Reason: "no upstream accepted the call"}}
 	case ctx.Err() != nil:
 		return StreamResult{Refusal: &Refusal{Status: http.StatusGatewayTimeout, Reason: "deadline"}}
 	default:
-		return StreamResult{Refusal: &Refusal{Status: http.StatusBadGateway, Reason: "no whole answer from an upstream"}}
+		return StreamResult{Refusal: &Refusal{Status: http.StatusBadGateway, Reason: "no complete response from an upstream"}}
 	}
 }
 
-// send runs the call at one upstream. A result is final; without one the step says
-// how to go on.
-func (s *streamAttempt) send(ctx context.Context, u registry.Upstream) (*StreamResult, streamStep) {
-	began := time.Now()
-	opened, err := s.g.upstreams.Open(ctx, u, s.call, Resume{Resumable: s.rule.Repeatable, After: s.after, Version: s.expected()})
+// send sends the call to one upstream and forwards the stream. It returns the final result,
+// or nil and the action to take.
+func (s *activeStream) send(ctx context.Context, u registry.Upstream) (*StreamResult, streamAction) {
+	startedAt := time.Now()
+	stream, err := s.g.upstreams.Open(ctx, u, s.call, Resume{Resumable: s.rule.Repeatable, After: s.lastEventID, Version: s.requiredVersion()})
 	if err != nil {
-		s.g.note(ctx, u, s.call, nil, err)
-		return nil, s.failed(u, err)
+		s.g.recordSend(ctx, u, s.call, nil, err)
+		return nil, s.handleFailure(u, err)
 	}
-	if opened.Events == nil {
-		if !opened.NotRun {
-			s.g.began(s.call, began)
+	if stream.Events == nil {
+		if !stream.NotRun {
+			s.g.countRun(s.call, startedAt)
 		}
-		s.g.note(ctx, u, s.call, &opened.Answer, nil)
-		return s.whole(u, &opened.Answer)
+		s.g.recordSend(ctx, u, s.call, &stream.Answer, nil)
+		return s.handleNonStream(u, &stream.Answer)
 	}
-	defer opened.Events.Close()
-	err = s.pass(opened)
+	defer stream.Events.Close()
+	err = s.forwardEvents(stream)
 	if err == nil {
-		s.g.note(ctx, u, s.call, &opened.Answer, nil)
-		return &StreamResult{}, sendOn
+		s.g.recordSend(ctx, u, s.call, &stream.Answer, nil)
+		return &StreamResult{}, tryNextUpstream
 	}
-	if errors.Is(err, errCallerLeft) {
-		s.g.note(ctx, u, s.call, &opened.Answer, nil)
-		return &StreamResult{Err: ErrBrokenOff}, breakOff
+	if errors.Is(err, errCallerGone) {
+		s.g.recordSend(ctx, u, s.call, &stream.Answer, nil)
+		return &StreamResult{Err: ErrStreamAborted}, abortStream
 	}
-	s.g.note(ctx, u, s.call, nil, err)
-	return nil, s.failed(u, err)
+	s.g.recordSend(ctx, u, s.call, nil, err)
+	return nil, s.handleFailure(u, err)
 }
 
-// expected is the version of the weights that a resumed stream has to go on with:
-// events of two versions under one label would be mislabelled.
-func (s *streamAttempt) expected() int64 {
-	if !s.started {
+// requiredVersion returns the model weight version with which the stream has to continue, 0
+// for any. Events of two versions in one stream would be labelled with the wrong version.
+func (s *activeStream) requiredVersion() int64 {
+	if !s.headerSent {
 		return 0
 	}
-	return s.version
+	return s.weightVersion
 }
 
-// whole takes an answer that is no stream.
-func (s *streamAttempt) whole(u registry.Upstream, answer *Answer) (*StreamResult, streamStep) {
-	s.g.log.Info().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("status", answer.Status).
-		Bool("not_run", answer.NotRun).Int("after", s.after).Msg("upstream answered without a stream")
-	if !answer.NotRun && !s.started && (answer.Status < 500 || s.rule.Forbids(s.sends) != retry.None) {
-		return &StreamResult{Answer: answer}, sendOn
+// handleNonStream processes a response that is not a stream. It returns the final result,
+// or nil and the action to take.
+func (s *activeStream) handleNonStream(u registry.Upstream, response *Answer) (*StreamResult, streamAction) {
+	s.g.log.Info().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("status", response.Status).
+		Bool("not_run", response.NotRun).Int("after", s.lastEventID).Msg("upstream response is not a stream")
+	if !response.NotRun && !s.headerSent && (response.Status < 500 || s.rule.Forbids(s.sends) != retry.None) {
+		return &StreamResult{Answer: response}, tryNextUpstream
 	}
-	return nil, s.afterFailure(!answer.NotRun)
+	return nil, s.actionAfterFailure(!response.NotRun)
 }
 
-var errCallerLeft = errors.New("caller left")
+var errCallerGone = errors.New("caller closed the connection")
 
-// pass hands the events on. A stream counts as begun with its first event. Errors:
-// errCallerLeft, *exchange.Failure.
-func (s *streamAttempt) pass(opened *Stream) error {
-	if !s.started {
-		if err := s.out.Start(opened.Status, opened.Header); err != nil {
-			return errCallerLeft
+// forwardEvents forwards the events of a stream to the caller until it ends. The request
+// counts as running from the first event on. Errors: errCallerGone, *exchange.Failure.
+func (s *activeStream) forwardEvents(stream *Stream) error {
+	if !s.headerSent {
+		if err := s.writer.Start(stream.Status, stream.Header); err != nil {
+			return errCallerGone
 		}
-		s.started = true
-		s.version = opened.Version
+		s.headerSent = true
+		s.weightVersion = stream.Version
 	}
 	for first := true; ; first = false {
-		e, err := opened.Events.Next()
+		e, err := stream.Events.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -196,47 +200,49 @@
 			return err
 		}
 		if first {
-			s.g.began(s.call, time.Now())
+			s.g.countRun(s.call, time.Now())
 		}
-		if e.ID != s.after+1 {
+		if e.ID != s.lastEventID+1 {
 			return &exchange.Failure{Kind: exchange.Malformed, Sent: true, Err: errEventOrder}
 		}
-		if err := s.out.Write(e); err != nil {
-			return errCallerLeft
+		if err := s.writer.Write(e); err != nil {
+			return errCallerGone
 		}
-		s.passed(e)
+		s.recordEvent(e)
 	}
 }
 
-var errEventOrder = errors.New("an event is missing or comes twice")
+var errEventOrder = errors.New("event missing or duplicated")
 
-func (s *streamAttempt) failed(u registry.Upstream, err error) streamStep {
-	s.g.log.Warn().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("send", s.sends.Made).Int("after", s.after).
+// handleFailure processes a send without a response, or with an incomplete one.
+func (s *activeStream) handleFailure(u registry.Upstream, err error) streamAction {
+	s.g.log.Warn().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("send", s.sends.Made).Int("after", s.lastEventID).
 		Dur("left", time.Until(s.call.Deadline)).Err(err).Msg("stream failed")
-	return s.afterFailure(mayHaveRun(nil, err))
+	return s.actionAfterFailure(mayHaveRun(nil, err))
 }
 
 var (
-	streamsWhole   = metrics.Counter("gateway_streams_whole")
-	streamsRefused = metrics.Counter("gateway_streams_refused")
-	streamsBroken  = metrics.Counter("gateway_streams_broken_off")
+	streamsCompleted = metrics.Counter("gateway_streams_whole")
+	streamsRefused   = metrics.Counter("gateway_streams_refused")
+	streamsAborted   = metrics.Counter("gateway_streams_broken_off")
 )
 
-func (s *streamAttempt) report(r StreamResult, took time.Duration) {
+// report updates the metrics and logs the result of a call.
+func (s *activeStream) report(r StreamResult, duration time.Duration) {
 	switch {
 	case r.Err != nil:
-		streamsBroken.Add(1)
-		s.g.log.Warn().Str("request", s.call.ID).Str("route", s.route.Name).Int("after", s.after).Int("sends", s.sends.Made).
-			Dur("took", took).Msg("stream broken off")
+		streamsAborted.Add(1)
+		s.g.log.Warn().Str("request", s.call.ID).Str("route", s.route.Name).Int("after", s.lastEventID).Int("sends", s.sends.Made).
+			Dur("took", duration).Msg("stream aborted")
 	case r.Refusal != nil:
 		streamsRefused.Add(1)
 		s.g.log.Warn().Str("request", s.call.ID).Str("route", s.route.Name).Str("service", s.service).Int("status", r.Refusal.Status).
-			Str("reason", r.Refusal.Reason).Int("sends", s.sends.Made).Int("may_have_run", s.sends.Runs).Dur("took", took).Msg("stream refused")
+			Str("reason", r.Refusal.Reason).Int("sends", s.sends.Made).Int("may_have_run", s.sends.Runs).Dur("took", duration).Msg("stream refused")
 	default:
-		streamsWhole.Add(1)
+		streamsCompleted.Add(1)
 		if s.sends.Made > 1 {
-			s.g.log.Info().Str("request", s.call.ID).Str("route", s.route.Name).Int("events", s.after).Int("sends", s.sends.Made).
-				Dur("took", took).Msg("stream whole after more than one send")
+			s.g.log.Info().Str("request", s.call.ID).Str("route", s.route.Name).Int("events", s.lastEventID).Int("sends", s.sends.Made).
+				Dur("took", duration).Msg("stream completed after more than one send")
 		}
 	}
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -21,172 +21,179 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream/exchange"
 )
 
-// streamLength is how many events each stream of these tests has.
+// streamLength is the number of events of each complete stream.
 const streamLength = 4
 
-// source is what one upstream does with a stream.
-type source struct {
-	refuses  int   // status of an answer without a stream, 0: it streams
-	notRun   bool  // of that answer
-	breaksAt int   // the stream breaks after this event, 0: never
-	hangsAt  int   // the stream stands still after this event, 0: never
-	skips    int   // this event is left out
-	version  int64 // of its weights; asked for another one it refuses
-	dial     bool  // it can't be reached
+// streamBehaviour is how one upstream responds to a call on a streaming route.
+type streamBehaviour struct {
+	status      int   // it responds with this status and no stream, 0: it streams
+	notRun      bool  // that response states that the request was not run
+	breakAfter  int   // the stream breaks after this event, 0: never
+	hangAfter   int   // the stream hangs after this event, 0: never
+	skip        int   // this event is left out, 0: none
+	version     int64 // model weight version; it status calls that require another one
+	unreachable bool
 }
 
-type opened struct {
-	upstream string
+// openedStream is one call of Open.
+type openedStream struct {
+	upstream string // ID
 	Resume
 }
 
-// streamWorld is upstreams u0, u1, ... and a caller that counts.
-type streamWorld struct {
-	sources map[string]source
-	asked   []opened
-	closed  int
-	status  int
-	got     []string
-	leaves  int // the caller leaves after so many events, 0: never
-	// firstAfter is how long the first event of each stream takes.
-	firstAfter time.Duration
+// fakeStreams is the upstreams u0, u1, ... and the caller of a stream.
+type fakeStreams struct {
+	behaviours map[string]streamBehaviour // by ID of the upstream
+	opened     []openedStream
+	closed     int // streams closed by the gateway
+	status     int // received by the caller
+	received   []string
+	// disconnectAfter is the number of events after which the caller disconnects, 0: never.
+	disconnectAfter int
+	// firstEventDelay is how long each stream takes to produce its first event.
+	firstEventDelay time.Duration
 }
 
-func (w *streamWorld) Call(context.Context, registry.Upstream, *Call, bool) (*Answer, error) {
-	return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("no calls here")}
+func (f *fakeStreams) Call(context.Context, registry.Upstream, *Call, bool) (*Answer, error) {
+	return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("only streams are supported")}
 }
 
-func (w *streamWorld) Reachable(context.Context, registry.Upstream) bool { return true }
+func (f *fakeStreams) Reachable(context.Context, registry.Upstream) bool { return true }
 
-func (w *streamWorld) Open(ctx context.Context, u registry.Upstream, _ *Call, r Resume) (*Stream, error) {
-	w.asked = append(w.asked, opened{u.ID, r})
-	s := w.sources[u.ID]
+func (f *fakeStreams) Open(ctx context.Context, u registry.Upstream, _ *Call, r Resume) (*Stream, error) {
+	f.opened = append(f.opened, openedStream{u.ID, r})
+	b := f.behaviours[u.ID]
 	switch {
-	case s.dial:
+	case b.unreachable:
 		return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("test")}
-	case s.refuses != 0:
-		return &Stream{Answer: Answer{Status: s.refuses, NotRun: s.notRun, Load: -1}}, nil
-	case r.Version != 0 && r.Version != s.version:
+	case b.status != 0:
+		return &Stream{Answer: Answer{Status: b.status, NotRun: b.notRun, Load: -1}}, nil
+	case r.Version != 0 && r.Version != b.version:
 		return &Stream{Answer: Answer{Status: http.StatusMisdirectedRequest, NotRun: true, Load: -1}}, nil
 	}
-	return &Stream{Answer: Answer{Status: 200, Load: -1}, Version: s.version, Events: &sourceEvents{w: w, ctx: ctx, s: s, id: u.ID, after: r.After}}, nil
+	return &Stream{Answer: Answer{Status: 200, Load: -1}, Version: b.version, Events: &fakeEvents{f: f, ctx: ctx, behaviour: b, upstream: u.ID, last: r.After}}, nil
 }
 
-type sourceEvents struct {
-	begun bool
-	w     *streamWorld
-	ctx   context.Context
-	s     source
-	id    string
-	after int
+// fakeEvents is a stream that one upstream produces.
+type fakeEvents struct {
+	begun     bool
+	f         *fakeStreams
+	ctx       context.Context
+	behaviour streamBehaviour
+	upstream  string // ID
+	last      int    // ID of the last event
 }
 
-func (e *sourceEvents) Next() (Event, error) {
+func (e *fakeEvents) Next() (Event, error) {
 	switch {
-	case e.s.breaksAt > 0 && e.after >= e.s.breaksAt:
+	case e.behaviour.breakAfter > 0 && e.last >= e.behaviour.breakAfter:
 		return Event{}, &exchange.Failure{Kind: exchange.Reset, Sent: true, Err: errors.New("test")}
-	case e.s.hangsAt > 0 && e.after >= e.s.hangsAt:
+	case e.behaviour.hangAfter > 0 && e.last >= e.behaviour.hangAfter:
 		<-e.ctx.Done()
 		return Event{}, &exchange.Failure{Kind: exchange.Cancelled, Sent: true, Err: e.ctx.Err()}
-	case e.after >= streamLength:
+	case e.last >= streamLength:
 		return Event{}, io.EOF
 	}
 	if !e.begun {
 		e.begun = true
-		time.Sleep(e.w.firstAfter)
+		time.Sleep(e.f.firstEventDelay)
 	}
-	e.after++
-	if e.after == e.s.skips {
-		e.after++
+	e.last++
+	if e.last == e.behaviour.skip {
+		e.last++
 	}
-	return Event{ID: e.after, Raw: fmt.Appendf(nil, "%s:%d", e.id, e.after)}, nil
+	return Event{ID: e.last, Raw: fmt.Appendf(nil, "%s:%d", e.upstream, e.last)}, nil
 }
 
-func (e *sourceEvents) Close() { e.w.closed++ }
+func (e *fakeEvents) Close() { e.f.closed++ }
 
-func (w *streamWorld) Start(status int, _ http.Header) error {
-	w.status = status
+func (f *fakeStreams) Start(status int, _ http.Header) error {
+	f.status = status
 	return nil
 }
 
-func (w *streamWorld) Write(e Event) error {
-	if w.leaves > 0 && len(w.got) >= w.leaves {
+func (f *fakeStreams) Write(e Event) error {
+	if f.disconnectAfter > 0 && len(f.received) >= f.disconnectAfter {
 		return errors.New("caller's connection is closed")
 	}
-	w.got = append(w.got, string(e.Raw))
+	f.received = append(f.received, string(e.Raw))
 	return nil
 }
 
-func streamSetup(sources ...source) (*Gateway, *streamWorld) {
+// streamSetup returns a gateway with upstreams u0, u1, ... u0 is in the gateway's own data
+// centre, so it is chosen first.
+func streamSetup(behaviours ...streamBehaviour) (*Gateway, *fakeStreams) {
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
-	w := &streamWorld{sources: map[string]source{}}
+	f := &fakeStreams{behaviours: map[string]streamBehaviour{}}
 	view := fleet.New(now)
 	view.Upstreams(func(r *registry.Registry, _ time.Duration) {
-		for i, s := range sources {
+		for i, b := range behaviours {
 			id := fmt.Sprint("u", i)
-			w.sources[id] = s
-			dc := "here"
+			f.behaviours[id] = b
+			dataCentre := "here"
 			if i > 0 {
-				dc = "far"
+				dataCentre = "far"
 			}
-			r.Put(registry.Upstream{ID: id, Service: "s", DataCentre: dc})
+			r.Put(registry.Upstream{ID: id, Service: "s", DataCentre: dataCentre})
 		}
 	})
-	return New(Options{View: view, Upstreams: w, Crashes: noCrashes{}, Suspects: health.NewSuspects(), DataCentre: "here", Now: now, Logger: zerolog.Nop()}), w
+	return New(Options{View: view, Upstreams: f, Crashes: noCrashes{}, Suspects: health.NewSuspects(), DataCentre: "here", Now: now, Logger: zerolog.Nop()}), f
 }
 
-// What a caller gets of a stream whose first upstream (the nearest) misbehaves, and
-// how often the request is sent. Only a stream that may be resumed goes on elsewhere,
-// behind the last event passed on; none that was begun ends as if it were whole.
+// Checks what the caller receives of a stream whose first upstream fails, and the number of
+// sends. Only a resumable stream continues at another upstream, after the last event that was
+// forwarded. A stream that was cut off must never look complete.
 func TestStream(t *testing.T) {
-	fine := source{version: 5}
+	healthy := streamBehaviour{version: 5}
 	for _, c := range []struct {
-		name      string
-		resumable bool
-		sources   []source
-		got       string // events, each with the upstream that made it
-		outcome   string
-		sends     int
+		name       string
+		resumable  bool
+		behaviours []streamBehaviour
+		received   string // events, each with the upstream that produced it
+		outcome    string // see outcomeOf
+		sends      int    // -1: not checked
 	}{
-		{"whole", false, []source{fine, fine}, "u0:1 u0:2 u0:3 u0:4", "whole", 1},
-		{"broken, may not be resumed", false, []source{{breaksAt: 2}, fine}, "u0:1 u0:2", "broken", 1},
-		{"broken, resumed", true, []source{{breaksAt: 2, version: 5}, fine}, "u0:1 u0:2 u1:3 u1:4", "whole", 2},
-		{"broken before the first event, may not run again", false, []source{{dial: true}, fine}, "u1:1 u1:2 u1:3 u1:4", "whole", 2},
-		{"an event is missing", true, []source{{skips: 2, version: 5}, fine}, "u0:1 u1:2 u1:3 u1:4", "whole", 2},
-		{"an event is missing, may not be resumed", false, []source{{skips: 2}, fine}, "u0:1", "broken", 1},
-		{"the others have newer weights", true, []source{{breaksAt: 2, version: 5}, {version: 6}}, "u0:1 u0:2", "broken", 2},
-		{"one of the others has the same weights", true, []source{{breaksAt: 2, version: 5}, {version: 6}, {version: 5}}, "u0:1 u0:2 u2:3 u2:4", "whole", -1},
-		{"attempts used up", true, []source{{breaksAt: 1, version: 5}, {breaksAt: 2, version: 5}, {breaksAt: 3, version: 5}}, "", "broken", 2},
-		{"refused by one", false, []source{{refuses: 503, notRun: true}, fine}, "u1:1 u1:2 u1:3 u1:4", "whole", 2},
-		{"refused by all", false, []source{{refuses: 503, notRun: true}, {refuses: 429, notRun: true}}, "", "503", 2},
-		{"an upstream's own failure, may not run again", false, []source{{refuses: 500}, fine}, "", "500", 1},
-		{"an upstream's own failure, may run again", true, []source{{refuses: 500}, fine}, "u1:1 u1:2 u1:3 u1:4", "whole", 2},
-		{"an upstream's own answer", true, []source{{refuses: 422}, fine}, "", "422", 1},
+		{"whole", false, []streamBehaviour{healthy, healthy}, "u0:1 u0:2 u0:3 u0:4", "whole", 1},
+		{"broken, not resumable", false, []streamBehaviour{{breakAfter: 2}, healthy}, "u0:1 u0:2", "aborted", 1},
+		{"broken, resumed", true, []streamBehaviour{{breakAfter: 2, version: 5}, healthy}, "u0:1 u0:2 u1:3 u1:4", "whole", 2},
+		{"not connected, not resumable", false, []streamBehaviour{{unreachable: true}, healthy}, "u1:1 u1:2 u1:3 u1:4", "whole", 2},
+		{"an event is missing, resumed", true, []streamBehaviour{{skip: 2, version: 5}, healthy}, "u0:1 u1:2 u1:3 u1:4", "whole", 2},
+		{"an event is missing, not resumable", false, []streamBehaviour{{skip: 2}, healthy}, "u0:1", "aborted", 1},
+		{"the others have newer model weights", true, []streamBehaviour{{breakAfter: 2, version: 5}, {version: 6}}, "u0:1 u0:2", "aborted", 2},
+		{"one of the others has the same model weights", true, []streamBehaviour{{breakAfter: 2, version: 5}, {version: 6}, {version: 5}}, "u0:1 u0:2 u2:3 u2:4", "whole", -1},
+		{"attempts used up", true, []streamBehaviour{{breakAfter: 1, version: 5}, {breakAfter: 2, version: 5}, {breakAfter: 3, version: 5}}, "", "aborted", 2},
+		{"refused by one", false, []streamBehaviour{{status: 503, notRun: true}, healthy}, "u1:1 u1:2 u1:3 u1:4", "whole", 2},
+		{"refused by all", false, []streamBehaviour{{status: 503, notRun: true}, {status: 429, notRun: true}}, "", "503", 2},
+		{"status 500, not resumable", false, []streamBehaviour{{status: 500}, healthy}, "", "500", 1},
+		{"status 500, resumable", true, []streamBehaviour{{status: 500}, healthy}, "u1:1 u1:2 u1:3 u1:4", "whole", 2},
+		{"status 422 is final", true, []streamBehaviour{{status: 422}, healthy}, "", "422", 1},
 		{"no upstream", false, nil, "", "503", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				gate, w := streamSetup(c.sources...)
+				gate, f := streamSetup(c.behaviours...)
 				r := routes.Route{Name: "r", Streaming: true, Resumable: c.resumable, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
-				result := gate.Stream(context.Background(), r, call(), 0, w)
+				result := gate.Stream(context.Background(), r, call(), 0, f)
 				g.Expect(outcomeOf(result)).To(Equal(c.outcome))
-				if c.got != "" || c.outcome != "broken" {
-					g.Expect(strings.Join(w.got, " ")).To(Equal(c.got))
+				if c.received != "" || c.outcome != "aborted" {
+					g.Expect(strings.Join(f.received, " ")).To(Equal(c.received))
 				}
 				if c.sends >= 0 {
-					g.Expect(w.asked).To(HaveLen(c.sends))
+					g.Expect(f.opened).To(HaveLen(c.sends))
 				}
 			})
 		})
 	}
 }
 
+// outcomeOf returns "whole" for a complete stream, "aborted" for one that was cut off, and the
+// status of any other response.
 func outcomeOf(r StreamResult) string {
 	switch {
 	case r.Err != nil:
-		return "broken"
+		return "aborted"
 	case r.Refusal != nil:
 		return fmt.Sprint(r.Refusal.Status)
 	case r.Answer != nil:
@@ -196,42 +203,42 @@
 	}
 }
 
-// A caller comes back with the last event that it has. The upstream is asked for
-// what follows it.
-func TestCallerResumes(t *testing.T) {
+// A caller that reconnects with the ID of its last event receives only the events after it.
+func TestCallerResumesStream(t *testing.T) {
 	g := NewWithT(t)
-	gate, w := streamSetup(source{version: 5})
+	gate, f := streamSetup(streamBehaviour{version: 5})
 	r := routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
-	result := gate.Stream(context.Background(), r, call(), 3, w)
+	result := gate.Stream(context.Background(), r, call(), 3, f)
 	g.Expect(outcomeOf(result)).To(Equal("whole"))
-	g.Expect(w.got).To(Equal([]string{"u0:4"}))
-	g.Expect(w.asked[0].After).To(Equal(3))
+	g.Expect(f.received).To(Equal([]string{"u0:4"}))
+	g.Expect(f.opened[0].After).To(Equal(3))
 }
 
-// A caller leaves in the midst of its stream. The upstream would make events for
-// nobody, and another one too if that counted as a failure.
-func TestCallerLeavesStream(t *testing.T) {
+// Guards against upstreams that keep producing a stream whose caller disconnected: the first
+// one if its stream isn't closed, and a second one if the disconnect counts as a failure of
+// the first.
+func TestCallerDisconnectsDuringStream(t *testing.T) {
 	g := NewWithT(t)
-	gate, w := streamSetup(source{version: 5}, source{version: 5})
-	w.leaves = 2
+	gate, f := streamSetup(streamBehaviour{version: 5}, streamBehaviour{version: 5})
+	f.disconnectAfter = 2
 	r := routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
-	result := gate.Stream(context.Background(), r, call(), 0, w)
-	g.Expect(result.Err).To(MatchError(ErrBrokenOff))
-	g.Expect(w.asked).To(HaveLen(1))
-	g.Expect(w.closed).To(Equal(1))
+	result := gate.Stream(context.Background(), r, call(), 0, f)
+	g.Expect(result.Err).To(MatchError(ErrStreamAborted))
+	g.Expect(f.opened).To(HaveLen(1))
+	g.Expect(f.closed).To(Equal(1))
 }
 
-// An upstream stands still in the midst of a stream past the route's timeout. The
-// caller's connection ends then; an end that looks whole would lose events unseen.
-func TestStreamEndsAtItsTimeout(t *testing.T) {
+// Guards against a stream that hangs beyond its route's timeout, and against one that looks
+// complete when it is ended there: the caller would not notice the missing events.
+func TestStreamIsAbortedAtRouteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		gate, w := streamSetup(source{hangsAt: 2})
+		gate, f := streamSetup(streamBehaviour{hangAfter: 2})
 		r := routes.Route{MaxAttempts: 1, Timeout: 300 * time.Millisecond, Services: []routes.Share{{Service: "s", Weight: 1}}}
 		began := time.Now()
-		result := gate.Stream(context.Background(), r, call(), 0, w)
-		g.Expect(result.Err).To(MatchError(ErrBrokenOff))
+		result := gate.Stream(context.Background(), r, call(), 0, f)
+		g.Expect(result.Err).To(MatchError(ErrStreamAborted))
 		g.Expect(time.Since(began)).To(BeNumerically("<=", 300*time.Millisecond))
-		g.Expect(w.closed).To(Equal(1))
+		g.Expect(f.closed).To(Equal(1))
 	})
 }
