--- a/internal/locate/search.go
+++ b/internal/locate/search.go
@@ -1,10 +1,12 @@
-// Package locate decides how a daemon finds out where a batch is: which owners of
-// partitions it asks, when it asks them again, and when it reads the log itself. It is
-// pure: time and what happened go in, what to do next comes out.
+// Package locate decides how a daemon finds the daemon that holds a batch: which owners of
+// log partitions it queries, when it queries them again, and when it reads the partitions
+// itself. It does no I/O: the caller passes in the time and the results, and gets the next
+// action.
 //
-// A daemon follows only the partitions that it owns, so that what a fleet reads of the
-// log doesn't grow with its daemons times the partitions. A call on a batch may reach any
-// daemon; it costs a question or two to the owners, whatever the fleet's size.
+// A daemon reads only the partitions that it owns, so that the log traffic of the fleet does
+// not grow with the number of daemons times the number of partitions. A call on a batch may
+// reach any daemon; locating the batch takes one or two queries to each owner, independent of
+// the number of daemons.
 package locate
 
 import (
@@ -14,43 +16,46 @@
 )
 
 const (
-	// Patience is how long owners are looked for before the log is read here. An owner
-	// that died is replaced when its membership's timeout has passed, 1.5 s; most calls
-	// meet the later part of it, and a trainer waits 1.5 s beyond what it asks for.
-	Patience = 600 * time.Millisecond
-	// RoundPause is between two rounds of questions.
+	// OwnerTimeout is how long a search queries owners before it reads the partitions
+	// itself. The partitions of an owner that died get a new one once its membership has
+	// timed out after 1.5 s. Most calls arrive later within that time, so they do not have
+	// to wait for all of it, and a trainer waits 1.5 s longer than the wait that it
+	// requests.
+	OwnerTimeout = 600 * time.Millisecond
+	// RoundPause is the pause between two rounds of queries.
 	RoundPause = 100 * time.Millisecond
 )
 
-// Action is what to do next.
+// Action is the next action of a search, or its result.
 type Action interface{ action() }
 
-// ReadOwners: read who owns which partition, and tell Owners.
+// ReadOwners means: read which daemon owns which partition, then call Owners.
 type ReadOwners struct{}
 
-// Ask these daemons whether they hold the batch; Answered tells each outcome.
+// Ask means: query these daemons for the batch, then call Answered or Unreachable for each.
 type Ask struct {
 	Addresses []string // sorted
-	// Confirm: partitions that don't have it are to be brought up to date first.
+	// Confirm tells the daemons to catch up with the log first in the partitions where they
+	// do not find the batch.
 	Confirm bool
 }
 
-// Pause before the next action.
+// Pause means: wait, then call Next again.
 type Pause struct{ For time.Duration }
 
-// Follow these partitions here and look there; Followed tells the outcome.
+// Follow means: read these partitions locally, then call Followed.
 type Follow struct{ Parts []int }
 
-// Found: the batch is held at an address.
+// Found is a result: the daemon at Address holds the batch.
 type Found struct{ Address string }
 
-// FoundHere: the batch is in a partition that is followed here.
+// FoundHere is a result: the batch is in a partition that this daemon reads.
 type FoundHere struct{}
 
-// Nowhere: certain, no partition has the batch.
+// Nowhere is a result: certainly no partition has the batch.
 type Nowhere struct{}
 
-// Unsure: it can't be told.
+// Unsure is a result: whether a partition has the batch could not be determined.
 type Unsure struct{}
 
 func (ReadOwners) action() {}
@@ -62,121 +67,125 @@
 func (Nowhere) action()    {}
 func (Unsure) action()     {}
 
-// Answer is what one daemon said.
+// Answer is a daemon's reply to a query.
 type Answer struct {
 	Found     bool
-	Confirmed []int // partitions that certainly don't have the batch
+	Confirmed []int // partitions that certainly do not have the batch
 }
 
-// stage is how far a daemon was asked in a round.
+// stage is the state of a daemon within a round of queries.
 type stage int
 
 const (
-	unasked   stage = iota
-	asked           // and has nothing at hand
-	confirmed       // also after it brought its partitions up to date
-	failed          // it can't be reached
+	notAsked    stage = iota
+	notFound          // it did not find the batch in what it has read of its partitions
+	confirmed         // as notFound, after it caught up with the log
+	unreachable       // it did not reply
 )
 
-// Search looks for one batch. It isn't safe for concurrent use.
+// Search locates one batch. It is not safe for concurrent use.
 //
-// Invariant: Nowhere comes only after each partition was confirmed, by its owner or by
-// reading the log here.
+// Invariant: the result is Nowhere only if it was confirmed for each partition that it does
+// not have the batch, by its owner or by reading it locally.
 type Search struct {
-	began    time.Duration
-	missing  map[int]bool   // partitions that may have the batch
-	owners   map[int]string // address by partition; nil: to be read
-	stages   map[string]stage
-	followed bool
-	end      Action
+	startedAt   time.Duration
+	unconfirmed map[int]bool     // partitions that may have the batch
+	owners      map[int]string   // addresses by partition; nil: to be read
+	stages      map[string]stage // by address, in this round
+	followed    bool             // the partitions were read locally
+	result      Action           // nil: not found yet
 }
 
-// New returns a search over the partitions that may have the batch. owners are the
-// addresses by partition as they are known, nil if they aren't.
-func New(parts []int, owners map[int]string, now time.Duration) *Search {
-	s := &Search{began: now, missing: map[int]bool{}, owners: owners, stages: map[string]stage{}}
-	for _, p := range parts {
-		s.missing[p] = true
+// New returns a search over the partitions that may have the batch. owners holds the known
+// owners' addresses by partition, nil if they are not known. All times passed to a Search
+// are readings of one monotonic clock.
+func New(partitions []int, owners map[int]string, now time.Duration) *Search {
+	s := &Search{startedAt: now, unconfirmed: map[int]bool{}, owners: owners, stages: map[string]stage{}}
+	for _, p := range partitions {
+		s.unconfirmed[p] = true
 	}
 	return s
 }
 
-// Next returns what to do now.
+// Next returns the next action, or the result.
 func (s *Search) Next(now time.Duration) Action {
 	switch {
-	case s.end != nil:
-		return s.end
-	case len(s.missing) == 0:
+	case s.result != nil:
+		return s.result
+	case len(s.unconfirmed) == 0:
 		return Nowhere{}
 	case s.followed:
 		return Unsure{}
 	case s.owners == nil:
 		return ReadOwners{}
 	}
-	if at := s.at(unasked); len(at) > 0 {
-		return Ask{Addresses: at}
+	if addresses := s.ownersAt(notAsked); len(addresses) > 0 {
+		return Ask{Addresses: addresses}
 	}
-	if at := s.at(asked); len(at) > 0 {
-		return Ask{Addresses: at, Confirm: true}
+	if addresses := s.ownersAt(notFound); len(addresses) > 0 {
+		return Ask{Addresses: addresses, Confirm: true}
 	}
-	if now-s.began >= Patience {
-		return Follow{Parts: slices.Sorted(maps.Keys(s.missing))}
+	if now-s.startedAt >= OwnerTimeout {
+		return Follow{Parts: slices.Sorted(maps.Keys(s.unconfirmed))}
 	}
-	s.nextRound()
+	s.startRound()
 	return Pause{For: RoundPause}
 }
 
-// nextRound has the owners read anew and all of them asked again.
-func (s *Search) nextRound() {
+// startRound makes the search read the owners again and query all of them.
+func (s *Search) startRound() {
 	s.owners = nil
 	clear(s.stages)
 }
 
-// at returns the owners of missing partitions that are at a stage of this round.
-func (s *Search) at(want stage) []string {
+// ownersAt returns the sorted addresses of the owners of unconfirmed partitions that are at a
+// stage.
+func (s *Search) ownersAt(want stage) []string {
 	set := map[string]bool{}
-	for part := range s.missing {
-		if address := s.owners[part]; address != "" && s.stages[address] == want {
+	for partition := range s.unconfirmed {
+		if address := s.owners[partition]; address != "" && s.stages[address] == want {
 			set[address] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(set))
 }
 
-// Owners takes the addresses by partition, as far as they are known.
-func (s *Search) Owners(byPart map[int]string) {
+// Owners sets the owners' addresses by partition, as far as they are known.
+func (s *Search) Owners(byPartition map[int]string) {
 	s.owners = map[int]string{}
-	maps.Copy(s.owners, byPart)
+	maps.Copy(s.owners, byPartition)
 }
 
-// Answered takes a daemon's answer.
+// Answered records a daemon's reply to Ask. confirm is Ask.Confirm.
 func (s *Search) Answered(address string, confirm bool, a Answer) {
 	if a.Found {
-		s.end = Found{Address: address}
+		s.result = Found{Address: address}
 		return
 	}
-	s.stages[address] = asked
+	s.stages[address] = notFound
 	if confirm {
 		s.stages[address] = confirmed
-		s.confirm(a.Confirmed)
+		s.markConfirmed(a.Confirmed)
 	}
 }
 
-// Unreachable: a daemon didn't answer.
-func (s *Search) Unreachable(address string) { s.stages[address] = failed }
+// Unreachable records that a daemon did not reply to Ask.
+func (s *Search) Unreachable(address string) { s.stages[address] = unreachable }
 
-// Followed takes the outcome of reading the log here.
+// Followed records the result of reading partitions locally: whether the batch was found, and
+// which partitions certainly do not have it.
 func (s *Search) Followed(found bool, confirmed []int) {
 	s.followed = true
 	if found {
-		s.end = FoundHere{}
+		s.result = FoundHere{}
 		return
 	}
-	s.confirm(confirmed)
+	s.markConfirmed(confirmed)
 }
 
-func (s *Search) confirm(parts []int) {
-	for _, p := range parts {
-		delete(s.missing, p)
+// markConfirmed notes that partitions certainly do not have the batch.
+func (s *Search) markConfirmed(partitions []int) {
+	for _, p := range partitions {
+		delete(s.unconfirmed, p)
 	}
 }
--- a/internal/locate/search_test.go
+++ b/internal/locate/search_test.go
@@ -8,23 +8,24 @@
 	. "github.com/onsi/gomega"
 )
 
-// fleet answers a search. A daemon holds some partitions; one of them may have the batch.
+// fleet simulates the daemons that a search queries. At most one partition has the batch.
 type fleet struct {
-	owners map[int]string
-	holds  map[string][]int
-	has    int // partition with the batch, -1: none
-	dead   map[string]bool
-	cut    bool // the store doesn't answer this daemon
-	now    time.Duration
-	calls  int
+	owners         map[int]string   // addresses by partition
+	loaded         map[string][]int // partitions that the daemon at an address has read
+	batchPartition int              // partition with the batch, -1: none
+	dead           map[string]bool  // by address
+	storeDown      bool             // this daemon cannot reach the store
+	now            time.Duration
+	queries        int
 }
 
+// run executes the actions of a search and returns its result, nil if it does not end.
 func (f *fleet) run(s *Search) Action {
 	for range 200 {
 		switch a := s.Next(f.now).(type) {
 		case ReadOwners:
 			f.now += 4 * time.Millisecond
-			if f.cut {
+			if f.storeDown {
 				s.Owners(nil)
 				continue
 			}
@@ -32,7 +33,7 @@
 		case Ask:
 			f.now += 2 * time.Millisecond
 			for _, address := range a.Addresses {
-				f.calls++
+				f.queries++
 				f.ask(s, address, a.Confirm)
 			}
 		case Pause:
@@ -52,24 +53,24 @@
 		return
 	}
 	answer := Answer{}
-	for _, p := range f.holds[address] {
-		answer.Found = answer.Found || p == f.has
-		if confirm && p != f.has {
+	for _, p := range f.loaded[address] {
+		answer.Found = answer.Found || p == f.batchPartition
+		if confirm && p != f.batchPartition {
 			answer.Confirmed = append(answer.Confirmed, p)
 		}
 	}
 	s.Answered(address, confirm, answer)
 }
 
-func (f *fleet) follow(s *Search, parts []int) {
-	if f.cut {
+func (f *fleet) follow(s *Search, partitions []int) {
+	if f.storeDown {
 		s.Followed(false, nil)
 		return
 	}
 	found := false
 	var confirmed []int
-	for _, p := range parts {
-		if p == f.has {
+	for _, p := range partitions {
+		if p == f.batchPartition {
 			found = true
 		} else {
 			confirmed = append(confirmed, p)
@@ -78,33 +79,34 @@
 	s.Followed(found, confirmed)
 }
 
-// naive reads every partition here.
-func (f *fleet) naive() Action {
+// readAllLocally returns the result of reading every partition locally.
+func (f *fleet) readAllLocally() Action {
 	switch {
-	case f.cut:
+	case f.storeDown:
 		return Unsure{}
-	case f.has >= 0:
+	case f.batchPartition >= 0:
 		return FoundHere{}
 	}
 	return Nowhere{}
 }
 
-// A call on a batch reaches any daemon, whatever is dead, cut off or handed over at the
-// moment. A wrong "no such batch" makes a trainer drop a step that was accepted; "can't
-// tell" for no reason makes it wait. Compared with reading all of the log here.
-func TestSearchAgreesWithReadingAllHere(t *testing.T) {
+// A call on a batch may reach any daemon, while owners are dead, cut off or being replaced.
+// Guards against a wrong Nowhere, which makes a trainer drop a step that was accepted, and
+// against Unsure without need, which makes it wait. Compares with reading all partitions
+// locally.
+func TestSearchAgreesWithReadingAllLocally(t *testing.T) {
 	g := NewWithT(t)
 	for seed := range uint64(3000) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		f := &fleet{owners: map[int]string{}, holds: map[string][]int{}, dead: map[string]bool{}, has: random.IntN(5) - 1, cut: random.IntN(5) == 0}
-		parts := []int{0, 1, 2, 3}
-		for _, p := range parts {
+		f := &fleet{owners: map[int]string{}, loaded: map[string][]int{}, dead: map[string]bool{}, batchPartition: random.IntN(5) - 1, storeDown: random.IntN(5) == 0}
+		partitions := []int{0, 1, 2, 3}
+		for _, p := range partitions {
 			owner := string(rune('a' + random.IntN(3)))
 			if random.IntN(5) > 0 {
-				f.owners[p] = owner // else nobody owns it
+				f.owners[p] = owner // else it has no owner
 			}
 			if random.IntN(5) > 0 {
-				f.holds[owner] = append(f.holds[owner], p) // else it hasn't read it yet
+				f.loaded[owner] = append(f.loaded[owner], p) // else the owner has not read it yet
 			}
 			f.dead[owner] = random.IntN(4) == 0
 		}
@@ -113,48 +115,48 @@
 			known = map[int]string{0: "gone", 1: "b"} // out of date
 			f.dead["gone"] = true
 		}
-		got, want := f.run(New(parts, known, f.now)), f.naive()
+		got, want := f.run(New(partitions, known, f.now)), f.readAllLocally()
 		switch got := got.(type) {
 		case Found:
-			g.Expect(f.has).To(BeNumerically(">=", 0), "seed %d", seed)
-			g.Expect(f.holds[got.Address]).To(ContainElement(f.has), "seed %d", seed)
+			g.Expect(f.batchPartition).To(BeNumerically(">=", 0), "seed %d", seed)
+			g.Expect(f.loaded[got.Address]).To(ContainElement(f.batchPartition), "seed %d", seed)
 		case Nowhere:
-			g.Expect(f.has).To(Equal(-1), "seed %d", seed)
+			g.Expect(f.batchPartition).To(Equal(-1), "seed %d", seed)
 		case Unsure:
 			g.Expect(want).To(Equal(Unsure{}), "seed %d", seed)
 		default:
 			g.Expect(got).To(Equal(want), "seed %d", seed)
 		}
-		g.Expect(f.now).To(BeNumerically("<=", Patience+RoundPause+20*time.Millisecond), "seed %d", seed)
+		g.Expect(f.now).To(BeNumerically("<=", OwnerTimeout+RoundPause+20*time.Millisecond), "seed %d", seed)
 	}
 }
 
-// All owners live: a batch is found with one question to each, and its absence with two,
-// in some ms and without a read of the log here.
-func TestSearchCostsAQuestionOrTwo(t *testing.T) {
+// While all owners are alive, a batch is found with one query to each, and its absence is
+// confirmed with two, within 10 ms and without reading partitions locally.
+func TestSearchTakesOneOrTwoQueriesPerOwner(t *testing.T) {
 	for _, c := range []struct {
-		has   int
-		calls int
-		want  Action
+		batchPartition int
+		queries        int
+		want           Action
 	}{
-		{has: 1, calls: 2, want: Found{Address: "b"}},
-		{has: -1, calls: 4, want: Nowhere{}},
+		{batchPartition: 1, queries: 2, want: Found{Address: "b"}},
+		{batchPartition: -1, queries: 4, want: Nowhere{}},
 	} {
 		g := NewWithT(t)
-		f := &fleet{owners: map[int]string{0: "a", 1: "b"}, holds: map[string][]int{"a": {0}, "b": {1}}, has: c.has}
+		f := &fleet{owners: map[int]string{0: "a", 1: "b"}, loaded: map[string][]int{"a": {0}, "b": {1}}, batchPartition: c.batchPartition}
 		g.Expect(f.run(New([]int{0, 1}, nil, 0))).To(Equal(c.want))
-		g.Expect(f.calls).To(Equal(c.calls))
+		g.Expect(f.queries).To(Equal(c.queries))
 		g.Expect(f.now).To(BeNumerically("<", 10*time.Millisecond))
 	}
 }
 
-// The owner is killed and its partition has none until its membership has timed out. The
-// daemon that is asked doesn't read the log at once, as dozens of others would in the same
-// moment, and doesn't wait until the trainer has given up either.
-func TestSearchReadsHereOnlyAfterItsPatience(t *testing.T) {
+// After an owner is killed, its partition has none until its membership has timed out. The
+// daemon that searches must not read the partition at once, since dozens of others would do
+// so in the same moment, and must not wait until the trainer has given up either.
+func TestSearchReadsLocallyOnlyAfterOwnerTimeout(t *testing.T) {
 	g := NewWithT(t)
-	f := &fleet{owners: map[int]string{0: "a"}, holds: map[string][]int{"a": {0}}, has: 0, dead: map[string]bool{"a": true}}
+	f := &fleet{owners: map[int]string{0: "a"}, loaded: map[string][]int{"a": {0}}, batchPartition: 0, dead: map[string]bool{"a": true}}
 	s := New([]int{0}, nil, 0)
 	g.Expect(f.run(s)).To(Equal(FoundHere{}))
-	g.Expect(f.now).To(And(BeNumerically(">=", Patience), BeNumerically("<", Patience+2*RoundPause)))
+	g.Expect(f.now).To(And(BeNumerically(">=", OwnerTimeout), BeNumerically("<", OwnerTimeout+2*RoundPause)))
 }
