--- a/internal/batchpeer/batchpeer_test.go
+++ b/internal/batchpeer/batchpeer_test.go
@@ -18,38 +18,38 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/locate"
 )
 
-// holder answers with what it was given, and notes what it was asked.
-type holder struct {
+// fakeHandler returns preset results and records the calls.
+type fakeHandler struct {
 	err     error
 	listing batchrun.Listing
 
 	mu    sync.Mutex
-	asked []string
+	calls []string
 }
 
-func (h *holder) note(format string, args ...any) {
+func (h *fakeHandler) record(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asked = append(h.asked, fmt.Sprintf(format, args...))
+	h.calls = append(h.calls, fmt.Sprintf(format, args...))
 }
 
-func (h *holder) Locate(_ context.Context, id string, confirm bool) locate.Answer {
-	h.note("locate %s %v", id, confirm)
+func (h *fakeHandler) Locate(_ context.Context, id string, confirm bool) locate.Answer {
+	h.record("locate %s %v", id, confirm)
 	return locate.Answer{Found: id == "b", Confirmed: []int{0, 23}}
 }
 
-func (h *holder) List(_ context.Context, id string, after int, wait time.Duration) (batchrun.Listing, error) {
-	h.note("list %s %d %v", id, after, wait)
+func (h *fakeHandler) List(_ context.Context, id string, after int, wait time.Duration) (batchrun.Listing, error) {
+	h.record("list %s %d %v", id, after, wait)
 	return h.listing, h.err
 }
 
-func (h *holder) End(_ context.Context, id string) error {
-	h.note("end %s", id)
+func (h *fakeHandler) End(_ context.Context, id string) error {
+	h.record("end %s", id)
 	return h.err
 }
 
-func (h *holder) Body(_ context.Context, id, item string) (batchrun.BodyAt, error) {
-	h.note("body %s %s", id, item)
+func (h *fakeHandler) Body(_ context.Context, id, item string) (batchrun.BodyAt, error) {
+	h.record("body %s %s", id, item)
 	return bodyAt, h.err
 }
 
@@ -65,8 +65,8 @@
 	return l
 }
 
-// serve starts a daemon's end and returns its address and a client.
-func serve(t *testing.T, h *holder) (string, *Client) {
+// serve starts a server and returns its address and a client.
+func serve(t *testing.T, h *fakeHandler) (string, *Client) {
 	l := listen(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -82,7 +82,7 @@
 	return l.Addr().String(), c
 }
 
-func TestCallsArriveAsTheyWereMade(t *testing.T) {
+func TestCallsAndResultsRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	listing := batchrun.Listing{Part: 23, Total: 9, Blobs: map[int64][]byte{4: []byte(strings.Repeat("text", 200_000))}, Listed: []batch.Sample{
 		{Item: batch.Item{ID: "s1"}, State: batch.Completed, Score: "sig", Text: batch.Text{Segments: []batch.Segment{
@@ -91,7 +91,7 @@
 		}}},
 		{Item: batch.Item{ID: "s2"}, State: batch.Dead},
 	}}
-	h := &holder{listing: listing}
+	h := &fakeHandler{listing: listing}
 	address, c := serve(t, h)
 	ctx := context.Background()
 	answer, err := c.Locate(ctx, address, "b", true)
@@ -104,14 +104,14 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(at).To(Equal(bodyAt))
 	g.Expect(c.End(ctx, address, "b")).To(Succeed())
-	g.Expect(h.asked).To(Equal([]string{"locate b true", "list b 1 500ms", "body b s1", "end b"}))
+	g.Expect(h.calls).To(Equal([]string{"locate b true", "list b 1 500ms", "body b s1", "end b"}))
 }
 
-// "No such batch" and "not run" are promises to trainers. They must arrive as they were
-// given, and no other failure may be told as one of them.
-func TestFailuresKeepTheirMeaning(t *testing.T) {
+// ErrNotFound and ErrNotRun are guarantees to trainers. They must arrive unchanged, and no
+// other failure may arrive as one of them.
+func TestErrorsKeepTheirMeaning(t *testing.T) {
 	known := []error{batchrun.ErrNotFound, batchrun.ErrUnsure, batchrun.ErrNotRun, batchrun.ErrUnknown}
-	for _, c := range []struct{ given, want error }{
+	for _, c := range []struct{ returned, want error }{
 		{batchrun.ErrNotFound, batchrun.ErrNotFound},
 		{batchrun.ErrUnsure, batchrun.ErrUnsure},
 		{batchrun.ErrNotRun, batchrun.ErrNotRun},
@@ -119,8 +119,8 @@
 		{io.ErrUnexpectedEOF, batchrun.ErrUnknown},
 	} {
 		g := NewWithT(t)
-		address, client := serve(t, &holder{err: c.given})
-		for _, err := range failures(client, address) {
+		address, client := serve(t, &fakeHandler{err: c.returned})
+		for _, err := range callErrors(client, address) {
 			for _, k := range known {
 				if k == c.want {
 					g.Expect(err).To(MatchError(k))
@@ -133,17 +133,18 @@
 	}
 }
 
-func failures(c *Client, address string) []error {
+// callErrors makes each call that returns an outcome, and returns their errors.
+func callErrors(c *Client, address string) []error {
 	ctx := context.Background()
-	_, list := c.List(ctx, address, "b", 0, 0)
-	_, body := c.Body(ctx, address, "b", "s")
-	return []error{list, body, c.End(ctx, address, "b")}
+	_, listErr := c.List(ctx, address, "b", 0, 0)
+	_, bodyErr := c.Body(ctx, address, "b", "s")
+	return []error{listErr, bodyErr, c.End(ctx, address, "b")}
 }
 
-// A VM loses power: connections to it take bytes and answer nothing, and no reset comes.
-// Each call must end by its own time, and a connection that was idle then isn't used
-// again, or every one that is kept would cost a caller its timeout.
-func TestSilentDaemonIsUnreachable(t *testing.T) {
+// Guards against calls that hang on the connections to a VM that lost power: these accept
+// data but never return any, nor a reset. Each call must end at its own deadline. The idle
+// connections must not be used again, or each of them would cost a call its timeout.
+func TestUnresponsiveDaemonIsUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	l := listen(t)
 	accepted := make(chan net.Conn, 8)
@@ -164,15 +165,15 @@
 		_, err := c.Locate(ctx, l.Addr().String(), "b", false)
 		cancel()
 		g.Expect(err).To(MatchError(batchrun.ErrUnreachable))
-		g.Eventually(accepted).Should(Receive(), "call %d made a connection of its own", n)
+		g.Eventually(accepted).Should(Receive(), "call %d made a new connection", n)
 	}
 }
 
-// A process was killed and its port is closed, or somebody who isn't a daemon connects to
-// ours. The first is told at once; the second ends that connection only.
+// A call to the closed port of a process that was killed must fail at once. Data that is not
+// drpc, from a client that is not a daemon, must end that connection only.
 func TestRefusedAndForeignConnections(t *testing.T) {
 	g := NewWithT(t)
-	h := &holder{}
+	h := &fakeHandler{}
 	address, c := serve(t, h)
 	foreign, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/batchpeer/client.go
+++ b/internal/batchpeer/client.go
@@ -1,5 +1,5 @@
-// Package batchpeer carries calls on batches between daemons over drpc: Client is
-// batchrun.Peers, Serve answers by what holds the batches here.
+// Package batchpeer carries calls on batches between daemons over drpc. Client implements
+// batchrun.Peers; Serve answers calls for the batches that are held locally.
 package batchpeer
 
 import (
@@ -22,16 +22,17 @@
 )
 
 const (
-	// dialTimeout: daemons are some ms apart; one that was cut off doesn't answer.
+	// dialTimeout bounds the making of a connection. Daemons are a few ms apart; one that is
+	// cut off does not respond at all.
 	dialTimeout = 150 * time.Millisecond
-	// idleTimeout is how long a connection is kept without a call. One that fell silent
-	// shows only by a call's timeout, so few are kept, and not for long.
+	// idleTimeout is how long an idle connection is kept. A connection whose other end is
+	// gone is noticed only when a call on it times out, so few are kept, and not for long.
 	idleTimeout = 4 * time.Second
-	// keptPerDaemon bounds the idle connections to one daemon: a call has a connection
-	// to itself, and few are under way at a time.
-	keptPerDaemon = 4
-	// maxMessageBytes bounds one message: a page of results is below 1 MB of text, a body
-	// is what a trainer submitted in one call.
+	// maxIdlePerDaemon bounds the idle connections to one daemon. A call has a connection to
+	// itself, and few calls run at a time.
+	maxIdlePerDaemon = 4
+	// maxMessageBytes bounds one message. A page of results has less than 1 MB of text; a
+	// body is what a trainer submitted in one call.
 	maxMessageBytes = 16 << 20
 )
 
@@ -40,18 +41,19 @@
 	callsMade = metrics.Counter("batch_peer_calls")
 )
 
-// target is an address and the number of times that its connections were given up.
-type target struct {
+// poolKey is the key of the connections to one daemon in the pool.
+type poolKey struct {
 	address string
-	given   int
+	// generation counts how often all connections to the address were abandoned.
+	generation int
 }
 
-// Client passes calls to other daemons. It is safe for concurrent use.
+// Client makes calls to other daemons. It is safe for concurrent use.
 type Client struct {
-	pool *drpcpool.Pool[target, *drpcconn.Conn]
+	pool *drpcpool.Pool[poolKey, *drpcconn.Conn]
 
-	mu    sync.Mutex
-	given map[string]int // by address
+	mu          sync.Mutex
+	generations map[string]int // current generation by address
 }
 
 var _ batchrun.Peers = (*Client)(nil)
@@ -59,59 +61,61 @@
 // NewClient returns a client without connections.
 func NewClient() *Client {
 	return &Client{
-		pool:  drpcpool.New[target, *drpcconn.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: keptPerDaemon}),
-		given: map[string]int{},
+		pool:        drpcpool.New[poolKey, *drpcconn.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: maxIdlePerDaemon}),
+		generations: map[string]int{},
 	}
 }
 
 // Close closes all idle connections.
 func (c *Client) Close() error { return c.pool.Close() }
 
-func (c *Client) targetOf(address string) target {
+func (c *Client) keyOf(address string) poolKey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return target{address, c.given[address]}
+	return poolKey{address, c.generations[address]}
 }
 
-// giveUp leaves the idle connections of a target unused. When one of them fell silent, as
-// behind a network that lost its state, so did the others: each would cost a timeout.
-func (c *Client) giveUp(t target) {
+// abandonIdle makes sure that the idle connections of a key are not used again; they expire
+// in the pool. If one of them went dead without a reset, as behind a network device that lost
+// its state, so did the others, and each would cost a call its timeout.
+func (c *Client) abandonIdle(key poolKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.given[t.address] == t.given {
-		c.given[t.address]++
+	if c.generations[key.address] == key.generation {
+		c.generations[key.address]++
 	}
 }
 
-func dial(ctx context.Context, t target) (*drpcconn.Conn, error) {
+func dial(ctx context.Context, key poolKey) (*drpcconn.Conn, error) {
 	dials.Add(1)
 	dialer := net.Dialer{Timeout: dialTimeout}
-	raw, err := dialer.DialContext(ctx, "tcp", t.address)
+	conn, err := dialer.DialContext(ctx, "tcp", key.address)
 	if err != nil {
 		return nil, err
 	}
-	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: managerOptions()}), nil
+	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes}}
 }
 
-// call makes one call; its error is ErrUnreachable.
+// call makes one call. Its error wraps batchrun.ErrUnreachable.
 func (c *Client) call(ctx context.Context, address string, do func(peerpb.DRPCBatchesClient) error) error {
 	callsMade.Add(1)
-	t := c.targetOf(address)
-	conn := c.pool.Get(ctx, t, dial)
+	key := c.keyOf(address)
+	conn := c.pool.Get(ctx, key, dial)
 	err := do(peerpb.NewDRPCBatchesClient(conn))
-	_ = conn.Close() // of this use; the pool keeps the connection
+	_ = conn.Close() // ends this use; the pool keeps the connection
 	if err == nil {
 		return nil
 	}
-	c.giveUp(t)
+	c.abandonIdle(key)
 	return fmt.Errorf("%w: %s: %w", batchrun.ErrUnreachable, address, err)
 }
 
-// Locate asks a daemon whether it holds a batch.
+// Locate asks the daemon at an address whether it holds the batch with this ID. With confirm,
+// that daemon first catches up with the log in the partitions where it did not find it.
 func (c *Client) Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
 	var reply *peerpb.LocateReply
 	err := c.call(ctx, address, func(client peerpb.DRPCBatchesClient) (err error) {
@@ -122,13 +126,14 @@
 		return locate.Answer{}, err
 	}
 	answer := locate.Answer{Found: reply.GetFound()}
-	for _, part := range reply.GetConfirmed() {
-		answer.Confirmed = append(answer.Confirmed, int(part))
+	for _, partition := range reply.GetConfirmed() {
+		answer.Confirmed = append(answer.Confirmed, int(partition))
 	}
 	return answer, nil
 }
 
-// List reads what a daemon has listed of a batch.
+// List reads the results of a batch after the first "after" ones from the daemon that holds
+// it. If there are none yet, that daemon waits for the first, up to wait.
 func (c *Client) List(ctx context.Context, address, id string, after int, wait time.Duration) (batchrun.Listing, error) {
 	var reply *peerpb.ListReply
 	err := c.call(ctx, address, func(client peerpb.DRPCBatchesClient) (err error) {
@@ -144,7 +149,7 @@
 	return decodeListing(reply), nil
 }
 
-// End ends a batch at a daemon.
+// End ends a batch at the daemon that holds it.
 func (c *Client) End(ctx context.Context, address, id string) error {
 	var reply *peerpb.EndReply
 	err := c.call(ctx, address, func(client peerpb.DRPCBatchesClient) (err error) {
@@ -154,7 +159,8 @@
 	return errors.Join(err, errorOf(reply.GetOutcome()))
 }
 
-// Body asks a daemon where a sample's body lies.
+// Body asks the daemon that holds a batch where the body of a sample is stored; item is the
+// sample's ID.
 func (c *Client) Body(ctx context.Context, address, id, item string) (batchrun.BodyAt, error) {
 	var reply *peerpb.BodyReply
 	err := c.call(ctx, address, func(client peerpb.DRPCBatchesClient) (err error) {
--- a/internal/batchpeer/encode.go
+++ b/internal/batchpeer/encode.go
@@ -8,8 +8,8 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/peer/peerpb"
 )
 
-// outcomeOf tells an error of batchrun.Here on the wire. What isn't known to be without
-// effect may take effect.
+// outcomeOf encodes an error of batchrun.Here. Any error that does not exclude that the call
+// takes effect later is OUTCOME_UNKNOWN.
 func outcomeOf(err error) peerpb.Outcome {
 	switch {
 	case err == nil:
@@ -24,8 +24,9 @@
 	return peerpb.Outcome_OUTCOME_UNKNOWN
 }
 
-func errorOf(o peerpb.Outcome) error {
-	switch o {
+// errorOf decodes an outcome. A value without a meaning here becomes batchrun.ErrUnknown.
+func errorOf(outcome peerpb.Outcome) error {
+	switch outcome {
 	case peerpb.Outcome_OUTCOME_DONE:
 		return nil
 	case peerpb.Outcome_OUTCOME_NOT_FOUND:
@@ -43,8 +44,8 @@
 	for i := range l.Listed {
 		reply.Listed = append(reply.Listed, encodeSample(&l.Listed[i]))
 	}
-	for at, data := range l.Blobs {
-		reply.Blobs = append(reply.Blobs, &peerpb.Blob{At: at, Data: data})
+	for offset, data := range l.Blobs {
+		reply.Blobs = append(reply.Blobs, &peerpb.Blob{At: offset, Data: data})
 	}
 	return reply
 }
@@ -52,14 +53,14 @@
 func encodeSample(s *batch.Sample) *peerpb.ListedSample {
 	out := &peerpb.ListedSample{Id: s.ID, Dead: s.State == batch.Dead, Score: s.Score}
 	if out.Dead {
-		return out // it has no text
+		return out // a dead sample has no text
 	}
 	for _, segment := range s.Text.Segments {
-		x := &peerpb.TextSegment{At: segment.At, Events: uint32(segment.Events)}
+		encoded := &peerpb.TextSegment{At: segment.At, Events: uint32(segment.Events)}
 		for _, run := range segment.Versions {
-			x.Versions = append(x.Versions, &peerpb.VersionRun{Version: run.Version, Events: uint32(run.Events)})
+			encoded.Versions = append(encoded.Versions, &peerpb.VersionRun{Version: run.Version, Events: uint32(run.Events)})
 		}
-		out.Segments = append(out.Segments, x)
+		out.Segments = append(out.Segments, encoded)
 	}
 	return out
 }
@@ -80,9 +81,9 @@
 	if s.GetDead() {
 		out.State = batch.Dead
 	}
-	for _, x := range s.GetSegments() {
-		segment := batch.Segment{At: x.GetAt(), Events: int(x.GetEvents())}
-		for _, run := range x.GetVersions() {
+	for _, encoded := range s.GetSegments() {
+		segment := batch.Segment{At: encoded.GetAt(), Events: int(encoded.GetEvents())}
+		for _, run := range encoded.GetVersions() {
 			segment.Versions = append(segment.Versions, batch.VersionRun{Version: run.GetVersion(), Events: int(run.GetEvents())})
 		}
 		out.Text.Segments = append(out.Text.Segments, segment)
--- a/internal/batchpeer/server.go
+++ b/internal/batchpeer/server.go
@@ -20,38 +20,46 @@
 )
 
 const (
-	// maxConnections bounds the connections of other daemons, of which each has up to
-	// keptPerDaemon: far below the descriptors of a small VM.
+	// maxConnections bounds the connections from other daemons, each of which keeps up to
+	// maxIdlePerDaemon idle. It is far below the file descriptor limit of a small VM.
 	maxConnections = 1024
-	// acceptPause follows a connection that couldn't be accepted, for lack of descriptors.
-	acceptPause = 100 * time.Millisecond
-	// idleConnTimeout closes a connection without a call, such as one whose daemon lost
-	// power: no reset comes. It is above the client's, which closes first.
+	// acceptRetryDelay is the pause after a connection could not be accepted, as when file
+	// descriptors ran out.
+	acceptRetryDelay = 100 * time.Millisecond
+	// idleConnTimeout is when the server closes an idle connection, such as one from a daemon
+	// that lost power without a reset. It is longer than idleTimeout, so that normally the
+	// client closes first.
 	idleConnTimeout = 3 * idleTimeout
 )
 
-// Holder answers for the batches that are held here; batchrun.Here is it.
-type Holder interface {
+// Handler handles calls on the batches that are held locally. batchrun.Here implements it.
+type Handler interface {
+	// Locate reports whether the batch with this ID is held here. With confirm, partitions
+	// where it was not found catch up with the log first.
 	Locate(ctx context.Context, id string, confirm bool) locate.Answer
+	// List returns the results of a batch after the first "after" ones. If there are none yet,
+	// it waits for the first, up to wait.
 	List(ctx context.Context, id string, after int, wait time.Duration) (batchrun.Listing, error)
+	// End ends a batch.
 	End(ctx context.Context, id string) error
+	// Body returns where the body of a sample of a batch is stored; item is the sample's ID.
 	Body(ctx context.Context, id, item string) (batchrun.BodyAt, error)
 }
 
-// Serve answers other daemons on a listener until the context ends. It returns when all
-// calls have ended.
-func Serve(ctx context.Context, listener net.Listener, holder Holder, log zerolog.Logger) error {
-	calls := drpcmux.New()
-	if err := peerpb.DRPCRegisterBatches(calls, &server{holder}); err != nil {
+// Serve serves calls from other daemons on a listener until the context ends, and closes the
+// listener. It returns when all calls have ended.
+func Serve(ctx context.Context, listener net.Listener, handler Handler, log zerolog.Logger) error {
+	mux := drpcmux.New()
+	if err := peerpb.DRPCRegisterBatches(mux, &server{handler}); err != nil {
 		return fmt.Errorf("batchpeer: register: %w", err)
 	}
 	options := managerOptions()
 	options.InactivityTimeout = idleConnTimeout
-	drpcServer := drpcserver.NewWithOptions(calls, drpcserver.Options{Manager: options})
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // ends Accept
+	drpcServer := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: options})
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // makes Accept return
 	defer stop()
-	var work sync.WaitGroup
-	defer work.Wait()
+	var conns sync.WaitGroup
+	defer conns.Wait()
 	slots := make(chan struct{}, maxConnections)
 	for {
 		conn, err := listener.Accept()
@@ -59,53 +67,53 @@
 			return nil
 		}
 		if err != nil {
-			log.Warn().Err(err).Msg("daemon's connection not accepted")
-			pause.For(ctx, acceptPause)
+			log.Warn().Err(err).Msg("accepting a daemon's connection failed")
+			pause.For(ctx, acceptRetryDelay)
 			continue
 		}
 		select {
 		case slots <- struct{}{}:
 		default:
-			log.Warn().Int("connections", maxConnections).Msg("too many connections of daemons, one closed")
-			_ = conn.Close() // the daemon asks elsewhere
+			log.Warn().Int("connections", maxConnections).Msg("too many connections from daemons; closed the new one")
+			_ = conn.Close() // that daemon queries another one
 			continue
 		}
-		work.Go(func() {
+		conns.Go(func() {
 			defer func() { <-slots }()
-			_ = drpcServer.ServeOne(ctx, conn) // ends with the connection, always with an error
+			_ = drpcServer.ServeOne(ctx, conn) // always returns an error when the connection ends
 		})
 	}
 }
 
-// server turns messages into calls.
-type server struct{ holder Holder }
+// server implements the drpc service by a Handler.
+type server struct{ handler Handler }
 
-// Locate implements the daemons' protocol.
+// Locate implements peerpb.DRPCBatchesServer.
 func (s *server) Locate(ctx context.Context, in *peerpb.LocateRequest) (*peerpb.LocateReply, error) {
-	answer := s.holder.Locate(ctx, in.GetBatch(), in.GetConfirm())
+	answer := s.handler.Locate(ctx, in.GetBatch(), in.GetConfirm())
 	reply := &peerpb.LocateReply{Found: answer.Found}
-	for _, part := range answer.Confirmed {
-		reply.Confirmed = append(reply.Confirmed, uint32(part))
+	for _, partition := range answer.Confirmed {
+		reply.Confirmed = append(reply.Confirmed, uint32(partition))
 	}
 	return reply, nil
 }
 
-// List implements the daemons' protocol.
+// List implements peerpb.DRPCBatchesServer.
 func (s *server) List(ctx context.Context, in *peerpb.ListRequest) (*peerpb.ListReply, error) {
-	l, err := s.holder.List(ctx, in.GetBatch(), int(in.GetAfter()), time.Duration(in.GetWaitMs())*time.Millisecond)
+	listing, err := s.handler.List(ctx, in.GetBatch(), int(in.GetAfter()), time.Duration(in.GetWaitMs())*time.Millisecond)
 	if err != nil {
 		return &peerpb.ListReply{Outcome: outcomeOf(err)}, nil
 	}
-	return encodeListing(l), nil
+	return encodeListing(listing), nil
 }
 
-// End implements the daemons' protocol.
+// End implements peerpb.DRPCBatchesServer.
 func (s *server) End(ctx context.Context, in *peerpb.EndRequest) (*peerpb.EndReply, error) {
-	return &peerpb.EndReply{Outcome: outcomeOf(s.holder.End(ctx, in.GetBatch()))}, nil
+	return &peerpb.EndReply{Outcome: outcomeOf(s.handler.End(ctx, in.GetBatch()))}, nil
 }
 
-// Body implements the daemons' protocol.
+// Body implements peerpb.DRPCBatchesServer.
 func (s *server) Body(ctx context.Context, in *peerpb.BodyRequest) (*peerpb.BodyReply, error) {
-	at, err := s.holder.Body(ctx, in.GetBatch(), in.GetSample())
+	at, err := s.handler.Body(ctx, in.GetBatch(), in.GetSample())
 	return &peerpb.BodyReply{Outcome: outcomeOf(err), Part: uint32(at.Part), At: at.At, Index: uint32(at.Index), Blob: at.Blob}, nil
 }
