--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -8,42 +8,45 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/spread"
 )
 
-// members are the upstreams of one service.
+// members is the upstreams of one service.
 type members struct {
 	byID    map[string]Upstream
-	changes uint64 // but for those of weights
-	// sorted is byID by ID, nil until it's asked for after a change.
+	changes uint64 // number of changes, those of Models not counted
+	// sorted holds the values of byID sorted by ID. It is nil after a change until it is
+	// needed.
 	sorted []Upstream
-	// places are those that aren't leaving, by a hash of their address: a change of one of
-	// thousands neither sorts nor hashes the others.
-	places []place
+	// byHash holds the upstreams that are not leaving, sorted by the hash of their address.
+	// It is kept up to date, so that a change of one of thousands of upstreams neither sorts
+	// nor hashes the others.
+	byHash []hashedMember
 }
 
-// place is an upstream in the order of places.
-type place struct {
+// hashedMember identifies an upstream in the hash order.
+type hashedMember struct {
 	hash uint64 // of its address
 	id   string
 }
 
-func (p place) compare(o place) int {
-	return cmp.Or(cmp.Compare(p.hash, o.hash), cmp.Compare(p.id, o.id))
+func (h hashedMember) compare(other hashedMember) int {
+	return cmp.Or(cmp.Compare(h.hash, other.hash), cmp.Compare(h.id, other.id))
 }
 
-func placeOf(u Upstream) place { return place{spread.Hash(u.Address), u.ID} }
+func hashedMemberOf(u Upstream) hashedMember { return hashedMember{spread.Hash(u.Address), u.ID} }
 
-// set takes an upstream's next state; old is the one before, if it was known.
+// set replaces the state of an upstream, old, by u. known reports whether there is an old
+// state.
 func (m *members) set(old Upstream, known bool, u Upstream) {
 	m.byID[u.ID] = u
 	m.sorted = nil
-	if known && old.samePlace(u) {
+	if known && old.equalExceptModels(u) {
 		return
 	}
 	m.changes++
 	if known && !old.Leaving {
-		m.leave(placeOf(old))
+		m.deleteHashed(hashedMemberOf(old))
 	}
 	if !u.Leaving {
-		m.enter(placeOf(u))
+		m.insertHashed(hashedMemberOf(u))
 	}
 }
 
@@ -52,34 +55,36 @@
 	m.sorted = nil
 	m.changes++
 	if !u.Leaving {
-		m.leave(placeOf(u))
+		m.deleteHashed(hashedMemberOf(u))
 	}
 }
 
-func (m *members) enter(p place) {
-	at, _ := slices.BinarySearchFunc(m.places, p, place.compare)
-	m.places = slices.Insert(m.places, at, p)
+func (m *members) insertHashed(h hashedMember) {
+	i, _ := slices.BinarySearchFunc(m.byHash, h, hashedMember.compare)
+	m.byHash = slices.Insert(m.byHash, i, h)
 }
 
-func (m *members) leave(p place) {
-	if at, found := slices.BinarySearchFunc(m.places, p, place.compare); found {
-		m.places = slices.Delete(m.places, at, at+1)
+func (m *members) deleteHashed(h hashedMember) {
+	if i, found := slices.BinarySearchFunc(m.byHash, h, hashedMember.compare); found {
+		m.byHash = slices.Delete(m.byHash, i, i+1)
 	}
 }
 
+// all returns the upstreams sorted by ID.
 func (m *members) all() []Upstream {
 	if m.sorted == nil {
-		m.sorted = sorted(slices.Collect(maps.Values(m.byID)))
+		m.sorted = sortByID(slices.Collect(maps.Values(m.byID)))
 	}
 	return m.sorted
 }
 
-// sample returns the first so many of the places, the newest upstream of an address: the
-// entry of the one before may not have lapsed yet.
+// sample returns the first n upstreams in the hash order, one for each address. Of several
+// with one address it returns the one that started last: the entry of an earlier one may not
+// have expired yet.
 func (m *members) sample(n int) []Upstream {
 	var out []Upstream
-	for _, p := range m.places {
-		u := m.byID[p.id]
+	for _, h := range m.byHash {
+		u := m.byID[h.id]
 		if last := len(out) - 1; last >= 0 && out[last].Address == u.Address {
 			if u.Started >= out[last].Started {
 				out[last] = u
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -13,11 +13,11 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/spread"
 )
 
-// naiveSample sorts all upstreams of a service anew.
-func naiveSample(r *Registry, service string, n int) []Upstream {
+// referenceSample computes Sample from scratch, by sorting all upstreams of the service.
+func referenceSample(r *Registry, service string, n int) []Upstream {
 	byAddress := map[string]Upstream{}
 	for _, u := range r.All() {
-		if old, twice := byAddress[u.Address]; u.Service == service && !u.Leaving && (!twice || u.Started >= old.Started) {
+		if old, known := byAddress[u.Address]; u.Service == service && !u.Leaving && (!known || u.Started >= old.Started) {
 			byAddress[u.Address] = u
 		}
 	}
@@ -29,15 +29,15 @@
 	return out[:min(n, len(out))]
 }
 
-// Guards against daemons that differ on which upstreams of a service they use, after
-// upstreams came, left, restarted, changed their service or their address.
-func TestSampleAgreesWithSortingAnew(t *testing.T) {
+// Guards against daemons that use different upstreams of a service, after upstreams came,
+// left, restarted, or changed their service or address.
+func TestSampleAgreesWithSortingAll(t *testing.T) {
 	for seed := range uint64(50) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(seed, 9))
 		r := New()
 		for step := range 200 {
-			before, members := r.Sample("s0", 5), r.Members("s0")
+			before, changes := r.Sample("s0", 5), r.Members("s0")
 			u := Upstream{
 				ID: fmt.Sprint("u", random.IntN(15)), Service: fmt.Sprint("s", random.IntN(2)), Address: fmt.Sprint("a", random.IntN(12)),
 				Started: int64(1 + random.IntN(3)), Leaving: random.IntN(4) == 0, Models: map[string]int64{"m": int64(random.IntN(3))},
@@ -51,12 +51,12 @@
 				r.Put(u)
 			}
 			for _, n := range []int{1, 5, 100} {
-				g.Expect(r.Sample("s0", n)).To(HaveExactElements(naiveSample(r, "s0", n)), "seed %d, step %d", seed, step)
+				g.Expect(r.Sample("s0", n)).To(HaveExactElements(referenceSample(r, "s0", n)), "seed %d, step %d", seed, step)
 			}
-			if r.Members("s0") == members {
+			if r.Members("s0") == changes {
 				g.Expect(len(r.Sample("s0", 5))).To(Equal(len(before)))
 				for i, x := range r.Sample("s0", 5) {
-					g.Expect(x.samePlace(before[i])).To(BeTrue(), "seed %d, step %d", seed, step)
+					g.Expect(x.equalExceptModels(before[i])).To(BeTrue(), "seed %d, step %d", seed, step)
 				}
 			}
 			all := slices.DeleteFunc(r.All(), func(x Upstream) bool { return x.Service != "s1" })
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,7 +1,9 @@
-// Package registry knows the live upstreams by incarnation. An incarnation is an ID
-// and the start of the upstream's process: one that starts again may keep its ID, and
-// holds and knows nothing of before. Its address may pass on to another service. The
-// package is pure: time is passed in. Not safe for concurrent use.
+// Package registry keeps the live upstreams by incarnation. An incarnation is an ID together
+// with the start time of the upstream's process. A restarted process may keep its ID, but has
+// none of the state of the one before. An address may pass to an upstream of another service.
+//
+// The package does no I/O, and the caller passes in the time. A Registry is not safe for
+// concurrent use.
 package registry
 
 import (
@@ -12,32 +14,32 @@
 	"time"
 )
 
-// ReturnGrace is how long an entry that lapsed while the store was away is
-// still used after the store's return. Live upstreams are registered anew
-// within about two seconds.
-const ReturnGrace = 2200 * time.Millisecond
+// RecoveryGrace is how long after an outage of the store an upstream is kept whose entry was
+// removed during the outage. Live upstreams register again within about two seconds.
+const RecoveryGrace = 2200 * time.Millisecond
 
-// startMemory is how long the newest start of an ID without an entry is remembered:
-// an entry of the incarnation before may still be on its way then.
-const startMemory = 10 * time.Minute
+// removedStartTTL is how long the newest start time of an ID is remembered after its entry
+// was removed: an entry of the incarnation before may still arrive within that time.
+const removedStartTTL = 10 * time.Minute
 
 // Upstream is one incarnation of a server.
 type Upstream struct {
 	ID string
-	// Started is the start of its process by its own word, in Unix ms. 0: it doesn't
-	// say; what comes without a start belongs to the newest one known.
+	// Started is the start time of its process in Unix ms, as the process reports it, 0 if it
+	// does not. Data without a start time is attributed to the newest known incarnation.
 	Started    int64
 	Service    string
 	Address    string // ip:port
 	DataCentre string
-	Slots      int
-	Leaving    bool             // gets no new work
-	Spot       bool             // may be taken away at short notice
+	Slots      int              // requests that it runs at a time
+	Leaving    bool             // it must not get new work
+	Spot       bool             // a spot instance: may be taken away at short notice
 	Models     map[string]int64 // weight version by model
 }
 
-// Incarnation names the upstream's process for state that ends with it: what it runs,
-// its pace, suspicions against it.
+// Incarnation returns a name of the upstream's process. It is the key of all state that is
+// lost or void when the process ends, such as requests in flight, measured speed and
+// suspicion.
 func (u Upstream) Incarnation() string {
 	if u.Started == 0 {
 		return u.ID
@@ -45,56 +47,59 @@
 	return u.ID + "@" + strconv.FormatInt(u.Started, 10)
 }
 
-// start is the newest known start of an ID.
-type start struct {
-	at   int64         // Unix ms
-	gone time.Duration // when its entry was removed, 0: it has one
+// newestStart is the newest known start time of an ID.
+type newestStart struct {
+	startedMS int64         // Unix ms
+	removedAt time.Duration // when the entry of the ID was removed, 0: it has one
 }
 
-// goneStart is an ID whose entry was removed.
-type goneStart struct {
-	id string
-	at time.Duration
+// removedStart is an ID whose entry was removed.
+type removedStart struct {
+	id        string
+	removedAt time.Duration
 }
 
-// Registry is the view of all upstreams.
+// Registry is the set of all live upstreams. All times passed to it are readings of one
+// monotonic clock.
 type Registry struct {
-	upstreams map[string]Upstream
-	starts    map[string]start // by ID, of those that tell theirs
-	gone      []goneStart      // in the order of time, to be forgotten
-	// lapsed entries were removed while the store was away.
-	lapsed map[string]time.Duration // ID -> when it goes unless registered again
-	away   bool
-	until  time.Duration // end of the grace after the store's return
-
-	changes  uint64 // of the upstreams
+	upstreams     map[string]Upstream
+	starts        map[string]newestStart // by ID, of upstreams that report a start time
+	removedStarts []removedStart         // by time of removal, oldest first
+	// pendingRemovals holds, by ID, when upstreams are dropped whose entry was removed during
+	// an outage of the store, unless they register again.
+	pendingRemovals map[string]time.Duration
+	storeLost       bool
+	graceEnd        time.Duration // end of RecoveryGrace after the last outage of the store
+
+	changes  uint64 // number of changes of upstreams
 	services map[string]*members
 }
 
-// New returns an empty registry.
+// New returns an empty Registry.
 func New() *Registry {
-	return &Registry{upstreams: map[string]Upstream{}, starts: map[string]start{}, lapsed: map[string]time.Duration{}, services: map[string]*members{}}
+	return &Registry{upstreams: map[string]Upstream{}, starts: map[string]newestStart{}, pendingRemovals: map[string]time.Duration{}, services: map[string]*members{}}
 }
 
-// Changes counts the changes of the upstreams: while it stays the same, so do they.
+// Changes returns the number of changes of upstreams so far. While it is the same, so are the
+// upstreams.
 func (r *Registry) Changes() uint64 { return r.changes }
 
-// set takes an upstream as it is now.
+// set replaces the state of an upstream.
 func (r *Registry) set(u Upstream) {
 	old, known := r.upstreams[u.ID]
 	if known && old.equal(u) {
 		return
 	}
 	if known && old.Service != u.Service {
-		r.of(old.Service).remove(old)
+		r.membersOf(old.Service).remove(old)
 		known = false
 	}
 	r.upstreams[u.ID] = u
-	r.of(u.Service).set(old, known, u)
+	r.membersOf(u.Service).set(old, known, u)
 	r.changes++
 }
 
-func (r *Registry) of(service string) *members {
+func (r *Registry) membersOf(service string) *members {
 	m := r.services[service]
 	if m == nil {
 		m = &members{byID: map[string]Upstream{}}
@@ -103,27 +108,30 @@
 	return m
 }
 
-func (u Upstream) equal(o Upstream) bool { return u.samePlace(o) && maps.Equal(u.Models, o.Models) }
+func (u Upstream) equal(other Upstream) bool {
+	return u.equalExceptModels(other) && maps.Equal(u.Models, other.Models)
+}
 
-// samePlace reports whether two states of an upstream differ by weights at most.
-func (u Upstream) samePlace(o Upstream) bool {
-	return u.ID == o.ID && u.Started == o.Started && u.Service == o.Service && u.Address == o.Address &&
-		u.DataCentre == o.DataCentre && u.Slots == o.Slots && u.Leaving == o.Leaving && u.Spot == o.Spot
+// equalExceptModels reports whether two states of an upstream differ in Models at most.
+func (u Upstream) equalExceptModels(other Upstream) bool {
+	return u.ID == other.ID && u.Started == other.Started && u.Service == other.Service && u.Address == other.Address &&
+		u.DataCentre == other.DataCentre && u.Slots == other.Slots && u.Leaving == other.Leaving && u.Spot == other.Spot
 }
 
-// Put takes an upstream's entry. It reports false for one that is older than the newest
-// known start, which changes nothing. Versions of weights only grow within one
-// incarnation, so an older entry doesn't hide a load that is known already; the next
-// one's are what it says.
+// Put registers an upstream or updates it with a new entry. It reports false, and changes
+// nothing, if the entry is of an earlier start than the newest known one.
+//
+// Within one incarnation weight versions only increase, so an older entry does not undo a
+// load that is known already. The entry of a new incarnation replaces all versions.
 func (r *Registry) Put(u Upstream) bool {
-	known := r.starts[u.ID].at
+	newest := r.starts[u.ID].startedMS
 	if u.Started == 0 {
-		u.Started = known
+		u.Started = newest
 	}
-	if u.Started < known {
+	if u.Started < newest {
 		return false
 	}
-	delete(r.lapsed, u.ID)
+	delete(r.pendingRemovals, u.ID)
 	if old, ok := r.upstreams[u.ID]; ok && old.Started == u.Started {
 		if u.Models == nil {
 			u.Models = map[string]int64{}
@@ -136,27 +144,28 @@
 	}
 	r.set(u)
 	if u.Started != 0 {
-		r.starts[u.ID] = start{at: u.Started}
+		r.starts[u.ID] = newestStart{startedMS: u.Started}
 	}
 	return true
 }
 
-// Restarted notes what an upstream says of itself beside its entries: its start, and the
-// weights that it serves. It reports whether that is a newer start than the known one.
+// Restarted records the start time (Unix ms) and the weight versions by model that an
+// upstream reports outside its entries. It reports whether the start is newer than the known
+// one; otherwise nothing changes.
 func (r *Registry) Restarted(id string, started int64, models map[string]int64) bool {
 	u, ok := r.upstreams[id]
-	if !ok || started <= r.starts[id].at {
+	if !ok || started <= r.starts[id].startedMS {
 		return false
 	}
 	u.Started = started
 	u.Models = maps.Clone(models)
 	r.set(u)
-	r.starts[id] = start{at: started}
+	r.starts[id] = newestStart{startedMS: started}
 	return true
 }
 
-// Loaded notes that an incarnation serves a version, ahead of its next entry. What
-// comes without a start holds for the newest one.
+// Loaded records that an incarnation has loaded a weight version, before its next entry says
+// so. started is the start time of the incarnation in Unix ms, 0 for the newest.
 func (r *Registry) Loaded(id string, started int64, model string, version int64) {
 	u, ok := r.upstreams[id]
 	if !ok || started != 0 && started != u.Started || u.Models[model] >= version {
@@ -165,9 +174,10 @@
 	r.setVersion(u, model, version)
 }
 
-// Serves notes the version that an incarnation's answer to a request began with. Unlike
-// an entry it is never older than the request, so it may also lower a version: an
-// upstream that started again without saying so lacks what it had loaded.
+// Serves records the weight version with which an incarnation began its response to a
+// request. Unlike an entry, a response is never older than the request. It may therefore also
+// lower the version: an upstream that restarted without reporting it lacks the weights that
+// it had loaded before.
 func (r *Registry) Serves(id string, started int64, model string, version int64) {
 	u, ok := r.upstreams[id]
 	if !ok || started != u.Started || u.Models[model] == version {
@@ -182,43 +192,43 @@
 	r.set(u)
 }
 
-// Reject drops an upstream whose newest entry can't be its own: such an entry names no
-// server to use, and the one before doesn't hold any more.
+// Reject drops an upstream whose newest entry is invalid, such as one from another writer.
+// That entry names no usable server, and the entry before it is no longer valid.
 func (r *Registry) Reject(id string, now time.Duration) {
-	delete(r.lapsed, id)
+	delete(r.pendingRemovals, id)
 	r.drop(id, now)
 }
 
 func (r *Registry) drop(id string, now time.Duration) {
 	if u, ok := r.upstreams[id]; ok {
 		delete(r.upstreams, id)
-		r.of(u.Service).remove(u)
+		r.membersOf(u.Service).remove(u)
 		r.changes++
 	}
 	if s, ok := r.starts[id]; ok {
-		s.gone = now
+		s.removedAt = now
 		r.starts[id] = s
-		r.gone = append(r.gone, goneStart{id, now})
+		r.removedStarts = append(r.removedStarts, removedStart{id, now})
 	}
 }
 
-// Remove drops an upstream. While the store is away, and for ReturnGrace after
-// its return, entries also lapse because their owners couldn't reach the store;
-// such an upstream is kept until the grace ends.
+// Remove drops an upstream whose entry was removed. During an outage of the store, and for
+// RecoveryGrace afterwards, entries also expire because live upstreams could not renew them.
+// The upstream is then kept until the grace ends.
 func (r *Registry) Remove(id string, now time.Duration) {
 	if _, ok := r.upstreams[id]; !ok {
 		return
 	}
-	if r.away || now < r.until {
-		if _, ok := r.lapsed[id]; !ok {
-			r.lapsed[id] = r.until
+	if r.storeLost || now < r.graceEnd {
+		if _, ok := r.pendingRemovals[id]; !ok {
+			r.pendingRemovals[id] = r.graceEnd
 		}
 		return
 	}
 	r.drop(id, now)
 }
 
-// Replace takes a whole view: what it lacks is removed.
+// Replace puts all upstreams of a complete list, and removes those that it lacks.
 func (r *Registry) Replace(list []Upstream, now time.Duration) {
 	seen := map[string]bool{}
 	for _, u := range list {
@@ -232,67 +242,69 @@
 	}
 }
 
-// StoreLost notes that the store can't be reached.
-func (r *Registry) StoreLost() { r.away = true }
+// StoreLost records that the store cannot be reached.
+func (r *Registry) StoreLost() { r.storeLost = true }
 
-// StoreBack notes that the store answers again.
+// StoreBack records that the store can be reached again.
 func (r *Registry) StoreBack(now time.Duration) {
-	if !r.away {
+	if !r.storeLost {
 		return
 	}
-	r.away = false
-	r.until = now + ReturnGrace
-	for id := range r.lapsed {
-		r.lapsed[id] = r.until
+	r.storeLost = false
+	r.graceEnd = now + RecoveryGrace
+	for id := range r.pendingRemovals {
+		r.pendingRemovals[id] = r.graceEnd
 	}
 }
 
-// Expire drops the lapsed entries whose grace has ended.
+// Expire drops the upstreams whose pending removal is due, and forgets start times after
+// removedStartTTL.
 func (r *Registry) Expire(now time.Duration) {
-	if r.away {
+	if r.storeLost {
 		return
 	}
-	for id, at := range r.lapsed {
-		if now >= max(at, r.until) {
-			delete(r.lapsed, id)
+	for id, removeAt := range r.pendingRemovals {
+		if now >= max(removeAt, r.graceEnd) {
+			delete(r.pendingRemovals, id)
 			r.drop(id, now)
 		}
 	}
-	for len(r.gone) > 0 && now-r.gone[0].at > startMemory {
-		if first := r.gone[0]; r.starts[first.id].gone == first.at {
+	for len(r.removedStarts) > 0 && now-r.removedStarts[0].removedAt > removedStartTTL {
+		if first := r.removedStarts[0]; r.starts[first.id].removedAt == first.removedAt {
 			delete(r.starts, first.id)
 		}
-		r.gone = r.gone[1:]
+		r.removedStarts = r.removedStarts[1:]
 	}
 }
 
-// Count counts the upstreams.
+// Count returns the number of upstreams.
 func (r *Registry) Count() int { return len(r.upstreams) }
 
-// Get returns one upstream.
+// Get returns the upstream with an ID.
 func (r *Registry) Get(id string) (Upstream, bool) {
 	u, ok := r.upstreams[id]
 	return u, ok
 }
 
-// Of returns the upstreams of a service sorted by ID, leaving ones included. The list
-// may be given to others too and must not be changed.
-func (r *Registry) Of(service string) []Upstream { return r.of(service).all() }
+// Of returns the upstreams of a service sorted by ID, including those that are leaving. The
+// list may be shared with other callers and must not be modified.
+func (r *Registry) Of(service string) []Upstream { return r.membersOf(service).all() }
 
-// Members counts the changes of a service's upstreams but for those of their weights: while
-// it stays the same, so does what Sample returns, weights aside.
-func (r *Registry) Members(service string) uint64 { return r.of(service).changes }
+// Members returns the number of changes of a service's upstreams so far, those of Models not
+// counted. While it is the same, so is the result of Sample except for Models.
+func (r *Registry) Members(service string) uint64 { return r.membersOf(service).changes }
 
-// Sample returns so many of a service's upstreams that aren't leaving, one for each address:
-// the same ones at every daemon that knows the same upstreams, and few others after a change.
-func (r *Registry) Sample(service string, n int) []Upstream { return r.of(service).sample(n) }
+// Sample returns up to n of a service's upstreams that are not leaving, one for each address.
+// All daemons that know the same upstreams get the same ones, and a change of the upstreams
+// replaces only few of them.
+func (r *Registry) Sample(service string, n int) []Upstream { return r.membersOf(service).sample(n) }
 
-// All returns every live upstream, by ID.
+// All returns all upstreams sorted by ID.
 func (r *Registry) All() []Upstream {
-	return sorted(slices.Collect(maps.Values(r.upstreams)))
+	return sortByID(slices.Collect(maps.Values(r.upstreams)))
 }
 
-func sorted(list []Upstream) []Upstream {
+func sortByID(list []Upstream) []Upstream {
 	slices.SortFunc(list, func(a, b Upstream) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -7,10 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func up(id string, version int64) Upstream {
+// upstream returns an upstream of service "s" with a weight version of model "m".
+func upstream(id string, version int64) Upstream {
 	return Upstream{ID: id, Service: "s", Address: "a-" + id, Models: map[string]int64{"m": version}}
 }
 
+// ids returns the IDs of the upstreams of service "s".
 func ids(r *Registry) []string {
 	var out []string
 	for _, u := range r.Of("s") {
@@ -19,34 +21,34 @@
 	return out
 }
 
-// The store is away for a while. Servers can't renew their entries, so they lapse;
-// a daemon that took them for gone would have no server left when it returns.
-func TestEntriesThatLapseWhileTheStoreIsAwayStay(t *testing.T) {
+// Guards against a daemon without any upstream after an outage of the store: their entries
+// expire because the live upstreams cannot renew them.
+func TestUpstreamsAreKeptThroughStoreOutage(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	r.Put(up("u1", 1))
-	r.Put(up("u2", 1))
+	r.Put(upstream("u1", 1))
+	r.Put(upstream("u2", 1))
 	r.StoreLost()
 	r.Remove("u1", time.Second)
 	r.StoreBack(5 * time.Second)
 	r.Remove("u2", 5*time.Second)
-	r.Expire(5*time.Second + ReturnGrace/2)
+	r.Expire(5*time.Second + RecoveryGrace/2)
 	g.Expect(ids(r)).To(Equal([]string{"u1", "u2"}))
-	r.Put(up("u1", 1)) // it lives and is registered anew
-	r.Expire(5*time.Second + ReturnGrace)
-	g.Expect(ids(r)).To(Equal([]string{"u1"}), "the other is gone")
+	r.Put(upstream("u1", 1)) // it is alive and registers again
+	r.Expire(5*time.Second + RecoveryGrace)
+	g.Expect(ids(r)).To(Equal([]string{"u1"}), "the other did not register again")
 	r.Remove("u1", 10*time.Second)
-	g.Expect(ids(r)).To(BeEmpty(), "in normal times a removal holds at once")
+	g.Expect(ids(r)).To(BeEmpty(), "without an outage a removal takes effect at once")
 }
 
-// A load is known before the engine's next entry says so. That older entry must not
-// make the engine look stale again.
-func TestVersionsOnlyGrow(t *testing.T) {
+// Guards against an engine that looks stale again when an entry arrives that is older than its
+// last known load of weights.
+func TestVersionsOnlyIncrease(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	r.Put(up("u1", 1))
+	r.Put(upstream("u1", 1))
 	r.Loaded("u1", 0, "m", 3)
-	r.Put(up("u1", 2))
+	r.Put(upstream("u1", 2))
 	u, ok := r.Get("u1")
 	g.Expect(ok).To(BeTrue())
 	g.Expect(u.Models).To(HaveKeyWithValue("m", int64(3)))
@@ -54,39 +56,38 @@
 	g.Expect(ids(r)).To(Equal([]string{"u1"}))
 }
 
-func TestReplaceRemovesWhatIsMissing(t *testing.T) {
+func TestReplaceRemovesUpstreamsNotListed(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	r.Put(up("u1", 1))
-	r.Replace([]Upstream{up("u2", 1), {ID: "x", Service: "other"}}, time.Second)
+	r.Put(upstream("u1", 1))
+	r.Replace([]Upstream{upstream("u2", 1), {ID: "x", Service: "other"}}, time.Second)
 	g.Expect(ids(r)).To(Equal([]string{"u2"}))
 }
 
-func started(id string, at, version int64) Upstream {
-	u := up(id, version)
-	u.Started = at
+func startedAt(id string, startedMS, version int64) Upstream {
+	u := upstream(id, version)
+	u.Started = startedMS
 	return u
 }
 
-// A server starts again under its ID. Its entry, its own report or its answers say so in
-// any order, beside late words of the process before. What a daemon remembers of the one
-// before must not be taken for the new one's: a sample would be sent to weights that
-// aren't there.
-func TestRestartUnderOneID(t *testing.T) {
+// Guards against attributing the state of a process to its successor with the same ID: a
+// sample would be sent to weights that are not loaded. The entry, the report and the responses
+// of the new process arrive in any order, together with late data of the old one.
+func TestRestartWithSameID(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	g.Expect(r.Put(started("u", 100, 5))).To(BeTrue())
+	g.Expect(r.Put(startedAt("u", 100, 5))).To(BeTrue())
 	before, _ := r.Get("u")
-	g.Expect(r.Put(started("u", 200, 1))).To(BeTrue())
+	g.Expect(r.Put(startedAt("u", 200, 1))).To(BeTrue())
 	after, _ := r.Get("u")
 	g.Expect(after.Models).To(HaveKeyWithValue("m", int64(1)))
 	g.Expect(after.Incarnation()).NotTo(Equal(before.Incarnation()))
 	r.Loaded("u", 100, "m", 9)
 	r.Serves("u", 100, "m", 9)
-	g.Expect(r.Put(started("u", 100, 9))).To(BeFalse())
+	g.Expect(r.Put(startedAt("u", 100, 9))).To(BeFalse())
 	g.Expect(r.Restarted("u", 150, map[string]int64{"m": 9})).To(BeFalse())
 	now, _ := r.Get("u")
-	g.Expect(now).To(Equal(after), "words of an earlier start change nothing")
+	g.Expect(now).To(Equal(after), "data of an earlier start changes nothing")
 	r.Loaded("u", 0, "m", 2)
 	g.Expect(r.Restarted("u", 300, map[string]int64{"m": 1})).To(BeTrue())
 	now, _ = r.Get("u")
@@ -95,67 +96,68 @@
 	g.Expect(r.Restarted("nobody", 300, nil)).To(BeFalse())
 }
 
-// A removed server's late entry comes after its removal, and after the next start's.
-func TestStartsOutliveTheEntry(t *testing.T) {
+// Guards against a late entry of an earlier start that arrives after the upstream's entry was
+// removed.
+func TestNewestStartIsKeptAfterRemoval(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	r.Put(started("u", 200, 1))
+	r.Put(startedAt("u", 200, 1))
 	r.Remove("u", time.Second)
-	g.Expect(r.Put(started("u", 100, 1))).To(BeFalse())
+	g.Expect(r.Put(startedAt("u", 100, 1))).To(BeFalse())
 	g.Expect(ids(r)).To(BeEmpty())
-	g.Expect(r.Put(started("u", 200, 1))).To(BeTrue(), "the same process is registered anew")
+	g.Expect(r.Put(startedAt("u", 200, 1))).To(BeTrue(), "the same process registers again")
 	r.Remove("u", time.Second)
-	r.Expire(2*time.Second + startMemory)
+	r.Expire(2*time.Second + removedStartTTL)
 	g.Expect(r.starts).To(BeEmpty())
 }
 
-// A server that tells no start comes back without the weights that it had loaded. Its
-// entries are merged with what was known, so only its answers show it.
-func TestAnswerLowersAVersion(t *testing.T) {
+// An upstream that reports no start time restarts without the weights that it had loaded. Its
+// entries are merged with the known versions, so only its responses show the lower version.
+func TestResponseLowersVersion(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	r.Put(up("u", 3))
-	r.Put(up("u", 1))
+	r.Put(upstream("u", 3))
+	r.Put(upstream("u", 1))
 	r.Serves("u", 0, "m", 1)
 	u, _ := r.Get("u")
 	g.Expect(u.Models).To(HaveKeyWithValue("m", int64(1)))
 	r.Serves("nobody", 0, "m", 1)
 }
 
-func TestRejectedEntryEndsTheFormerOne(t *testing.T) {
+func TestRejectDropsUpstreamDuringStoreOutage(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	r.Put(started("u", 100, 1))
+	r.Put(startedAt("u", 100, 1))
 	r.StoreLost()
 	r.Reject("u", time.Second)
-	g.Expect(ids(r)).To(BeEmpty(), "also while removals are held back")
-	g.Expect(r.Put(started("u", 100, 1))).To(BeTrue())
+	g.Expect(ids(r)).To(BeEmpty(), "also while removals are pending")
+	g.Expect(r.Put(startedAt("u", 100, 1))).To(BeTrue())
 }
 
-// Servers renew their entries every second with nothing new in them. Counted as changes,
-// each makes every owner look at all its engines and sort thousands of upstreams anew.
+// Upstreams renew their entries every second without a change. If a renewal counted as one,
+// each would make every owner check all its engines and sort thousands of upstreams.
 func TestRenewedEntryIsNoChange(t *testing.T) {
 	g := NewWithT(t)
 	r := New()
-	r.Put(up("u1", 1))
-	r.Put(up("u2", 1))
+	r.Put(upstream("u1", 1))
+	r.Put(upstream("u2", 1))
 	before, list := r.Changes(), r.Of("s")
-	r.Put(up("u1", 1))
+	r.Put(upstream("u1", 1))
 	r.Loaded("u1", 0, "m", 1)
 	r.Serves("u1", 0, "m", 1)
 	r.Remove("none", 0)
 	g.Expect(r.Changes()).To(Equal(before))
-	g.Expect(&r.Of("s")[0]).To(BeIdenticalTo(&list[0]), "nothing is sorted anew")
+	g.Expect(&r.Of("s")[0]).To(BeIdenticalTo(&list[0]), "the list is not sorted again")
 	for _, change := range []func(){
 		func() { r.Loaded("u1", 0, "m", 2) },
 		func() { r.Put(Upstream{ID: "u1", Service: "s", Address: "a-u1", Leaving: true}) },
 		func() { r.Remove("u2", 0) },
-		func() { r.Put(up("u3", 1)) },
+		func() { r.Put(upstream("u3", 1)) },
 	} {
 		before = r.Changes()
 		change()
 		g.Expect(r.Changes()).To(BeNumerically(">", before))
 	}
 	g.Expect(ids(r)).To(Equal([]string{"u1", "u3"}))
-	g.Expect(list).To(HaveLen(2), "a list that was given out stays as it was")
+	g.Expect(list).To(HaveLen(2), "a list that was returned before is not modified")
 }
