--- a/internal/locate/search.go
+++ b/internal/locate/search.go
@@ -17,10 +17,9 @@
 
 const (
 	// OwnerTimeout is how long a search queries owners before it reads the partitions
-	// itself. The partitions of an owner that died get a new one once its membership has
-	// timed out after 1.5 s. Most calls arrive later within that time, so they do not have
-	// to wait for all of it, and a trainer waits 1.5 s longer than the wait that it
-	// requests.
+	// itself. The partitions of an owner that died get a new one when its membership has
+	// timed out after 1.5 s. It need not be that long: most calls arrive in the later part of
+	// that time, and a trainer waits only 1.5 s longer than the wait that it requests.
 	OwnerTimeout = 600 * time.Millisecond
 	// RoundPause is the pause between two rounds of queries.
 	RoundPause = 100 * time.Millisecond
@@ -29,10 +28,10 @@
 // Action is the next action of a search, or its result.
 type Action interface{ action() }
 
-// ReadOwners means: read which daemon owns which partition, then call Owners.
+// ReadOwners means: read which daemon owns which partition, and pass that to the Search.
 type ReadOwners struct{}
 
-// Ask means: query these daemons for the batch, then call Answered or Unreachable for each.
+// Ask means: query these daemons for the batch, and record the reply of each or its lack.
 type Ask struct {
 	Addresses []string // sorted
 	// Confirm tells the daemons to catch up with the log first in the partitions where they
@@ -43,7 +42,7 @@
 // Pause means: wait, then call Next again.
 type Pause struct{ For time.Duration }
 
-// Follow means: read these partitions locally, then call Followed.
+// Follow means: read these partitions locally, and record the result.
 type Follow struct{ Parts []int }
 
 // Found is a result: the daemon at Address holds the batch.
@@ -85,8 +84,8 @@
 
 // Search locates one batch. It is not safe for concurrent use.
 //
-// Invariant: the result is Nowhere only if it was confirmed for each partition that it does
-// not have the batch, by its owner or by reading it locally.
+// Invariant: that no partition has the batch is the result only if this was confirmed for
+// each partition, by its owner or by reading it locally.
 type Search struct {
 	startedAt   time.Duration
 	unconfirmed map[int]bool     // partitions that may have the batch
--- a/internal/locate/search_test.go
+++ b/internal/locate/search_test.go
@@ -91,8 +91,8 @@
 }
 
 // A call on a batch may reach any daemon, while owners are dead, cut off or being replaced.
-// Guards against a wrong Nowhere, which makes a trainer drop a step that was accepted, and
-// against Unsure without need, which makes it wait. Compares with reading all partitions
+// Guards against a wrong "no such batch", which makes a trainer drop a step that was accepted,
+// and against a needless "unsure", which makes it wait. Compares with reading all partitions
 // locally.
 func TestSearchAgreesWithReadingAllLocally(t *testing.T) {
 	g := NewWithT(t)
