--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -11,35 +11,35 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// Call asks a service of a group for one answer, whatever its status. A call that
-// isn't idempotent is dispatched again only if the upstream certainly didn't
-// begin it. Errors are *Error.
-func (d *Dispatcher) Call(ctx context.Context, c Call) (*upstream.ServiceResponse, error) {
-	fp := poison.FingerprintOf("call", string(c.Team), c.Group, c.Method, c.Path, string(c.Body))
+// Call sends one call to a service of a group and returns its answer, whatever the
+// status. A call that isn't idempotent is sent again only if it is certain that the
+// upstream didn't run it. Errors are *Error.
+func (d *Dispatcher) Call(ctx context.Context, call Call) (*upstream.ServiceResponse, error) {
+	fp := poison.FingerprintOf("call", string(call.Team), call.Group, call.Method, call.Path, string(call.Body))
 	request := upstream.ServiceRequest{
-		ID:         c.ID,
-		Method:     c.Method,
-		Path:       c.Path,
-		Header:     c.Header,
-		Body:       c.Body,
-		NeverRetry: !c.Idempotent,
+		ID:         call.ID,
+		Method:     call.Method,
+		Path:       call.Path,
+		Header:     call.Header,
+		Body:       call.Body,
+		NeverRetry: !call.Idempotent,
 	}
 	var response *upstream.ServiceResponse
 	attempts := 0
-	err := d.unary(ctx, unary{
-		id:         c.ID,
-		team:       c.Team,
-		group:      c.Group,
-		fp:         fp,
-		idempotent: c.Idempotent,
-		deadline:   c.Deadline,
-		do: func(ctx context.Context, t upstream.Target) (leaving bool, err error) {
-			if attempts++; c.Idempotent && attempts == 1 {
-				request.FirstByteTimeout = firstTry(c.Deadline.Sub(d.o.Now()))
+	err := d.runUnary(ctx, unaryCall{
+		id:          call.ID,
+		team:        call.Team,
+		group:       call.Group,
+		fingerprint: fp,
+		idempotent:  call.Idempotent,
+		deadline:    call.Deadline,
+		attempt: func(ctx context.Context, t upstream.Target) (leaving bool, err error) {
+			if attempts++; call.Idempotent && attempts == 1 {
+				request.FirstByteTimeout = firstAttemptTimeout(call.Deadline.Sub(d.options.Now()))
 			} else {
 				request.FirstByteTimeout = 0
 			}
-			response, err = d.o.Client.Call(ctx, t, request)
+			response, err = d.options.Client.Call(ctx, t, request)
 			return err == nil && response.Leaving, err
 		},
 	})
@@ -50,34 +50,36 @@
 }
 
 const (
-	// firstTryPart is the part of a call's time that its first attempt may wait.
-	firstTryPart = 4
-	firstTryMin  = 2 * time.Second
+	// firstAttemptDivisor divides the time left to a call: the first attempt of an
+	// idempotent one may wait for this part of it.
+	firstAttemptDivisor    = 4
+	minFirstAttemptTimeout = 2 * time.Second
 )
 
-// firstTry bounds the wait of an idempotent call's first attempt for the service's
-// first byte. A frozen process accepts the connection and never answers; without
-// a bound the call would wait there until its deadline. The second attempt, at
-// another upstream, gets all the time that is left: a service that is just slow
-// still answers, unless it needs more than three quarters of the route's time.
-func firstTry(left time.Duration) time.Duration {
-	return max(left/firstTryPart, firstTryMin)
+// firstAttemptTimeout returns how long an idempotent call's first attempt waits for the
+// first byte of the answer. A frozen process accepts connections and never answers;
+// without this bound, the call would wait there until its deadline. The second attempt,
+// on another upstream, may use all the time that is left, so that a service that is
+// merely slow still answers, unless it needs more than three quarters of the route's
+// timeout.
+func firstAttemptTimeout(remaining time.Duration) time.Duration {
+	return max(remaining/firstAttemptDivisor, minFirstAttemptTimeout)
 }
 
-// Score asks a scorer for a completion's reward. Scoring is idempotent. Errors
-// are *Error.
+// Score requests the reward of a completion from a scorer. Scoring is idempotent.
+// Errors are *Error.
 func (d *Dispatcher) Score(ctx context.Context, team ident.Team, group string, id ident.RequestID, prompt, completion string, deadline time.Time) (float64, error) {
 	var reward float64
-	err := d.unary(ctx, unary{
-		id:         id,
-		team:       team,
-		group:      group,
-		class:      Rollout,
-		fp:         poison.FingerprintOf("score", string(team), group, prompt, completion),
-		idempotent: true,
-		deadline:   deadline,
-		do: func(ctx context.Context, t upstream.Target) (leaving bool, err error) {
-			reward, err = d.o.Client.Score(ctx, t, id, prompt, completion)
+	err := d.runUnary(ctx, unaryCall{
+		id:          id,
+		team:        team,
+		group:       group,
+		class:       Rollout,
+		fingerprint: poison.FingerprintOf("score", string(team), group, prompt, completion),
+		idempotent:  true,
+		deadline:    deadline,
+		attempt: func(ctx context.Context, t upstream.Target) (leaving bool, err error) {
+			reward, err = d.options.Client.Score(ctx, t, id, prompt, completion)
 			return false, err
 		},
 	})
@@ -87,58 +89,58 @@
 	return reward, nil
 }
 
-// unary is a request with one answer.
-type unary struct {
-	id         ident.RequestID
-	team       ident.Team
-	group      string
-	class      Class
-	fp         poison.Fingerprint
-	idempotent bool
-	deadline   time.Time
-	do         func(context.Context, upstream.Target) (leaving bool, err error)
+// unaryCall is a request with a single, unstreamed answer.
+type unaryCall struct {
+	id          ident.RequestID
+	team        ident.Team
+	group       string
+	class       Class
+	fingerprint poison.Fingerprint
+	idempotent  bool
+	deadline    time.Time
+	attempt     func(context.Context, upstream.Target) (leaving bool, err error)
 }
 
-func (d *Dispatcher) unary(ctx context.Context, u unary) error {
-	s := d.shardOf(u.group)
-	if err := d.entry(s); err != nil {
+func (d *Dispatcher) runUnary(ctx context.Context, call unaryCall) error {
+	s := d.shardOf(call.group)
+	if err := d.checkAccepting(s); err != nil {
 		return err
 	}
-	ctx, cancel := withDeadline(ctx, u.deadline)
+	ctx, cancel := withDeadline(ctx, call.deadline)
 	defer cancel()
-	r := &run{
-		d:          d,
-		s:          s,
-		id:         u.id,
-		fp:         u.fp,
-		deadline:   u.deadline,
-		idempotent: u.idempotent,
-		want: want{
-			team:         u.team,
-			deadline:     d.latestStart(u.deadline, 0, u.class),
-			stepDeadline: u.deadline,
+	r := &requestRun{
+		dispatcher:  d,
+		shard:       s,
+		id:          call.id,
+		fingerprint: call.fingerprint,
+		deadline:    call.deadline,
+		idempotent:  call.idempotent,
+		placement: placementRequest{
+			team:         call.team,
+			latestStart:  d.latestStart(call.deadline, 0, call.class),
+			stepDeadline: call.deadline,
 			cost:         1,
-			route:        routing.Request{Class: classOf(u.class)},
+			route:        routing.Request{Class: routingClass(call.class)},
 		},
 	}
-	attempt := func(ctx context.Context, sl *slot) error { return s.ask(ctx, sl, u) }
-	if err := r.loop(ctx, attempt, func() bool { return false }); err != nil {
+	attemptFunc := func(ctx context.Context, sl *slot) error { return s.attemptUnary(ctx, sl, call) }
+	if err := r.runAttempts(ctx, attemptFunc, func() bool { return false }); err != nil {
 		return err
 	}
 	return nil
 }
 
-// ask makes one attempt and learns from its time.
-func (s *shard) ask(ctx context.Context, sl *slot, u unary) error {
-	leaving, err := u.do(ctx, s.targetOf(sl.m))
+// attemptUnary makes one attempt and updates the member's limit by its latency.
+func (s *shard) attemptUnary(ctx context.Context, sl *slot, call unaryCall) error {
+	leaving, err := call.attempt(ctx, s.targetOf(sl.member))
 	if leaving {
-		s.left(sl.m, health.FromAnswer)
+		s.markLeaving(sl.member, health.FromAnswer)
 	}
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.observe(sl, s.d.o.Now().Sub(sl.started))
+	s.observeLatency(sl, s.dispatcher.options.Now().Sub(sl.started))
 	return nil
 }
--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -7,68 +7,68 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/config"
 )
 
-// countCapacity tells the queue how many requests this daemon may run at once.
-func (s *shard) countCapacity() {
-	if !s.gate.stale {
+// updateCapacity sets how many requests of this daemon the queue may run at once.
+func (s *shard) updateCapacity() {
+	if !s.admission.capacityStale {
 		return
 	}
-	s.gate.stale = false
-	total, held := 0.0, 0.0
-	for _, m := range s.order {
+	s.admission.capacityStale = false
+	total, quarantined := 0.0, 0.0
+	for _, m := range s.used {
 		switch {
 		case m.usable():
 			total += m.capacity()
 		case m.eligible:
-			held += m.capacity()
+			quarantined += m.capacity()
 		}
 	}
 	if total == 0 {
-		total = held // rather beside suspects than not at all
+		total = quarantined // running beside suspects is better than not running at all
 	}
-	s.gate.queue.SetCapacity(max(1, int(math.Ceil(total))), 0)
+	s.admission.queue.SetCapacity(max(1, int(math.Ceil(total))), 0)
 }
 
-// capacity is what this daemon may run on one member: its share of the limit,
-// scaled down while the member starts slowly. Not rounded: over all members and
-// daemons, places rounded up would come to several times a small limit.
+// capacity returns how many requests this daemon may run on a member: its share of the
+// limit, reduced during the member's slow start. It isn't rounded: over all members and
+// daemons, rounding up would add up to several times a small limit.
 func (m *member) capacity() float64 {
-	m.share.SetLimit(m.concurrency())
-	return m.share.AllowedExact() * m.weight
+	m.limitShare.SetLimit(m.concurrencyLimit())
+	return m.limitShare.AllowedExact() * m.weight
 }
 
-// observe teaches a member's limit from a token's time, or a call's.
-func (s *shard) observe(sl *slot, took time.Duration) {
-	before := sl.m.concurrency()
+// observeLatency adapts a member's limit to the latency of one token, or of a whole call.
+func (s *shard) observeLatency(sl *slot, latency time.Duration) {
+	oldLimit := sl.member.concurrencyLimit()
 	if s.kind == config.KindEngine {
-		sl.m.controller.Suggest(s.unloadedTime(took, sl.beside), s.d.o.Now())
+		sl.member.controller.Suggest(s.updateUnloadedTime(latency, sl.upstreamInFlight), s.dispatcher.options.Now())
 	}
-	sl.m.controller.ObserveClass(sl.class, took, sl.beside, s.d.o.Now())
-	if sl.m.concurrency() != before {
-		s.refresh(sl.m)
+	sl.member.controller.ObserveClass(sl.class, latency, sl.upstreamInFlight, s.dispatcher.options.Now())
+	if sl.member.concurrencyLimit() != oldLimit {
+		s.updateRouting(sl.member)
 	}
 }
 
-// nearlyAlone is up to how many requests at an engine leave a token's time about
-// what it is without company.
-const nearlyAlone = 2
+// maxUnloadedInFlight is the number of requests in flight on an engine up to which its
+// token time is about that of a single request.
+const maxUnloadedInFlight = 2
 
-// unloadedTime is the group's mean token time of requests that ran nearly alone,
-// 0 while none did.
-func (s *shard) unloadedTime(took time.Duration, beside int) time.Duration {
+// updateUnloadedTime returns the group's mean token time of requests that ran on a nearly
+// idle engine, 0 if there were none, after it has added this one if it was such a request.
+func (s *shard) updateUnloadedTime(tokenTime time.Duration, inFlight int) time.Duration {
 	switch {
-	case beside > nearlyAlone:
-	case s.unloaded == 0:
-		s.unloaded = took
+	case inFlight > maxUnloadedInFlight:
+	case s.unloadedTokenTime == 0:
+		s.unloadedTokenTime = tokenTime
 	default:
-		s.unloaded += time.Duration(paceRate * float64(min(took, 2*s.unloaded)-s.unloaded))
+		s.unloadedTokenTime += time.Duration(meanRate * float64(min(tokenTime, 2*s.unloadedTokenTime)-s.unloadedTokenTime))
 	}
-	return s.unloaded
+	return s.unloadedTokenTime
 }
 
-// concurrency is the member's limit over all daemons.
-func (m *member) concurrency() int {
-	if m.configured > 0 {
-		return m.configured
+// concurrencyLimit returns the member's limit over all daemons.
+func (m *member) concurrencyLimit() int {
+	if m.configuredLimit > 0 {
+		return m.configuredLimit
 	}
 	return m.controller.Limit()
 }
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -13,182 +13,190 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// Placer asks whichever daemon places the copies of a request where a copy runs. An
-// error says that nobody could tell in time.
+// Placer asks the daemon that owns a request's fingerprint on which upstream a copy of the
+// request shall run. An error means that no answer came in time.
 type Placer interface {
 	Place(ctx context.Context, c poison.Copy) (ident.Upstream, error)
 }
 
 const (
-	// joinWait is how long a copy waits for an upstream that is away: it may have died
-	// under another copy, and word of that is on its way.
-	joinWait = time.Second
-	// joinLook is how often it looks.
-	joinLook = 10 * time.Millisecond
+	// joinTimeout is how long a copy waits for the other copies' upstream while that is
+	// unavailable: it may have died under one of them, and the report of the death may
+	// not have arrived yet.
+	joinTimeout = time.Second
+	// joinPollInterval is the interval between its checks.
+	joinPollInterval = 10 * time.Millisecond
 )
 
-// copies keeps the copies of one request on one upstream until one of them was
-// answered. A request that kills its upstream comes through several daemons at one
-// moment; each would place it by its own view of load, and each would lose an upstream
-// before any could tell. See poison.Places.
-type copies struct {
-	mu       sync.Mutex
-	placer   Placer // nil: this daemon is alone
-	places   *poison.Places
-	answered *poison.Answered
-	senders  uint64 // numbers given to runs
+// copyPlacement sends all copies of a request to one upstream until one of them has been
+// answered. If a request that kills its upstream arrives at several daemons at the same
+// time, and each places it by its own view of the load, each loses an upstream before any
+// can report it. See poison.Places.
+type copyPlacement struct {
+	mu               sync.Mutex
+	placer           Placer // nil: this daemon places all copies itself
+	places           *poison.Places
+	answeredRecently *poison.Answered
+	lastSender       uint64 // the last number given to a run
 }
 
-func newCopies() copies {
-	return copies{places: poison.NewPlaces(), answered: poison.NewAnswered()}
+func newCopyPlacement() copyPlacement {
+	return copyPlacement{places: poison.NewPlaces(), answeredRecently: poison.NewAnswered()}
 }
 
-// SetPlacer gives the way to ask other daemons, which is built on top of this one.
+// SetPlacer sets the Placer, which is built on top of the Dispatcher. It must be called
+// before requests arrive.
 func (d *Dispatcher) SetPlacer(p Placer) {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
 	d.copies.placer = p
 }
 
-// PlaceHere places a copy of a request whose copies this daemon places.
+// PlaceHere returns the upstream for a copy of a request whose fingerprint this daemon
+// owns.
 func (d *Dispatcher) PlaceHere(c poison.Copy) ident.Upstream {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
-	return d.copies.places.Place(c, d.o.Now())
+	return d.copies.places.Place(c, d.options.Now())
 }
 
-// sender numbers a run among this daemon's.
-func (d *Dispatcher) sender() poison.Sender {
+// newCopySender returns an identity for a run, unique among all daemons.
+func (d *Dispatcher) newCopySender() poison.Sender {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
-	d.copies.senders++
-	return poison.Sender{VM: d.o.Self, Number: d.copies.senders}
+	d.copies.lastSender++
+	return poison.Sender{VM: d.options.Self, Number: d.copies.lastSender}
 }
 
-// mayHaveCopies says whether a run has to agree with copies elsewhere. A step's samples
-// have one owner, which sends each once.
-func (r *run) mayHaveCopies() bool {
-	if r.d.o.Policy == Naive || r.apart || r.want.route.Class == routing.ClassRollout {
+// needsCoordination reports whether the run must share an upstream with copies of its
+// request. Samples of a training step have no copies: the step has one owner, which sends
+// each of them once.
+func (r *requestRun) needsCoordination() bool {
+	if r.dispatcher.options.Policy == PolicyNaive || r.uncoordinated || r.placement.route.Class == routing.ClassRollout {
 		return false
 	}
-	return !r.d.wasAnswered(r.fp)
+	return !r.dispatcher.wasAnsweredRecently(r.fingerprint)
 }
 
-func (d *Dispatcher) wasAnswered(fp poison.Fingerprint) bool {
+func (d *Dispatcher) wasAnsweredRecently(fp poison.Fingerprint) bool {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
-	return d.copies.answered.Has(fp, d.o.Now())
+	return d.copies.answeredRecently.Has(fp, d.options.Now())
 }
 
-func (d *Dispatcher) noteAnswered(fp poison.Fingerprint) {
+func (d *Dispatcher) recordAnswered(fp poison.Fingerprint) {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
-	d.copies.answered.Add(fp, d.o.Now())
+	d.copies.answeredRecently.Add(fp, d.options.Now())
 }
 
-// agree keeps a place if the request's copies run there, or gives it back and joins
-// them. Without an answer it goes where all go that got none, so that copies are on two
-// upstreams at most. It returns neither a slot nor an error if the run has to be placed
-// anew.
-func (r *run) agree(ctx context.Context, sl *slot) (*slot, *Error) {
-	if !r.mayHaveCopies() {
+// coordinateSlot keeps the slot if the copies of the request run on its upstream.
+// Otherwise it releases the slot and joins the copies. If the owner of the fingerprint
+// doesn't answer, the copy goes to the rendezvous upstream, as all copies do whose daemon
+// got no answer; so copies run on two upstreams at most. It returns neither a slot nor an
+// error if the run has to be placed again.
+func (r *requestRun) coordinateSlot(ctx context.Context, sl *slot) (*slot, *Error) {
+	if !r.needsCoordination() {
 		return sl, nil
 	}
-	at, asked := r.placeCopy(ctx, sl.m.target.Name)
-	if !asked {
-		copiesUnasked.Add(1)
-		at = r.s.firstByHash(r.fp, &r.want)
+	assigned, answered := r.placeCopy(ctx, sl.member.target.Name)
+	if !answered {
+		copiesUnplaced.Add(1)
+		assigned = r.shard.rendezvousUpstream(r.fingerprint, &r.placement)
 	}
-	if ctx.Err() == nil && r.d.judge(r.fp).Verdict == poison.Clean && (at == sl.m.target.Name || !r.s.has(at)) {
+	if ctx.Err() == nil && r.dispatcher.poisonDecision(r.fingerprint).Verdict == poison.Clean && (assigned == sl.member.target.Name || !r.shard.uses(assigned)) {
 		return sl, nil
 	}
-	r.s.giveBackLocked(sl, false)
-	return r.join(ctx, sl.m.target.Name, at)
+	r.shard.releaseSlot(sl, false)
+	return r.joinCopies(ctx, sl.member.target.Name, assigned)
 }
 
-// placeCopy returns where the copy shall run, false if nobody could tell.
-func (r *run) placeCopy(ctx context.Context, wanted ident.Upstream) (ident.Upstream, bool) {
-	if r.sender == (poison.Sender{}) {
-		r.sender = r.d.sender()
+// placeCopy returns the upstream on which the copy shall run, false if the owner of the
+// fingerprint didn't answer.
+func (r *requestRun) placeCopy(ctx context.Context, preferred ident.Upstream) (ident.Upstream, bool) {
+	if r.copySender == (poison.Sender{}) {
+		r.copySender = r.dispatcher.newCopySender()
 	}
-	c := poison.Copy{Fingerprint: r.fp, Sender: r.sender, Wanted: wanted}
-	r.d.copies.mu.Lock()
-	placer := r.d.copies.placer
-	r.d.copies.mu.Unlock()
+	c := poison.Copy{Fingerprint: r.fingerprint, Sender: r.copySender, Wanted: preferred}
+	r.dispatcher.copies.mu.Lock()
+	placer := r.dispatcher.copies.placer
+	r.dispatcher.copies.mu.Unlock()
 	if placer == nil {
-		return r.d.PlaceHere(c), true
+		return r.dispatcher.PlaceHere(c), true
 	}
-	at, err := placer.Place(ctx, c)
-	return at, err == nil
+	assigned, err := placer.Place(ctx, c)
+	return assigned, err == nil
 }
 
-// join takes a place on the upstream of other copies, whatever its load. While that one
-// is away it waits for word of its end, which a run that went on elsewhere would
-// outpace.
-func (r *run) join(ctx context.Context, wanted, at ident.Upstream) (*slot, *Error) {
-	until := r.d.o.Now().Add(joinWait)
-	for r.d.judge(r.fp).Verdict == poison.Clean && r.mayHaveCopies() {
+// joinCopies takes a slot on the upstream of the other copies, whatever its load. While
+// that upstream is unavailable, it waits for a report of its death; if it tried another
+// upstream instead, it would get there before the report.
+func (r *requestRun) joinCopies(ctx context.Context, preferred, assigned ident.Upstream) (*slot, *Error) {
+	giveUpAt := r.dispatcher.options.Now().Add(joinTimeout)
+	for r.dispatcher.poisonDecision(r.fingerprint).Verdict == poison.Clean && r.needsCoordination() {
 		if ctx.Err() != nil {
 			return nil, contextError(ctx, r.outcome())
 		}
-		if sl := r.s.takeAt(at, &r.want, r.fp); sl != nil {
+		if sl := r.shard.takeSlotOn(assigned, &r.placement, r.fingerprint); sl != nil {
 			copiesJoined.Add(1)
-			r.noteCopy("copy joins another", wanted, at)
+			r.logCopy("copy joins the upstream of another copy", preferred, assigned)
 			return sl, nil
 		}
-		if !r.d.o.Now().Before(until) {
-			r.apart = true
-			r.noteCopy("copy goes on by itself, the other's upstream is away", wanted, at)
+		if !r.dispatcher.options.Now().Before(giveUpAt) {
+			r.uncoordinated = true
+			r.logCopy("upstream of the other copies is unavailable; placing the copy by itself", preferred, assigned)
 			break
 		}
-		waitFor(ctx, nil, joinLook)
+		waitUpTo(ctx, nil, joinPollInterval)
 	}
 	return nil, nil
 }
 
-func (r *run) noteCopy(message string, wanted, at ident.Upstream) {
-	r.d.o.Log.Info().Stringer("fingerprint", r.fp).Str("request", string(r.id)).
-		Str("wanted", string(wanted)).Str("upstream", string(at)).Int("attempts", r.sends.Made).Msg(message)
+func (r *requestRun) logCopy(message string, preferred, assigned ident.Upstream) {
+	r.dispatcher.options.Log.Info().Stringer("fingerprint", r.fingerprint).Str("request", string(r.id)).
+		Str("wanted", string(preferred)).Str("upstream", string(assigned)).Int("attempts", r.sends.Made).Msg(message)
 }
 
-func (s *shard) has(name ident.Upstream) bool {
+func (s *shard) uses(name ident.Upstream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.members[name]
 	return m != nil && m.used
 }
 
-// takeAt books a request on a member beside the queue, nil if it can't run there.
-func (s *shard) takeAt(name ident.Upstream, w *want, fp poison.Fingerprint) *slot {
+// takeSlotOn takes a slot on a member without queueing. It returns nil if the request
+// can't run there.
+func (s *shard) takeSlotOn(name ident.Upstream, req *placementRequest, fp poison.Fingerprint) *slot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.members[name]
-	if m == nil || !m.used || !m.usable() || !m.fits(w) || slices.Contains(w.route.Exclude, name) {
+	if m == nil || !m.used || !m.usable() || !m.canServe(req) || slices.Contains(req.route.Exclude, name) {
 		return nil
 	}
-	sl := s.take(m, fp, s.d.o.Now())
-	sl.unqueued = true
-	s.need.began(sl, w.route, s.table)
+	sl := s.bookSlot(m, fp, s.dispatcher.options.Now())
+	sl.outsideQueue = true
+	s.reserveDemand.add(sl, req.route, s.table)
 	return sl
 }
 
-// firstByHash returns the member that all daemons name alike for a request, whatever its
-// load; "" if there is none. One that was lost a moment ago counts still: copies that find
-// it dead one after the other would hop on to the next name together, faster than word of
-// its death.
-func (s *shard) firstByHash(fp poison.Fingerprint, w *want) ident.Upstream {
+// rendezvousUpstream returns the member that rendezvous hashing selects for a request. All
+// daemons get the same result, whatever the load; it is "" if no member can serve the
+// request. A member that was lost less than joinTimeout ago still counts: copies that find
+// it dead one after the other would otherwise move on to the next member together, before
+// the report of the death arrives.
+func (s *shard) rendezvousUpstream(fp poison.Fingerprint, req *placementRequest) ident.Upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.d.o.Now()
+	now := s.dispatcher.options.Now()
 	var best ident.Upstream
 	var highest uint64
-	for _, m := range s.order {
-		justLost := !m.eligible && now.Sub(m.lostAt) <= joinWait
-		if !m.usable() && !justLost || !m.fits(w) {
+	for _, m := range s.used {
+		recentlyLost := !m.eligible && now.Sub(m.ineligibleSince) <= joinTimeout
+		if !m.usable() && !recentlyLost || !m.canServe(req) {
 			continue
 		}
-		if rank := xxhash.Sum64String(fp.String() + "\x00" + string(m.target.Name)); best == "" || rank > highest {
-			best, highest = m.target.Name, rank
+		if hash := xxhash.Sum64String(fp.String() + "\x00" + string(m.target.Name)); best == "" || hash > highest {
+			best, highest = m.target.Name, hash
 		}
 	}
 	return best
--- a/internal/dispatch/copies_test.go
+++ b/internal/dispatch/copies_test.go
@@ -18,224 +18,227 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/poison"
 )
 
-// fleet starts daemons that tell each other everything.
-func (w *world) fleet(ctx context.Context, n int) []*Dispatcher { return w.fleetOf(ctx, n, gossip) }
+// startDaemons starts n daemons that exchange digests.
+func (w *world) startDaemons(ctx context.Context, n int) []*Dispatcher {
+	return w.startDaemonsWith(ctx, n, gossip)
+}
 
-func (w *world) fleetOf(ctx context.Context, n int, tell func(context.Context, *Dispatcher, []*Dispatcher)) []*Dispatcher {
+func (w *world) startDaemonsWith(ctx context.Context, n int, gossipFunc func(context.Context, *Dispatcher, []*Dispatcher)) []*Dispatcher {
 	var all []*Dispatcher
 	for i := range n {
-		all = append(all, w.daemon(ctx, ident.VM(fmt.Sprint("vm", i+1)), Ours))
+		all = append(all, w.startDaemon(ctx, ident.VM(fmt.Sprint("vm", i+1)), PolicyFull))
 	}
 	for _, from := range all {
-		go tell(ctx, from, all)
-		from.SetPlacer(&placer{home: all[0], answers: true})
+		go gossipFunc(ctx, from, all)
+		from.SetPlacer(&fakePlacer{owner: all[0], answers: true})
 	}
 	time.Sleep(time.Second)
 	return all
 }
 
-// gossipSlow is gossip whose words take up to a third of a second.
-func gossipSlow(ctx context.Context, from *Dispatcher, all []*Dispatcher) {
+// gossipSlowly is gossip with a delay of up to a third of a second.
+func gossipSlowly(ctx context.Context, from *Dispatcher, all []*Dispatcher) {
 	for _, to := range all {
 		if to != from {
-			go gossipLate(ctx, from, to)
+			go gossipDelayed(ctx, from, to)
 		}
 	}
 }
 
-// placer asks one daemon for all requests.
-type placer struct {
-	home    *Dispatcher
-	answers bool // false: it says nothing
-	known   bool // that it doesn't answer: it isn't asked
+// fakePlacer asks one daemon to place the copies of all requests.
+type fakePlacer struct {
+	owner   *Dispatcher
+	answers bool // false: it doesn't answer in time
+	skipped bool // it isn't asked, since it recently didn't answer
 }
 
 const (
-	askTakes   = 2 * time.Millisecond
-	askGivenUp = 50 * time.Millisecond
+	placeLatency = 2 * time.Millisecond
+	placeTimeout = 50 * time.Millisecond
 )
 
-func (p *placer) Place(ctx context.Context, c poison.Copy) (ident.Upstream, error) {
-	if p.known {
-		return "", errors.New("not asked")
+func (p *fakePlacer) Place(ctx context.Context, c poison.Copy) (ident.Upstream, error) {
+	if p.skipped {
+		return "", errors.New("the daemon isn't asked")
 	}
 	if !p.answers {
-		waitFor(ctx, nil, askGivenUp)
+		waitUpTo(ctx, nil, placeTimeout)
 		return "", errors.New("no answer")
 	}
-	waitFor(ctx, nil, askTakes)
-	return p.home.PlaceHere(c), nil
+	waitUpTo(ctx, nil, placeLatency)
+	return p.owner.PlaceHere(c), nil
 }
 
-// favour has a daemon believe that all engines but one are full, by the word of a
-// peer of its own: daemons' views of load are late and differ.
-func favour(d *Dispatcher, w *world, only ident.Upstream) {
+// reportOthersBusy makes a daemon believe, by the digest of an invented peer, that all
+// engines but one are full. Real daemons have outdated and different views of the load.
+func reportOthersBusy(d *Dispatcher, w *world, only ident.Upstream) {
 	loads := map[ident.Upstream]int{}
 	for name := range w.engines {
 		if name != only {
 			loads[name] = 50
 		}
 	}
-	d.Merge("somebody", Digest{InFlight: loads})
+	d.Merge("invented-peer", Digest{InFlight: loads})
 }
 
-// sendAtOnce sends one killer through each daemon, the next one a while after.
-func sendAtOnce(daemons []*Dispatcher, apart time.Duration) []error {
+// sendKillers sends a killer through each daemon, one after the other with a delay.
+func sendKillers(daemons []*Dispatcher, delay time.Duration) []error {
 	var group sync.WaitGroup
 	errs := make([]error, len(daemons))
 	for i, d := range daemons {
 		group.Go(func() {
-			time.Sleep(time.Duration(i) * apart)
-			_, _, errs[i] = ask(d, killer)
+			time.Sleep(time.Duration(i) * delay)
+			_, _, errs[i] = generate(d, killerPrompt)
 		})
 	}
 	group.Wait()
 	return errs
 }
 
-var _ = Describe("copies of a killer that come through several daemons at one moment", func() {
-	// A program sends its request through three daemons at once. Each daemon knows
-	// nothing of the others' copies, sees other engines free, and has it run there:
-	// three engines end before any of them can tell. Two may be lost.
-	It("cost two engines, whichever each daemon would choose", session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+var _ = Describe("copies of a killer that arrive through several daemons at the same time", func() {
+	// A client sends its request through three daemons at the same time. No daemon knows of
+	// the other copies, and each considers another engine free. If each placed its copy
+	// there, three engines would die before any daemon could report it. Two may be lost.
+	It("kill at most two engines, whichever engine each daemon prefers", withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w.killAt = 0
-		all := w.fleet(ctx, 3)
+		w.killAtToken = 0
+		all := w.startDaemons(ctx, 3)
 		for i, d := range all {
-			favour(d, w, ident.Upstream(fmt.Sprint("e", i)))
+			reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
 		}
-		for _, err := range sendAtOnce(all, 0) {
-			g.Expect(problem(err).Reason).To(Equal(Poison))
+		for _, err := range sendKillers(all, 0) {
+			g.Expect(dispatchError(err).Reason).To(Equal(Poison))
 		}
 		g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 	}))
 
-	// The daemon that places the copies is frozen, for all or for some of the others:
-	// who gets no answer goes where all such go.
-	for _, silent := range [][]bool{{true, true, true}, {false, true, false}, {true, false, true}} {
-		It(fmt.Sprint("cost two engines though who places them doesn't answer: ", silent), session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+	// The daemon that places the copies is frozen, for all or for some of the others. Those
+	// that get no answer must agree on an engine without it.
+	for _, unanswered := range [][]bool{{true, true, true}, {false, true, false}, {true, false, true}} {
+		It(fmt.Sprint("kill at most two engines if the daemon that places them doesn't answer: ", unanswered), withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			w.killAt = 0
-			all := w.fleet(ctx, 3)
+			w.killAtToken = 0
+			all := w.startDaemons(ctx, 3)
 			for i, d := range all {
-				favour(d, w, ident.Upstream(fmt.Sprint("e", i)))
-				d.SetPlacer(&placer{home: all[0], answers: !silent[i]})
+				reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
+				d.SetPlacer(&fakePlacer{owner: all[0], answers: !unanswered[i]})
 			}
-			for _, err := range sendAtOnce(all, 0) {
-				g.Expect(problem(err).Reason).To(Equal(Poison))
+			for _, err := range sendKillers(all, 0) {
+				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
 	}
 
-	// One after the other within the time that word takes: the second copy finds its
-	// upstream dead under the first one and must not go on to the next by itself.
-	for _, apart := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 8 * time.Millisecond, 40 * time.Millisecond} {
-		It(fmt.Sprint("cost two engines when they come apart by ", apart), session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+	// The copies arrive one after the other, within the time that a report of a death takes.
+	// The second copy finds that its engine has died under the first one, and must not move
+	// on to another engine by itself.
+	for _, delay := range []time.Duration{time.Millisecond, 3 * time.Millisecond, 8 * time.Millisecond, 40 * time.Millisecond} {
+		It(fmt.Sprint("kill at most two engines if they arrive one after another by ", delay), withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			w.killAt = 0
-			all := w.fleet(ctx, 4)
+			w.killAtToken = 0
+			all := w.startDaemons(ctx, 4)
 			for i, d := range all {
-				favour(d, w, ident.Upstream(fmt.Sprint("e", i)))
+				reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
 			}
-			for _, err := range sendAtOnce(all, apart) {
-				g.Expect(problem(err).Reason).To(Equal(Poison))
+			for _, err := range sendKillers(all, delay) {
+				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
 	}
 
-	// The same while nobody is asked, since who places the copies didn't answer a moment
-	// ago: all go to one engine by its name, find it dead one after the other, and must not
-	// hop on to the next name together.
-	// Word of a death takes longer than a repetition waits.
-	for _, apart := range []time.Duration{0, time.Millisecond, 8 * time.Millisecond, 50 * time.Millisecond} {
-		It(fmt.Sprint("cost two engines when nobody is asked and they come apart by ", apart), session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+	// The same without asking the daemon that places the copies, since it recently didn't
+	// answer. All copies go to the engine that hashing selects, find it dead one after the
+	// other, and must not move on to the next one together. The report of a death takes
+	// longer than the delay before a retry.
+	for _, delay := range []time.Duration{0, time.Millisecond, 8 * time.Millisecond, 50 * time.Millisecond} {
+		It(fmt.Sprint("kill at most two engines if no daemon is asked and they arrive one after another by ", delay), withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			w.killAt = 0
-			all := w.fleetOf(ctx, 5, gossipSlow)
+			w.killAtToken = 0
+			all := w.startDaemonsWith(ctx, 5, gossipSlowly)
 			for _, d := range all {
-				d.SetPlacer(&placer{known: true})
+				d.SetPlacer(&fakePlacer{skipped: true})
 			}
-			for _, err := range sendAtOnce(all, apart) {
-				g.Expect(problem(err).Reason).To(Equal(Poison))
+			for _, err := range sendKillers(all, delay) {
+				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
 	}
 
-	// It ends its engine seconds into its answer, and its copies come seconds apart: they
-	// run on engines of their own when the first one ends. Each would go on to that point
-	// though all daemons know by then what it does.
-	for _, apart := range []time.Duration{500 * time.Millisecond, 2200 * time.Millisecond} {
-		It(fmt.Sprint("cost two engines when they kill late and come apart by ", apart), session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+	// The killer ends its engine seconds into its answer, and its copies arrive seconds
+	// apart, so they run on different engines when the first one dies. Without a stop, each
+	// would run on to the same point, although all daemons know of the death by then.
+	for _, delay := range []time.Duration{500 * time.Millisecond, 2200 * time.Millisecond} {
+		It(fmt.Sprint("kill at most two engines if they kill late in their answer and arrive one after another by ", delay), withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			w.size, w.killAt = 800, 500
-			all := w.fleet(ctx, 3)
-			for _, err := range sendAtOnce(all, apart) {
-				g.Expect(problem(err).Reason).To(Equal(Poison))
+			w.answerTokens, w.killAtToken = 800, 500
+			all := w.startDaemons(ctx, 3)
+			for _, err := range sendKillers(all, delay) {
+				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
 	}
 
-	// Two callers sent the same prompt seconds apart, and the engine of one of them crashes
-	// for another reason. The other copy is stopped and goes on alone from where it was:
-	// its caller sees each token once.
-	It("are whole though one was stopped for the other's engine", session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+	// Two clients send the same prompt seconds apart, and the engine of one of them crashes
+	// for another reason. The other copy is stopped and resumed in quarantine; its client
+	// must receive each token once.
+	It("get whole answers if one is stopped because the other's engine crashed", withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w.size = 600
-		all := w.fleet(ctx, 2)
-		favour(all[0], w, "e0")
-		favour(all[1], w, "e1")
+		w.answerTokens = 600
+		all := w.startDaemons(ctx, 2)
+		reportOthersBusy(all[0], w, "e0")
+		reportOthersBusy(all[1], w, "e1")
 		time.AfterFunc(3*time.Second, func() { w.kill(w.engines["e0"]) })
 		var group sync.WaitGroup
-		var faults faultList
+		var faults errorList
 		for i, d := range all {
 			group.Go(func() {
 				time.Sleep(time.Duration(i) * 2500 * time.Millisecond)
-				answer, seen, err := ask(d, "hello")
-				if err != nil || seen != wholeOf(w.size) || answer.Text != seen {
+				answer, seen, err := generate(d, "hello")
+				if err != nil || seen != answerOf(w.answerTokens) || answer.Text != seen {
 					faults.add(fmt.Errorf("%w, %d bytes", err, len(seen)))
 				}
 			})
 		}
 		group.Wait()
 		g.Expect(faults.list).To(BeEmpty())
-		g.Expect(w.count("hello")).To(Equal(4), "each began, and went on alone")
+		g.Expect(w.startCount("hello")).To(Equal(4), "each was started and then resumed in quarantine")
 		g.Expect(w.deaths()).To(Equal(1))
 	}))
 
-	It("cost two engines over random sessions", func() {
+	It("kill at most two engines in random sessions", func() {
 		for seed := firstSeed(); seed < firstSeed()+copySeeds; seed++ {
-			session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) { playCopies(g, w, seed) })()
+			withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) { runCopySession(g, w, seed) })()
 		}
 	})
 
-	// The same prompt from three callers, which harms nobody: all are answered, and once
-	// one was, its daemon asks no more.
-	It("are answered if they kill nothing", session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+	// Three clients send the same harmless prompt. All are answered, and once one has been,
+	// its daemon doesn't ask where to place the copies any more.
+	It("are answered without delay if they are harmless", withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		all := w.fleet(ctx, 3)
+		all := w.startDaemons(ctx, 3)
 		for round := range 2 {
 			var group sync.WaitGroup
-			var faults faultList
+			var faults errorList
 			for i, d := range all {
 				if round > 0 {
-					d.SetPlacer(&placer{answers: false})
+					d.SetPlacer(&fakePlacer{answers: false})
 				}
-				favour(d, w, ident.Upstream(fmt.Sprint("e", i)))
+				reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
 				group.Go(func() {
 					began := time.Now()
-					_, seen, err := ask(d, "hello")
-					if took := time.Since(began); err != nil || seen != whole() || took >= answerSize*tokenTime+askGivenUp {
+					_, seen, err := generate(d, "hello")
+					if took := time.Since(began); err != nil || seen != fullAnswer() || took >= answerTokens*tokenTime+placeTimeout {
 						faults.add(fmt.Errorf("%w, %q, %v", err, seen, took))
 					}
 				})
@@ -245,56 +248,57 @@
 		}
 	}))
 
-	// An engine is gone and nobody knows yet. A request without copies goes on elsewhere
+	// An engine has died, and no daemon knows yet. A request without copies is sent elsewhere
 	// at once.
-	It("aren't waited for where there are none", session(6, Ours, func(g Gomega, w *world, _ *Dispatcher) {
+	It("don't delay a request that has none", withDaemon(6, PolicyFull, func(g Gomega, w *world, _ *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		d := w.fleet(ctx, 2)[1]
-		favour(d, w, "e0")
+		d := w.startDaemons(ctx, 2)[1]
+		reportOthersBusy(d, w, "e0")
 		w.kill(w.engines["e0"])
 		began := time.Now()
-		_, _, err := ask(d, "hello")
+		_, _, err := generate(d, "hello")
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(time.Since(began)).To(BeNumerically("<", answerSize*tokenTime+100*time.Millisecond))
+		g.Expect(time.Since(began)).To(BeNumerically("<", answerTokens*tokenTime+100*time.Millisecond))
 	}))
 })
 
-// copySeeds is how many random sessions a run plays.
+// copySeeds is the number of random sessions in a test run.
 const copySeeds = 60
 
-// firstSeed lets a run by hand play other sessions than CI.
+// firstSeed returns the first seed of the random sessions. A manual run can set another one.
 func firstSeed() uint64 {
 	first, err := strconv.ParseUint(cmp.Or(os.Getenv("DISPATCH_FIRST_SEED"), "0"), 10, 64)
 	Expect(err).NotTo(HaveOccurred())
 	return first
 }
 
-// playCopies sends one killer through daemons at random moments, with random views of
-// load, words that are slow at times, some daemons without an answer from who places copies, and others beside it.
-func playCopies(g Gomega, w *world, seed uint64) {
+// runCopySession sends a killer through several daemons at random times, among harmless
+// requests. The daemons' views of the load are random, their digests are slow in some
+// sessions, and some of them get no answer on where to place copies.
+func runCopySession(g Gomega, w *world, seed uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	random := rand.New(rand.NewPCG(seed, 7))
-	w.size = 400
-	w.killAt = []int{0, 1, random.IntN(20), random.IntN(w.size)}[random.IntN(4)]
+	w.answerTokens = 400
+	w.killAtToken = []int{0, 1, random.IntN(20), random.IntN(w.answerTokens)}[random.IntN(4)]
 	within := []time.Duration{20 * time.Millisecond, 500 * time.Millisecond, 6 * time.Second}[random.IntN(3)]
-	tell := gossip
+	gossipFunc := gossip
 	if random.IntN(4) == 0 {
-		tell = gossipSlow
+		gossipFunc = gossipSlowly
 	}
-	all := w.fleetOf(ctx, 2+random.IntN(4), tell)
+	all := w.startDaemonsWith(ctx, 2+random.IntN(4), gossipFunc)
 	var group sync.WaitGroup
-	var faults faultList
+	var errs errorList
 	for i, d := range all {
-		favour(d, w, ident.Upstream(fmt.Sprint("e", random.IntN(6))))
-		d.SetPlacer(&placer{home: all[0], answers: random.IntN(4) > 0, known: random.IntN(6) == 0})
+		reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", random.IntN(6))))
+		d.SetPlacer(&fakePlacer{owner: all[0], answers: random.IntN(4) > 0, skipped: random.IntN(6) == 0})
 		for range 1 + random.IntN(3) {
 			after := time.Duration(random.Int64N(int64(within)))
 			group.Go(func() {
 				time.Sleep(after)
-				if _, _, err := ask(d, killer); problem(err).Reason != Poison {
-					faults.add(fmt.Errorf("the killer: %w", err))
+				if _, _, err := generate(d, killerPrompt); dispatchError(err).Reason != Poison {
+					errs.add(fmt.Errorf("killer: %w", err))
 				}
 			})
 		}
@@ -302,24 +306,24 @@
 			after := time.Duration(random.Int64N(int64(within)))
 			group.Go(func() {
 				time.Sleep(after)
-				if _, seen, err := ask(d, fmt.Sprint("innocent ", i, n)); err != nil || seen != wholeOf(w.size) {
-					faults.add(fmt.Errorf("innocent %d %d: %w, %d bytes", i, n, err, len(seen)))
+				if _, seen, err := generate(d, fmt.Sprint("innocent ", i, n)); err != nil || seen != answerOf(w.answerTokens) {
+					errs.add(fmt.Errorf("daemon %d, harmless request %d: %w, %d bytes", i, n, err, len(seen)))
 				}
 			})
 		}
 	}
 	group.Wait()
-	g.Expect(faults.list).To(BeEmpty(), "seed %d", seed)
+	g.Expect(errs.list).To(BeEmpty(), "seed %d", seed)
 	g.Expect(w.deaths()).To(BeNumerically("<=", 2), "seed %d", seed)
 }
 
-// faultList collects what goroutines find wrong.
-type faultList struct {
+// errorList collects errors from several goroutines.
+type errorList struct {
 	mu   sync.Mutex
 	list []error
 }
 
-func (f *faultList) add(err error) {
+func (f *errorList) add(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append(f.list, err)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -12,32 +12,32 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/poison"
 )
 
-// Dispatcher brings requests to upstreams. Safe for concurrent use.
+// Dispatcher sends requests to upstreams. It is safe for concurrent use.
 //
-// Locks, in the order in which they may be held: leavingMu, peers.mu, mu, shard.mu,
-// poisonMu; copies.mu and flights.mu are held alone. No lock of these is held over a
-// call of the client or the caller's onChunk; the recorder is called under a shard's
-// lock and must not block.
+// Lock order: leavingMu, peers.mu, mu, shard.mu, poisonMu. copies.mu and stoppable.mu
+// are never held together with another lock. None of these locks is held
+// during a call of the client or of the caller's onChunk. The recorder is called with a
+// shard's lock held and must not block.
 type Dispatcher struct {
-	o Options
+	options Options
 
-	mu     sync.RWMutex // guards the maps, which Apply replaces
-	shards map[string]*shard
-	models map[modelKey]string // to the group
-	teams  map[ident.Team]config.Limits
-	fleet  Fleet
+	mu      sync.RWMutex // guards the maps, which Apply replaces, and daemons
+	shards  map[string]*shard
+	models  map[modelKey]string // group that serves the model
+	teams   map[ident.Team]config.Limits
+	daemons Fleet
 
-	poisonMu sync.Mutex
-	keeper   *poison.Keeper
-	copies   copies
-	flights  flights
+	poisonMu     sync.Mutex
+	suspectMarks *poison.Keeper
+	copies       copyPlacement
+	stoppable    stoppableAttempts
 
-	leavingMu      sync.Mutex
-	leavingUnknown map[ident.Upstream]string // said to leave, not configured yet
+	leavingMu           sync.Mutex
+	leavingUnconfigured map[ident.Upstream]string // source of a leaving notice, by upstreams without a shard member
 
-	peers    peerTable
-	urgent   chan struct{}
-	draining atomic.Bool
+	peers        peerTable
+	urgentDigest chan struct{}
+	draining     atomic.Bool
 }
 
 type modelKey struct {
@@ -45,44 +45,44 @@
 	model ident.Model
 }
 
-// New returns a Dispatcher without upstreams: Apply gives it some, and Run keeps
-// watch over them.
-func New(o Options) *Dispatcher {
-	o = o.withDefaults()
+// New returns a Dispatcher without upstreams. Apply configures them, and Run polls
+// them.
+func New(opts Options) *Dispatcher {
+	opts = opts.withDefaults()
 	return &Dispatcher{
-		o:      o,
-		shards: map[string]*shard{},
+		options: opts,
+		shards:  map[string]*shard{},
 
-		leavingUnknown: map[ident.Upstream]string{},
+		leavingUnconfigured: map[ident.Upstream]string{},
 
-		keeper:  poison.New(poison.Options{Self: o.Self}),
-		copies:  newCopies(),
-		flights: newFlights(),
-		peers:   newPeerTable(),
-		urgent:  make(chan struct{}, 1),
+		suspectMarks: poison.New(poison.Options{Self: opts.Self}),
+		copies:       newCopyPlacement(),
+		stoppable:    newStoppableAttempts(),
+		peers:        newPeerTable(),
+		urgentDigest: make(chan struct{}, 1),
 	}
 }
 
-// Apply takes the groups, models and limits of a configuration over, live:
-// requests on upstreams that left it run on to their end.
+// Apply puts a configuration's groups, models and limits into force. Requests that
+// are running on removed upstreams continue to their end.
 func (d *Dispatcher) Apply(s *config.State) { d.applyTree(s.Tree()) }
 
-func (d *Dispatcher) applyTree(t *config.Tree) {
-	d.configure(t)
-	d.keepGone()
-	d.leaveKept()
+func (d *Dispatcher) applyTree(tree *config.Tree) {
+	d.configure(tree)
+	d.keepDroppedLeaving()
+	d.applyKeptLeaving()
 }
 
-func (d *Dispatcher) configure(t *config.Tree) {
+func (d *Dispatcher) configure(tree *config.Tree) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	shards := make(map[string]*shard, len(t.Fleet.Groups))
-	for name, group := range t.Fleet.Groups {
+	shards := make(map[string]*shard, len(tree.Fleet.Groups))
+	for name, group := range tree.Fleet.Groups {
 		s := d.shards[name]
 		if s == nil {
 			s = newShard(d, name)
 		}
-		s.apply(group, t, d.fleet)
+		s.apply(group, tree, d.daemons)
 		shards[name] = s
 	}
 	for name, s := range d.shards {
@@ -93,18 +93,19 @@
 	d.shards = shards
 	d.models = map[modelKey]string{}
 	d.teams = map[ident.Team]config.Limits{}
-	for team, branch := range t.Teams {
-		d.teams[team] = branch.Limits
-		for model, m := range branch.Models {
-			d.models[modelKey{team, model}] = m.Group
+	for team, teamConfig := range tree.Teams {
+		d.teams[team] = teamConfig.Limits
+		for model, modelConfig := range teamConfig.Models {
+			d.models[modelKey{team, model}] = modelConfig.Group
 		}
 	}
 }
 
-// Drain refuses new work as not run. What was accepted goes on to its end.
+// Drain makes the dispatcher refuse new requests with the outcome NotRun. Accepted
+// requests continue to their end.
 func (d *Dispatcher) Drain() { d.draining.Store(true) }
 
-// shardOf finds the group of a model or a call; nil if it isn't configured.
+// shardOf returns the shard of a group, nil if the group isn't configured.
 func (d *Dispatcher) shardOf(group string) *shard {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -117,7 +118,7 @@
 	return d.shards[d.models[modelKey{team, model}]]
 }
 
-// allShards returns the shards by name.
+// allShards returns the shards sorted by group name.
 func (d *Dispatcher) allShards() []*shard {
 	d.mu.RLock()
 	list := make([]*shard, 0, len(d.shards))
@@ -129,30 +130,32 @@
 	return list
 }
 
-// entry refuses what can't even begin.
-func (d *Dispatcher) entry(s *shard) *Error {
+// checkAccepting returns the error for a request that arrives while the dispatcher
+// drains, or whose group isn't configured (s is nil).
+func (d *Dispatcher) checkAccepting(s *shard) *Error {
 	if d.draining.Load() {
-		return &Error{Outcome: outcome.NotRun, Reason: Draining, RetryAfter: retryElsewhere}
+		return &Error{Outcome: outcome.NotRun, Reason: Draining, RetryAfter: retryAfterDraining}
 	}
 	if s == nil {
-		return &Error{Outcome: outcome.NotRun, Reason: NoUpstream, RetryAfter: retryNoUpstream}
+		return &Error{Outcome: outcome.NotRun, Reason: NoUpstream, RetryAfter: retryAfterNoUpstream}
 	}
 	return nil
 }
 
-// tellUrgent wakes whoever pushes digests to peers.
-func (d *Dispatcher) tellUrgent() {
+// signalUrgentDigest asks for a digest to be sent to the peers at once.
+func (d *Dispatcher) signalUrgentDigest() {
 	select {
-	case d.urgent <- struct{}{}:
+	case d.urgentDigest <- struct{}{}:
 	default:
 	}
 }
 
-// Urgent yields when peers should get a digest at once.
-func (d *Dispatcher) Urgent() <-chan struct{} { return d.urgent }
+// Urgent returns a channel that receives a value when a digest should be sent to the
+// peers at once.
+func (d *Dispatcher) Urgent() <-chan struct{} { return d.urgentDigest }
 
-func (d *Dispatcher) record(kind string, id ident.RequestID, team ident.Team, up ident.Upstream, detail string) {
-	if d.o.Recorder != nil {
-		d.o.Recorder.Record(kind, id, team, up, detail)
+func (d *Dispatcher) recordEvent(kind string, id ident.RequestID, team ident.Team, upstreamName ident.Upstream, detail string) {
+	if d.options.Recorder != nil {
+		d.options.Recorder.Record(kind, id, team, upstreamName, detail)
 	}
 }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -7,10 +7,10 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// Reason says why a request failed.
+// Reason is why a request failed.
 type Reason int
 
-// The reasons.
+// The reasons, named after their cause.
 const (
 	UpstreamFailed Reason = iota
 	NoUpstream
@@ -33,7 +33,7 @@
 	Deadline:       "deadline",
 }
 
-// String returns the reason in words.
+// String returns the reason's name in lower case.
 func (r Reason) String() string {
 	if r < 0 || int(r) >= len(reasonNames) {
 		return "unknown reason"
@@ -41,9 +41,9 @@
 	return reasonNames[r]
 }
 
-// Error is every failure that this package returns. RetryAfter is when a
-// client may usefully come back, 0 if that isn't known. Err is the cause in
-// the layer below and may be nil.
+// Error is the type of all errors that this package returns. RetryAfter is when the
+// client may usefully try again, 0 if unknown. Err is the underlying error and may be
+// nil.
 type Error struct {
 	Outcome    outcome.Outcome
 	Reason     Reason
@@ -51,7 +51,7 @@
 	Err        error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("dispatch: %s (%s)", e.Reason, e.Outcome)
@@ -59,5 +59,5 @@
 	return fmt.Sprintf("dispatch: %s (%s): %v", e.Reason, e.Outcome, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
--- a/internal/dispatch/excuse_test.go
+++ b/internal/dispatch/excuse_test.go
@@ -9,33 +9,33 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-var _ = Describe("the need for a reserve", func() {
-	It("counts production of all daemons by a mean, and what decides a step at once", func() {
-		n := reserveNeed{daemons: 4}
-		t := routing.NewTable(routing.Options{})
+var _ = Describe("the demand for a reserve", func() {
+	It("counts production of all daemons by a moving mean, and step-critical rollouts at once", func() {
+		demand := reserveDemand{daemons: 4}
+		table := routing.NewTable(routing.Options{})
 		production := &slot{}
-		n.began(production, routing.Request{Class: routing.ClassProduction}, t)
-		Expect(n.tick()).To(BeZero(), "one call is no traffic")
+		demand.add(production, routing.Request{Class: routing.ClassProduction}, table)
+		Expect(demand.update()).To(BeZero(), "a single call reserves nothing")
 		for range 200 {
-			n.tick()
+			demand.update()
 		}
-		Expect(n.tick()).To(BeNumerically("~", 4, 0.1))
-		straggler, bulk := &slot{}, &slot{}
-		n.began(straggler, routing.Request{Class: routing.ClassRollout, Straggler: true}, t)
-		n.began(bulk, routing.Request{Class: routing.ClassRollout}, t)
-		Expect(n.tick()).To(BeNumerically("~", 5, 0.1))
-		n.ended(straggler)
-		n.ended(production)
+		Expect(demand.update()).To(BeNumerically("~", 4, 0.1))
+		straggler, ordinary := &slot{}, &slot{}
+		demand.add(straggler, routing.Request{Class: routing.ClassRollout, Straggler: true}, table)
+		demand.add(ordinary, routing.Request{Class: routing.ClassRollout}, table)
+		Expect(demand.update()).To(BeNumerically("~", 5, 0.1))
+		demand.remove(straggler)
+		demand.remove(production)
 		for range 400 {
-			n.tick()
+			demand.update()
 		}
-		Expect(n.tick()).To(BeZero())
+		Expect(demand.update()).To(BeZero())
 	})
 })
 
-var _ = Describe("the mean time of answers", func() {
-	It("follows an overload faster than its end", func() {
-		Expect(follow(time.Second, 2*time.Second)).To(Equal(1400 * time.Millisecond))
-		Expect(follow(2*time.Second, time.Second)).To(Equal(1900 * time.Millisecond))
+var _ = Describe("the moving mean of latencies", func() {
+	It("rises faster than it falls", func() {
+		Expect(updateMean(time.Second, 2*time.Second)).To(Equal(1400 * time.Millisecond))
+		Expect(updateMean(2*time.Second, time.Second)).To(Equal(1900 * time.Millisecond))
 	})
 })
--- a/internal/dispatch/failure_test.go
+++ b/internal/dispatch/failure_test.go
@@ -15,17 +15,17 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// session starts a world with one daemon and ends both.
-func session(engines int, p Policy, body func(g Gomega, w *world, d *Dispatcher)) func() {
-	return bubble(func(g Gomega) {
+// withDaemon returns a test body that runs with simulated engines and one daemon.
+func withDaemon(engines int, p Policy, body func(g Gomega, w *world, d *Dispatcher)) func() {
+	return inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(engines)
-		body(g, w, w.daemon(ctx, "vm1", p))
+		body(g, w, w.startDaemon(ctx, "vm1", p))
 	})
 }
 
-func problem(err error) *Error {
+func dispatchError(err error) *Error {
 	var e *Error
 	if !errors.As(err, &e) {
 		return &Error{Reason: -1}
@@ -34,14 +34,14 @@
 }
 
 var _ = Describe("a generation", func() {
-	// An engine's process ends in mid-stream. The caller had four tokens; the
-	// rest comes from another engine, of another version, and the label says so.
-	It("is resumed where its engine died", session(3, Ours, func(g Gomega, w *world, d *Dispatcher) {
-		time.AfterFunc(4*tokenTime+tokenTime/2, func() { w.kill(w.busy()[0]) })
-		answer, seen, err := ask(d, "hello")
+	// An engine's process dies in mid-stream, after four tokens. Another engine, with
+	// another version, generates the rest, and the segments say so.
+	It("is resumed on another engine at the token where its engine died", withDaemon(3, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
+		time.AfterFunc(4*tokenTime+tokenTime/2, func() { w.kill(w.busyEngines()[0]) })
+		answer, seen, err := generate(d, "hello")
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(answer.Text).To(Equal(whole()))
-		g.Expect(seen).To(Equal(whole()), "each chunk once, in order")
+		g.Expect(answer.Text).To(Equal(fullAnswer()))
+		g.Expect(seen).To(Equal(fullAnswer()), "each chunk must be passed on once, in order")
 		g.Expect(answer.Upstreams).To(HaveLen(2))
 		g.Expect(answer.Segments).To(Equal([]Segment{
 			{Version: w.engines[answer.Upstreams[0]].version, Tokens: 4},
@@ -49,23 +49,23 @@
 		}))
 	}))
 
-	// Every engine is gone and nothing listens: the refusal says "not run", and
-	// the engines' count agrees.
-	It("is truly not run when refused", session(2, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// All engines are down and refuse connections. The error must be "not run", and the
+	// engines must not have started the request.
+	It("hasn't run if it is refused as not run", withDaemon(2, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		for _, e := range w.engines {
 			w.kill(e)
 		}
-		_, _, err := ask(d, "hello")
-		g.Expect(problem(err).Outcome).To(Equal(outcome.NotRun))
-		g.Expect(problem(err).RetryAfter).To(BeNumerically(">", 0))
-		g.Expect(w.count("hello")).To(Equal(0))
+		_, _, err := generate(d, "hello")
+		g.Expect(dispatchError(err).Outcome).To(Equal(outcome.NotRun))
+		g.Expect(dispatchError(err).RetryAfter).To(BeNumerically(">", 0))
+		g.Expect(w.startCount("hello")).To(Equal(0))
 	}))
 
-	// A straggler sits on an engine that became slow. A copy goes on from its
-	// tokens elsewhere and wins; chunks of the winner alone are seen.
-	It("is hedged as a straggler, and seen once", session(2, Ours, func(g Gomega, w *world, d *Dispatcher) {
-		w.slow(time.Second, false)
-		time.AfterFunc(300*time.Millisecond, func() { w.slow(0, true) })
+	// A straggler runs on an engine that has become slow. A hedge resumes its answer on
+	// another engine and wins. Only the winner's chunks are passed on.
+	It("is hedged if it is a slow straggler, and each chunk is passed on once", withDaemon(2, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
+		w.setExtraTokenTime(time.Second, false)
+		time.AfterFunc(300*time.Millisecond, func() { w.setExtraTokenTime(0, true) })
 		seen := ""
 		began := time.Now()
 		request := Generate{ID: "s", Team: "t", Model: "m", Class: Rollout, Prompt: "long", Straggler: true}
@@ -74,76 +74,77 @@
 			return nil
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(answer.Text).To(Equal(whole()))
-		g.Expect(seen).To(Equal(whole()))
+		g.Expect(answer.Text).To(Equal(fullAnswer()))
+		g.Expect(seen).To(Equal(fullAnswer()))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
-		g.Expect(w.count("long")).To(Equal(2))
+		g.Expect(w.startCount("long")).To(Equal(2))
 	}))
 })
 
 var _ = Describe("a call that isn't idempotent", func() {
 	call := Call{ID: "c", Team: "t", Group: "g", Method: "POST", Path: "/", Body: []byte("once")}
 
-	// The connection breaks after the first byte: nobody knows whether it ran, so
-	// it is dispatched once and the caller is told "unknown".
-	It("is dispatched once when its answer is lost", session(3, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// The connection breaks after the first byte, so it is unknown whether the call ran. It
+	// must not be sent again, and the outcome must be "unknown".
+	It("isn't sent again when its answer is lost", withDaemon(3, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		for _, e := range w.engines {
 			e.resetAll = true
 		}
 		_, err := d.Call(context.Background(), call)
-		g.Expect(problem(err).Outcome).To(Equal(outcome.Unknown))
-		g.Expect(w.count("once")).To(Equal(1))
+		g.Expect(dispatchError(err).Outcome).To(Equal(outcome.Unknown))
+		g.Expect(w.startCount("once")).To(Equal(1))
 	}))
 
-	// Two of three upstreams refuse connections before health knows: refused is
-	// "not run", so the third may run it.
-	It("goes elsewhere when refused", session(3, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// Two of three upstreams refuse connections before health knows of it. A refused
+	// connection means "not run", so the third may run the call.
+	It("is sent to another upstream when the connection is refused", withDaemon(3, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		w.kill(w.engines["e0"])
 		w.kill(w.engines["e1"])
 		response, err := d.Call(context.Background(), call)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(string(response.Body)).To(Equal("once"))
-		g.Expect(w.count("once")).To(Equal(1))
+		g.Expect(w.startCount("once")).To(Equal(1))
 	}))
 })
 
-// poisoned sends a killer three times, among innocents, and returns the errors.
-func poisoned(w *world, d []*Dispatcher) (innocent, killed []error) {
+// sendKillersAmongHarmless sends a killer four times among harmless requests and returns
+// the errors.
+func sendKillersAmongHarmless(w *world, daemons []*Dispatcher) (harmlessErrs, killerErrs []error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	for i := range 12 {
 		group.Go(func() {
-			_, seen, err := ask(d[i%len(d)], fmt.Sprint("innocent ", i))
-			if err == nil && seen != whole() {
-				err = errors.New("not whole: " + seen)
+			_, seen, err := generate(daemons[i%len(daemons)], fmt.Sprint("innocent ", i))
+			if err == nil && seen != fullAnswer() {
+				err = errors.New("incomplete answer: " + seen)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			innocent = append(innocent, err)
+			harmlessErrs = append(harmlessErrs, err)
 		})
 	}
 	for i := range 4 {
-		_, _, err := ask(d[i%len(d)], killer)
-		killed = append(killed, err)
-		for _, to := range d { // digests flow
-			for j, from := range d {
+		_, _, err := generate(daemons[i%len(daemons)], killerPrompt)
+		killerErrs = append(killerErrs, err)
+		for _, to := range daemons { // exchange digests
+			for j, from := range daemons {
 				to.Merge(ident.VM(fmt.Sprint("vm", j+1)), from.Digest())
 			}
 		}
 	}
 	group.Wait()
-	return innocent, killed
+	return harmlessErrs, killerErrs
 }
 
-// gossip pushes a daemon's digest to the others, at once if it is urgent.
+// gossip sends a daemon's digest to the others, at once if it is urgent.
 func gossip(ctx context.Context, from *Dispatcher, to []*Dispatcher) {
 	for ctx.Err() == nil {
 		waitForUrgent(ctx, from)
-		waitFor(ctx, nil, 5*time.Millisecond) // on its way
+		waitUpTo(ctx, nil, 5*time.Millisecond) // network delay
 		digest := from.Digest()
 		for _, d := range to {
 			if d != from {
-				d.Merge(from.o.Self, digest)
+				d.Merge(from.options.Self, digest)
 			}
 		}
 	}
@@ -158,40 +159,41 @@
 }
 
 var _ = Describe("a request that kills engines", func() {
-	check := func(g Gomega, w *world, innocent, killed []error) {
-		g.Expect(w.deaths()).To(BeNumerically("<=", 2), "upstreams lost")
-		for _, err := range innocent {
+	check := func(g Gomega, w *world, harmlessErrs, killerErrs []error) {
+		g.Expect(w.deaths()).To(BeNumerically("<=", 2), "engines killed")
+		for _, err := range harmlessErrs {
 			g.Expect(err).NotTo(HaveOccurred())
 		}
-		for _, err := range killed {
-			g.Expect(problem(err).Reason).To(Equal(Poison))
-			g.Expect(problem(err).RetryAfter).To(BeNumerically(">", 0))
+		for _, err := range killerErrs {
+			g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(err).RetryAfter).To(BeNumerically(">", 0))
 		}
 	}
 
-	// It kills the engine it runs on, and a second one that it runs on alone.
-	// Its caller and every resend get a final answer; who shared the engine is
-	// answered whole.
-	It("costs two engines and no innocent its answer", session(6, Ours, func(g Gomega, w *world, d *Dispatcher) {
-		innocent, killed := poisoned(w, []*Dispatcher{d})
-		check(g, w, innocent, killed)
+	// The killer ends the engine that it runs on, and then the one on which it runs in
+	// quarantine. Its client gets a final error, also when it sends the request again.
+	// Requests that ran on the same engines get their whole answers.
+	It("kills at most two engines, and other requests get their answers", withDaemon(6, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
+		harmlessErrs, killerErrs := sendKillersAmongHarmless(w, []*Dispatcher{d})
+		check(g, w, harmlessErrs, killerErrs)
 	}))
 
-	// The same, sent again and again through different daemons.
-	It("costs two engines through three daemons", session(6, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// The same killer is sent again and again through different daemons.
+	It("kills at most two engines through three daemons", withDaemon(6, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		all := []*Dispatcher{d, w.daemon(ctx, "vm2", Ours), w.daemon(ctx, "vm3", Ours)}
-		innocent, killed := poisoned(w, all)
-		check(g, w, innocent, killed)
+		all := []*Dispatcher{d, w.startDaemon(ctx, "vm2", PolicyFull), w.startDaemon(ctx, "vm3", PolicyFull)}
+		harmlessErrs, killerErrs := sendKillersAmongHarmless(w, all)
+		check(g, w, harmlessErrs, killerErrs)
 	}))
 
-	// Its caller sends it to three daemons at the same moment. Each sees the death,
-	// but they try it alone one after the other, and the second death ends it.
-	It("costs two engines when sent to three daemons at once", session(6, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// The killer is sent through three daemons at the same time. Each sees the first death,
+	// but they must run their trials one after the other, so that the second death is the
+	// last one.
+	It("kills at most two engines when sent through three daemons at once", withDaemon(6, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		all := []*Dispatcher{d, w.daemon(ctx, "vm2", Ours), w.daemon(ctx, "vm3", Ours)}
+		all := []*Dispatcher{d, w.startDaemon(ctx, "vm2", PolicyFull), w.startDaemon(ctx, "vm3", PolicyFull)}
 		for _, from := range all {
 			go gossip(ctx, from, all)
 		}
@@ -199,70 +201,70 @@
 		var group sync.WaitGroup
 		errs := make([]error, len(all))
 		for i, at := range all {
-			group.Go(func() { _, _, errs[i] = ask(at, killer) })
+			group.Go(func() { _, _, errs[i] = generate(at, killerPrompt) })
 		}
 		group.Wait()
 		for _, err := range errs {
-			g.Expect(problem(err).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(err).Reason).To(Equal(Poison))
 		}
 		g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 	}))
 
-	// Two daemons are busy on every engine. After its first kill the request gets
-	// an engine that both keep clear, so that the second kill costs nobody anything.
-	It("runs alone after its first kill", session(4, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// Two daemons have requests on every engine. After its first kill, the killer must get an
+	// engine that neither daemon uses, so that the second kill affects no other request.
+	It("runs without other requests beside it after its first kill", withDaemon(4, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		all := []*Dispatcher{d, w.daemon(ctx, "vm2", Ours)}
+		all := []*Dispatcher{d, w.startDaemon(ctx, "vm2", PolicyFull)}
 		var group sync.WaitGroup
 		for i, from := range all {
 			go gossip(ctx, from, all)
 			for j := range 8 {
 				group.Go(func() {
 					for n := 0; n < 20; n++ {
-						_, _, _ = ask(from, fmt.Sprint("load ", i, j, n))
+						_, _, _ = generate(from, fmt.Sprint("load ", i, j, n))
 					}
 				})
 			}
 		}
-		time.Sleep(500*time.Millisecond + 5*tokenTime) // amid the others' answers
-		_, _, err := ask(d, killer)
+		time.Sleep(500*time.Millisecond + 5*tokenTime) // other answers are being generated
+		_, _, err := generate(d, killerPrompt)
 		group.Wait()
-		g.Expect(problem(err).Reason).To(Equal(Poison))
-		g.Expect(w.beside[killer]).To(HaveLen(2))
-		g.Expect(w.beside[killer][0]).To(BeNumerically(">", 0))
-		g.Expect(w.beside[killer][1]).To(Equal(0))
+		g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+		g.Expect(w.runningAtStart[killerPrompt]).To(HaveLen(2))
+		g.Expect(w.runningAtStart[killerPrompt][0]).To(BeNumerically(">", 0))
+		g.Expect(w.runningAtStart[killerPrompt][1]).To(Equal(0))
 	}))
 
-	// The naive policy shows that the check can find a fault.
-	It("red alive: costs the naive policy more", session(6, Naive, func(g Gomega, w *world, d *Dispatcher) {
-		innocent, killed := poisoned(w, []*Dispatcher{d})
+	// Shows that the check above can fail.
+	It("negative control: kills more engines under the naive policy", withDaemon(6, PolicyNaive, func(g Gomega, w *world, d *Dispatcher) {
+		harmlessErrs, killerErrs := sendKillersAmongHarmless(w, []*Dispatcher{d})
 		var faults []string
 		note := NewGomega(func(message string, _ ...int) { faults = append(faults, message) })
-		check(note, w, innocent, killed)
+		check(note, w, harmlessErrs, killerErrs)
 		g.Expect(faults).NotTo(BeEmpty())
 		g.Expect(w.deaths()).To(BeNumerically(">", 2))
 	}))
 })
 
 var _ = Describe("an upstream that is leaving", func() {
-	// Its answer says so. What runs there ends; nothing new starts, here at once
-	// and at a peer with the next digest.
-	It("gets no new work, and what runs there ends", session(2, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// Requests that run on the upstream end there. No new one starts, neither from this daemon
+	// nor, after the next digest, from a peer.
+	It("gets no new requests, and those running there end", withDaemon(2, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		peer := w.daemon(ctx, "vm2", Ours)
+		peer := w.startDaemon(ctx, "vm2", PolicyFull)
 		var first Generated
 		var err error
 		var group sync.WaitGroup
-		group.Go(func() { first, _, err = ask(d, "first") })
+		group.Go(func() { first, _, err = generate(d, "first") })
 		time.Sleep(3 * tokenTime)
-		leaving := w.busy()[0]
+		leaving := w.busyEngines()[0]
 		d.SetLeaving(leaving.name, "vm list")
 		peer.Merge("vm1", d.Digest())
 		for i := range 8 {
-			a, _, _ := ask(d, fmt.Sprint("mine ", i))
-			b, _, _ := ask(peer, fmt.Sprint("peer's ", i))
+			a, _, _ := generate(d, fmt.Sprint("mine ", i))
+			b, _, _ := generate(peer, fmt.Sprint("peer's ", i))
 			g.Expect(append(a.Upstreams, b.Upstreams...)).NotTo(ContainElement(leaving.name))
 		}
 		group.Wait()
@@ -271,10 +273,10 @@
 	}))
 })
 
-var _ = Describe("an upstream that the VM list said was leaving before the daemon was configured", func() {
-	// A daemon restarts. The list, which names each departure once, is read before
-	// the first record of the configuration.
-	It("gets no work", bubble(func(g Gomega) {
+var _ = Describe("an upstream that the VM list reported as leaving before the daemon was configured", func() {
+	// A daemon restarts. The VM list, which names each leaving upstream only once, is read
+	// before the configuration.
+	It("gets no requests", inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(2)
@@ -283,7 +285,7 @@
 		d.applyTree(w.tree())
 		go d.Run(ctx)
 		for i := range 8 {
-			answer, _, err := ask(d, fmt.Sprint(i))
+			answer, _, err := generate(d, fmt.Sprint(i))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(answer.Upstreams).To(Equal([]ident.Upstream{"e1"}))
 		}
@@ -291,9 +293,9 @@
 })
 
 var _ = Describe("a frozen service", func() {
-	// It takes connections and calls and answers none. An idempotent call goes to
-	// another one after a quarter of its time; any other waits to its deadline,
-	// since nobody knows whether it ran.
+	// The service accepts connections and never answers. An idempotent call is sent to
+	// another upstream after a quarter of its time. Any other call waits until its deadline,
+	// since it is unknown whether it ran.
 	call := func(d *Dispatcher, body string, idempotent bool) error {
 		_, err := d.Call(context.Background(), Call{
 			ID: ident.RequestID(body), Team: "t", Group: "g", Method: "POST", Path: "/", Body: []byte(body),
@@ -301,7 +303,7 @@
 		})
 		return err
 	}
-	It("is found by an idempotent call, and costs no other one its outcome", session(2, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	It("delays an idempotent call for a part of its time, and leaves the outcome of any other unknown", withDaemon(2, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		w.engines["e0"].frozen = true
 		began := time.Now()
 		for i := range 6 {
@@ -311,25 +313,25 @@
 		w.engines["e1"].frozen = true
 		began = time.Now()
 		err := call(d, "once", false)
-		g.Expect(problem(err).Outcome).To(Equal(outcome.Unknown))
+		g.Expect(dispatchError(err).Outcome).To(Equal(outcome.Unknown))
 		g.Expect(time.Since(began)).To(BeNumerically("~", 20*time.Second, time.Second))
-		g.Expect(w.count("once")).To(Equal(1))
+		g.Expect(w.startCount("once")).To(Equal(1))
 	}))
 })
 
 var _ = Describe("draining", func() {
-	// The daemon stops under load: what it accepted ends whole, what comes now is
-	// refused as not run.
-	It("cuts nothing and takes nothing", session(2, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// The daemon is stopped under load: accepted requests get their whole answers, and new
+	// ones are refused as not run.
+	It("ends accepted requests and refuses new ones", withDaemon(2, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		var group sync.WaitGroup
 		var err error
-		group.Go(func() { _, _, err = ask(d, "accepted") })
+		group.Go(func() { _, _, err = generate(d, "accepted") })
 		time.Sleep(3 * tokenTime)
 		d.Drain()
-		_, _, late := ask(d, "late")
-		g.Expect(problem(late).Reason).To(Equal(Draining))
-		g.Expect(problem(late).Outcome).To(Equal(outcome.NotRun))
-		g.Expect(w.count("late")).To(Equal(0))
+		_, _, late := generate(d, "late")
+		g.Expect(dispatchError(late).Reason).To(Equal(Draining))
+		g.Expect(dispatchError(late).Outcome).To(Equal(outcome.NotRun))
+		g.Expect(w.startCount("late")).To(Equal(0))
 		group.Wait()
 		g.Expect(err).NotTo(HaveOccurred())
 	}))
--- a/internal/dispatch/fault.go
+++ b/internal/dispatch/fault.go
@@ -9,48 +9,51 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// firstServerError is where HTTP's 5xx begin: failures that may pass.
-const firstServerError = 500
+// firstServerErrorStatus is the lowest HTTP status of a server error (5xx), which may be
+// transient.
+const firstServerErrorStatus = 500
 
-// fault is what dispatching reads in a client's error.
+// fault is a client error as dispatch classifies it.
 type fault struct {
-	kind       upstream.Fault
-	outcome    outcome.Outcome
-	leaving    bool
-	transient  bool // an answered failure that may pass
-	ours       bool // the caller's onChunk failed, the upstream didn't
-	retryAfter time.Duration
-	err        error
+	kind         upstream.Fault
+	outcome      outcome.Outcome
+	leaving      bool
+	transient    bool // the upstream answered a server error: a retry may succeed
+	callerFailed bool // the caller's onChunk failed, not the upstream
+	retryAfter   time.Duration
+	err          error
 }
 
-func faultOf(err error) fault {
-	if errors.Is(err, errCaller) {
-		return fault{kind: upstream.Cancelled, outcome: outcome.Unknown, ours: true, err: err}
+func classifyError(err error) fault {
+	if errors.Is(err, errCallerFailed) {
+		return fault{kind: upstream.Cancelled, outcome: outcome.Unknown, callerFailed: true, err: err}
 	}
-	var ue *upstream.Error
-	if !errors.As(err, &ue) {
+	var upstreamErr *upstream.Error
+	if !errors.As(err, &upstreamErr) {
 		return fault{kind: upstream.Malformed, outcome: outcome.Unknown, err: err}
 	}
 	return fault{
-		kind:       ue.Fault,
-		outcome:    ue.Outcome,
-		leaving:    ue.Leaving,
-		transient:  ue.Fault == upstream.Status && ue.Code >= firstServerError,
-		retryAfter: ue.RetryAfter,
+		kind:       upstreamErr.Fault,
+		outcome:    upstreamErr.Outcome,
+		leaving:    upstreamErr.Leaving,
+		transient:  upstreamErr.Fault == upstream.Status && upstreamErr.Code >= firstServerErrorStatus,
+		retryAfter: upstreamErr.RetryAfter,
 		err:        err,
 	}
 }
 
-// dead says whether the fault may come from the end of the process.
-func (f fault) dead() bool {
+// suggestsDeath reports whether the death of the upstream process may have caused the
+// fault.
+func (f fault) suggestsDeath() bool {
 	if f.outcome == outcome.NotRun {
 		return false
 	}
 	return f.kind == upstream.Reset || f.kind == upstream.Truncated || f.kind == upstream.Silent
 }
 
-// health sorts the fault for health, false if it says nothing about it.
-func (f fault) health() (health.FaultKind, bool) {
+// healthKind returns the fault's kind for package health, false if the fault says
+// nothing about the upstream's health.
+func (f fault) healthKind() (health.FaultKind, bool) {
 	switch f.kind {
 	case upstream.Refused:
 		return health.Refused, true
@@ -59,7 +62,7 @@
 	case upstream.Silent:
 		return health.Silent, true
 	case upstream.Crossed, upstream.Malformed:
-		return health.Garbled, !f.ours
+		return health.Garbled, !f.callerFailed
 	case upstream.Status:
 		return health.Garbled, f.transient
 	}
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -12,115 +12,120 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/poison"
 )
 
-// errStopped ends an attempt whose request turned out to be a suspect meanwhile.
-var errStopped = errors.New("dispatch: stopped, a copy of it ended its upstream")
+// errAttemptStopped ends an attempt whose request became a suspect while it was running.
+var errAttemptStopped = errors.New("dispatch: attempt stopped, a copy of the request killed its upstream")
 
-// flights are the attempts that run now and may be stopped. A request that ends its
-// upstream late in its answer may have copies on other upstreams by then, here or at
-// other daemons: each would run on to the same point, and end its own. Stopped ones go
-// on as suspects do, alone and one at a time.
-type flights struct {
-	mu      sync.Mutex
-	running map[poison.Fingerprint][]*flight
+// stoppableAttempts holds the running attempts that may be stopped. When a request
+// kills its upstream late in its answer, copies of it may be running on other upstreams,
+// from this daemon or from others. Each would reach the same point and kill its upstream
+// as well. A stopped request continues like any suspect: in quarantine, one at a time.
+type stoppableAttempts struct {
+	mu            sync.Mutex
+	byFingerprint map[poison.Fingerprint][]*stoppableAttempt
 }
 
-// flight is one attempt.
-type flight struct {
-	fp   poison.Fingerprint
-	on   poison.Death // that its upstream's process would die
-	stop context.CancelCauseFunc
+// stoppableAttempt is one running attempt.
+type stoppableAttempt struct {
+	fingerprint poison.Fingerprint
+	death       poison.Death // the death to be recorded if the upstream process dies
+	stop        context.CancelCauseFunc
 }
 
-func newFlights() flights { return flights{running: map[poison.Fingerprint][]*flight{}} }
+func newStoppableAttempts() stoppableAttempts {
+	return stoppableAttempts{byFingerprint: map[poison.Fingerprint][]*stoppableAttempt{}}
+}
 
-// begin notes an attempt; its context ends when it is stopped.
-func (f *flights) begin(ctx context.Context, sl *slot) (context.Context, *flight) {
+// add registers an attempt. The context returned is cancelled when the attempt is
+// stopped.
+func (a *stoppableAttempts) add(ctx context.Context, sl *slot) (context.Context, *stoppableAttempt) {
 	ctx, stop := context.WithCancelCause(ctx)
-	begun := &flight{sl.fp, poison.Death{Upstream: sl.m.target.Name, BootID: sl.bootID}, stop}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.running[sl.fp] = append(f.running[sl.fp], begun)
-	return ctx, begun
+	attempt := &stoppableAttempt{sl.fingerprint, poison.Death{Upstream: sl.member.target.Name, BootID: sl.bootID}, stop}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.byFingerprint[sl.fingerprint] = append(a.byFingerprint[sl.fingerprint], attempt)
+	return ctx, attempt
 }
 
-// end forgets an attempt that is over.
-func (f *flights) end(over *flight) {
-	over.stop(nil)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var kept []*flight
-	for _, other := range f.running[over.fp] {
-		if other != over {
+// remove unregisters an attempt that has ended.
+func (a *stoppableAttempts) remove(ended *stoppableAttempt) {
+	ended.stop(nil)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var kept []*stoppableAttempt
+	for _, other := range a.byFingerprint[ended.fingerprint] {
+		if other != ended {
 			kept = append(kept, other)
 		}
 	}
 	if len(kept) == 0 {
-		delete(f.running, over.fp)
+		delete(a.byFingerprint, ended.fingerprint)
 		return
 	}
-	f.running[over.fp] = kept
+	a.byFingerprint[ended.fingerprint] = kept
 }
 
-// stop ends the attempts of a suspect and returns where they ran. Those whose upstream
-// has died end by themselves, and tell how far they were: the furthest may have killed.
-func (f *flights) stop(suspect poison.Mark) []ident.Upstream {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var ran []ident.Upstream
-	for _, each := range f.running[suspect.Fingerprint] {
-		if suspect.Has(each.on) {
+// stop stops the attempts of a suspect and returns their upstreams. Attempts on
+// upstreams that have died are left to fail by themselves, since they report how far
+// they got: the one with the most tokens may be the killer.
+func (a *stoppableAttempts) stop(suspect poison.Mark) []ident.Upstream {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	var upstreams []ident.Upstream
+	for _, attempt := range a.byFingerprint[suspect.Fingerprint] {
+		if suspect.Has(attempt.death) {
 			continue
 		}
-		each.stop(errStopped)
-		ran = append(ran, each.on.Upstream)
+		attempt.stop(errAttemptStopped)
+		upstreams = append(upstreams, attempt.death.Upstream)
 	}
-	return ran
+	return upstreams
 }
 
-// stopCopies stops what runs of a request that is a suspect or convicted now. One that
-// was lately answered here is rather a victim: it runs on.
+// stopCopies stops the running attempts of a request that is a suspect or convicted. A
+// request that was answered by this daemon recently is probably innocent and isn't
+// stopped.
 func (d *Dispatcher) stopCopies(fp poison.Fingerprint) {
 	d.poisonMu.Lock()
-	suspect := d.keeper.Mark(fp, d.o.Now())
+	suspect := d.suspectMarks.Mark(fp, d.options.Now())
 	d.poisonMu.Unlock()
-	if suspect.Crashes() == 0 || d.wasAnswered(fp) {
+	if suspect.Crashes() == 0 || d.wasAnsweredRecently(fp) {
 		return
 	}
-	for _, on := range d.flights.stop(suspect) {
+	for _, upstreamName := range d.stoppable.stop(suspect) {
 		copiesStopped.Add(1)
-		d.noteSuspect(fp, "running copy of a suspect stopped", func(e *zerolog.Event) { e.Str("upstream", string(on)) })
+		d.logSuspect(fp, "stopped a running copy of a suspect request", func(e *zerolog.Event) { e.Str("upstream", string(upstreamName)) })
 	}
 }
 
-// mayStop says whether an attempt may end early and be made again. A suspect's own
-// attempt alone is what shows whether it kills.
-func (r *run) mayStop(sl *slot) bool {
-	return r.idempotent && !sl.lane && r.d.o.Policy != Naive
+// isStoppable reports whether an attempt may be stopped and repeated. A suspect's attempt
+// in quarantine isn't: only its result shows whether the request kills upstreams.
+func (r *requestRun) isStoppable(sl *slot) bool {
+	return r.idempotent && !sl.quarantined && r.dispatcher.options.Policy != PolicyNaive
 }
 
-// attemptStoppable runs an attempt that ends early when a copy of its request ends its
-// upstream. The error is errStopped then.
-func (r *run) attemptStoppable(ctx context.Context, sl *slot, do func(context.Context, *slot) error) error {
-	if !r.mayStop(sl) {
-		return do(ctx, sl)
+// runStoppable runs an attempt that is stopped when another copy of the request kills its
+// upstream. It returns errAttemptStopped then.
+func (r *requestRun) runStoppable(ctx context.Context, sl *slot, attemptFunc func(context.Context, *slot) error) error {
+	if !r.isStoppable(sl) {
+		return attemptFunc(ctx, sl)
 	}
-	limited, f := r.d.flights.begin(ctx, sl)
-	defer r.d.flights.end(f)
-	r.d.stopCopies(r.fp) // word may have come just before begin
-	err := do(limited, sl)
-	if err != nil && ctx.Err() == nil && errors.Is(context.Cause(limited), errStopped) {
-		return errStopped
+	stoppableCtx, attempt := r.dispatcher.stoppable.add(ctx, sl)
+	defer r.dispatcher.stoppable.remove(attempt)
+	r.dispatcher.stopCopies(r.fingerprint) // the death may have been reported just before add
+	err := attemptFunc(stoppableCtx, sl)
+	if err != nil && ctx.Err() == nil && errors.Is(context.Cause(stoppableCtx), errAttemptStopped) {
+		return errAttemptStopped
 	}
 	return err
 }
 
-// stopped gives a stopped attempt's place back. What it had generated is kept, and the
-// next attempt goes on from there.
-func (r *run) stopped(sl *slot) {
-	r.note(outcome.Unknown)
-	r.d.record("stopped", r.id, r.want.team, sl.m.target.Name, "")
-	r.s.mu.Lock()
-	r.s.lanes.ended(sl)
-	r.s.mu.Unlock()
-	r.s.giveBackLocked(sl, false)
+// releaseStopped releases the slot of a stopped attempt. The tokens generated so far are
+// kept, and the next attempt resumes after them.
+func (r *requestRun) releaseStopped(sl *slot) {
+	r.addOutcome(outcome.Unknown)
+	r.dispatcher.recordEvent("stopped", r.id, r.placement.team, sl.member.target.Name, "")
+	r.shard.mu.Lock()
+	r.shard.quarantine.endAttempt(sl)
+	r.shard.mu.Unlock()
+	r.shard.releaseSlot(sl, false)
 }
--- a/internal/dispatch/generate.go
+++ b/internal/dispatch/generate.go
@@ -17,25 +17,25 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// Generate runs one completion to its end. A stream that breaks is resumed on
-// another engine from the tokens already had. onChunk (may be nil) sees each
-// chunk once, in order, from one goroutine at a time; its error ends the request.
+// Generate runs one completion to its end. If a stream breaks, another engine resumes it
+// after the tokens already received. onChunk, which may be nil, is called for each chunk
+// once, in order, by one goroutine at a time; if it returns an error, the request ends.
 // Errors are *Error.
-func (d *Dispatcher) Generate(ctx context.Context, g Generate, onChunk func(upstream.Chunk) error) (Generated, error) {
-	s := d.shardOfModel(g.Team, g.Model)
-	if err := d.entry(s); err != nil {
+func (d *Dispatcher) Generate(ctx context.Context, request Generate, onChunk func(upstream.Chunk) error) (Generated, error) {
+	s := d.shardOfModel(request.Team, request.Model)
+	if err := d.checkAccepting(s); err != nil {
 		return Generated{}, err
 	}
-	ctx, cancel := withDeadline(ctx, g.Deadline)
+	ctx, cancel := withDeadline(ctx, request.Deadline)
 	defer cancel()
-	if g.Straggler && d.o.Policy != Naive {
-		return d.generateHedged(ctx, s, g, onChunk)
+	if request.Straggler && d.options.Policy != PolicyNaive {
+		return d.generateHedged(ctx, s, request, onChunk)
 	}
-	c := newGeneration(d, s, g, &collector{emit: onChunk})
-	if err := c.do(ctx); err != nil {
+	g := newGeneration(d, s, request, &collector{emit: onChunk})
+	if err := g.complete(ctx); err != nil {
 		return Generated{}, err
 	}
-	return c.had.generated(), nil
+	return g.collected.result(), nil
 }
 
 func withDeadline(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
@@ -45,84 +45,84 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-// generation is one run of a completion; a hedged one has two.
+// generation is one run of a completion. A hedged request has two.
 type generation struct {
-	run
-	g  Generate
-	mu sync.Mutex // guards had against a hedge that clones it
-	// had is what was collected so far, tried where; guarded as well.
-	had   *collector
-	tried []ident.Upstream
-	began int // tokens that it began with, as a hedge
+	requestRun
+	request Generate
+	mu      sync.Mutex // guards collected and triedUpstreams: a hedge may copy them
+	// collected is the answer so far.
+	collected       *collector
+	triedUpstreams  []ident.Upstream
+	inheritedTokens int // tokens that a hedge copied from the first run
 }
 
-func newGeneration(d *Dispatcher, s *shard, g Generate, had *collector) *generation {
-	c := &generation{g: g, had: had}
-	c.run = run{
-		d:          d,
-		s:          s,
-		id:         g.ID,
-		fp:         fingerprint(g),
-		want:       wantOf(d, s, g),
-		deadline:   g.Deadline,
-		idempotent: true,
-		resumable:  d.o.Policy != Naive,
+func newGeneration(d *Dispatcher, s *shard, request Generate, collected *collector) *generation {
+	g := &generation{request: request, collected: collected}
+	g.requestRun = requestRun{
+		dispatcher:  d,
+		shard:       s,
+		id:          request.ID,
+		fingerprint: requestFingerprint(request),
+		placement:   newPlacementRequest(d, s, request),
+		deadline:    request.Deadline,
+		idempotent:  true,
+		resumable:   d.options.Policy != PolicyNaive,
 	}
-	return c
+	return g
 }
 
-// wantOf derives what admission and routing need.
-func wantOf(d *Dispatcher, s *shard, g Generate) want {
-	tokens := g.ExpectedTokens
+// newPlacementRequest derives what admission and routing need to know of a request.
+func newPlacementRequest(d *Dispatcher, s *shard, request Generate) placementRequest {
+	tokens := request.ExpectedTokens
 	if tokens <= 0 {
-		tokens = g.MaxTokens
+		tokens = request.MaxTokens
 	}
-	w := want{
-		team:         g.Team,
-		model:        g.Model,
-		stepDeadline: g.Deadline,
-		urgent:       g.Straggler,
-		cost:         float64(tokens),
-		prefer:       g.Prefer,
+	req := placementRequest{
+		team:          request.Team,
+		model:         request.Model,
+		stepDeadline:  request.Deadline,
+		prioritized:   request.Straggler,
+		cost:          float64(tokens),
+		preferVersion: request.Prefer,
 		route: routing.Request{
-			Class:          classOf(g.Class),
-			Prefix:         prefixOf(g),
-			MinVersion:     g.MinVersion,
-			Straggler:      g.Straggler,
-			ExpectedTokens: g.ExpectedTokens,
+			Class:          routingClass(request.Class),
+			Prefix:         prefixHash(request),
+			MinVersion:     request.MinVersion,
+			Straggler:      request.Straggler,
+			ExpectedTokens: request.ExpectedTokens,
 		},
 	}
 	s.mu.Lock()
-	need := s.pace.of(g.ExpectedTokens)
+	expected := s.generationTimes.estimate(request.ExpectedTokens)
 	s.mu.Unlock()
-	w.deadline = d.latestStart(g.Deadline, need, g.Class)
-	return w
+	req.latestStart = d.latestStart(request.Deadline, expected, request.Class)
+	return req
 }
 
-// latestStart leaves an accepted request the time it needs: what is let in
-// should end well. Production without a deadline waits for QueueTimeout, rollouts
-// as long as it takes.
-func (d *Dispatcher) latestStart(deadline time.Time, need time.Duration, class Class) time.Time {
-	now := d.o.Now()
+// latestStart returns when a request must start at the latest, so that it can be expected
+// to end before its deadline. Without a deadline, production waits for QueueTimeout and
+// rollouts wait without limit.
+func (d *Dispatcher) latestStart(deadline time.Time, expected time.Duration, class Class) time.Time {
+	now := d.options.Now()
 	if deadline.IsZero() {
 		if class == Rollout {
 			return time.Time{}
 		}
-		return now.Add(d.o.QueueTimeout)
+		return now.Add(d.options.QueueTimeout)
 	}
-	left := deadline.Sub(now)
-	return deadline.Add(-min(need, time.Duration(mostNeed*float64(left))))
+	remaining := deadline.Sub(now)
+	return deadline.Add(-min(expected, time.Duration(maxRunShare*float64(remaining))))
 }
 
-// mostNeed is the share of its time that a request is expected to run, at most:
-// the estimate may be wrong, and on an idle engine it's worth a try.
-const mostNeed = 0.9
+// maxRunShare bounds the expected run time, as a fraction of the time left until the
+// deadline: the estimate may be wrong, and on an idle engine the request is worth a try.
+const maxRunShare = 0.9
 
-// prefixOf hashes the beginning of the prompt, which engines cache by.
-func prefixOf(g Generate) uint64 {
-	prompt := g.Prompt
-	if len(g.Chat) > 0 {
-		prompt = g.Chat[0].Content
+// prefixHash hashes the beginning of the prompt, by which engines cache.
+func prefixHash(request Generate) uint64 {
+	prompt := request.Prompt
+	if len(request.Chat) > 0 {
+		prompt = request.Chat[0].Content
 	}
 	if prompt == "" {
 		return 0
@@ -130,84 +130,85 @@
 	return xxhash.Sum64String(prompt[:min(len(prompt), wire.PrefixBytes)])
 }
 
-// fingerprint covers all that an engine is asked.
-func fingerprint(g Generate) poison.Fingerprint {
-	parts := []string{"generate", string(g.Team), string(g.Model), g.Prompt}
-	for _, m := range g.Chat {
+// requestFingerprint covers everything that determines an engine's work.
+func requestFingerprint(request Generate) poison.Fingerprint {
+	parts := []string{"generate", string(request.Team), string(request.Model), request.Prompt}
+	for _, m := range request.Chat {
 		parts = append(parts, m.Role, m.Content)
 	}
-	parts = append(parts, strconv.Itoa(g.MaxTokens), strconv.FormatInt(g.Seed, 10))
+	parts = append(parts, strconv.Itoa(request.MaxTokens), strconv.FormatInt(request.Seed, 10))
 	return poison.FingerprintOf(parts...)
 }
 
-// do runs the copy to its end; nil means that had is whole.
-func (c *generation) do(ctx context.Context) error {
-	if err := c.loop(ctx, c.attemptOnce, c.sent); err != nil {
-		tokensWasted.Add(int64(c.had.tokens - c.began))
+// complete runs the generation to its end. If it returns nil, collected is complete.
+func (g *generation) complete(ctx context.Context) error {
+	if err := g.runAttempts(ctx, g.streamAttempt, g.hasPartialAnswer); err != nil {
+		tokensWasted.Add(int64(g.collected.tokens - g.inheritedTokens))
 		return err
 	}
 	return nil
 }
 
-// sent says whether the next attempt goes on from something. The naive policy
-// can't: it starts anew unless the caller saw a part.
-func (c *generation) sent() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.resumable {
-		return c.had.tokens > 0
+// hasPartialAnswer reports whether the next attempt can resume a partial answer. Under the
+// naive policy it can't: the attempt starts from scratch unless the caller has already
+// received chunks.
+func (g *generation) hasPartialAnswer() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.resumable {
+		return g.collected.tokens > 0
 	}
-	if !c.had.emitted {
-		c.had.restart()
+	if !g.collected.emitted {
+		g.collected.reset()
 	}
-	return c.had.emitted
+	return g.collected.emitted
 }
 
-// attemptOnce streams from one engine.
-func (c *generation) attemptOnce(ctx context.Context, sl *slot) error {
-	c.mu.Lock()
-	c.tried = append(c.tried, sl.m.target.Name)
+// streamAttempt streams from one engine until the stream ends or fails.
+func (g *generation) streamAttempt(ctx context.Context, sl *slot) error {
+	g.mu.Lock()
+	g.triedUpstreams = append(g.triedUpstreams, sl.member.target.Name)
 	request := upstream.GenerateRequest{
-		ID:           c.g.ID,
-		Model:        c.g.Model,
-		Prompt:       c.g.Prompt,
-		Chat:         c.g.Chat,
-		MaxTokens:    c.g.MaxTokens,
-		Seed:         c.g.Seed,
-		ResumeText:   c.had.text.String(),
-		ResumeTokens: c.had.tokens,
+		ID:           g.request.ID,
+		Model:        g.request.Model,
+		Prompt:       g.request.Prompt,
+		Chat:         g.request.Chat,
+		MaxTokens:    g.request.MaxTokens,
+		Seed:         g.request.Seed,
+		ResumeText:   g.collected.text.String(),
+		ResumeTokens: g.collected.tokens,
 	}
-	c.resumed = c.had.tokens
-	c.mu.Unlock()
-	w := watch{s: c.s, sl: sl, model: c.g.Model}
-	name := sl.m.target.Name
-	err := c.d.o.Client.Generate(ctx, c.s.targetOf(sl.m), request, func(ch upstream.Chunk) error {
-		w.saw(ch, c.d.o.Now())
-		c.probation(sl)
-		return c.take(func() error { return c.had.add(name, ch) })
+	g.resumedTokens = g.collected.tokens
+	g.mu.Unlock()
+	observer := chunkObserver{shard: g.shard, slot: sl, model: g.request.Model}
+	name := sl.member.target.Name
+	err := g.dispatcher.options.Client.Generate(ctx, g.shard.targetOf(sl.member), request, func(chunk upstream.Chunk) error {
+		observer.observe(chunk, g.dispatcher.options.Now())
+		g.checkProbation(sl)
+		return g.updateCollected(func() error { return g.collected.add(name, chunk) })
 	})
 	if err != nil {
 		if ctx.Err() != nil {
-			// What is too slow for its deadline must teach the limits as well: if
-			// only answers in time did, an overload would look like good times.
-			w.done(c.want.route.Class)
+			// Attempts that are too slow for their deadline must count as well: if only
+			// those that end in time did, latency would look good during an overload.
+			observer.recordTimings(g.placement.route.Class)
 		}
-		c.mu.Lock()
-		c.had.drop()
-		c.mu.Unlock()
+		g.mu.Lock()
+		g.collected.discardPending()
+		g.mu.Unlock()
 		return err
 	}
-	w.done(c.want.route.Class)
-	return c.take(func() error { return c.had.commit(name) })
+	observer.recordTimings(g.placement.route.Class)
+	return g.updateCollected(func() error { return g.collected.commit(name) })
 }
 
-// take changes had under its lock. The lock is this copy's own: only a hedge's
-// clone ever waits for it.
-func (c *generation) take(change func() error) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// updateCollected changes collected under its lock. There is no contention on the lock,
+// except when a hedge copies the answer.
+func (g *generation) updateCollected(change func() error) error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if err := change(); err != nil {
-		return fmt.Errorf("%w: %w", errCaller, err)
+		return fmt.Errorf("%w: %w", errCallerFailed, err)
 	}
 	return nil
 }
@@ -218,73 +219,74 @@
 	return m.target
 }
 
-// watch learns from the chunks of one attempt.
-type watch struct {
-	s           *shard
-	sl          *slot
-	model       ident.Model
-	version     ident.Version
-	leaving     bool
-	first, last time.Time
-	tokens      int // behind the first chunk
+// chunkObserver takes versions, leaving notices and timings from the chunks of one attempt.
+type chunkObserver struct {
+	shard           *shard
+	slot            *slot
+	model           ident.Model
+	version         ident.Version
+	leaving         bool
+	firstAt, lastAt time.Time
+	laterTokens     int // tokens after the first chunk
 }
 
-func (w *watch) saw(ch upstream.Chunk, now time.Time) {
-	if w.first.IsZero() {
-		w.first = now
-		cachedTokens.Add(int64(ch.CachedTokens))
+func (o *chunkObserver) observe(chunk upstream.Chunk, now time.Time) {
+	if o.firstAt.IsZero() {
+		o.firstAt = now
+		cachedTokens.Add(int64(chunk.CachedTokens))
 	} else {
-		w.tokens += ch.Tokens
+		o.laterTokens += chunk.Tokens
 	}
-	w.last = now
-	w.sl.tokens += ch.Tokens
-	if ch.Leaving && !w.leaving {
-		w.leaving = true
-		w.s.left(w.sl.m, health.FromAnswer)
+	o.lastAt = now
+	o.slot.tokens += chunk.Tokens
+	if chunk.Leaving && !o.leaving {
+		o.leaving = true
+		o.shard.markLeaving(o.slot.member, health.FromAnswer)
 	}
-	if ch.Version != 0 && ch.Version != w.version {
-		w.version = ch.Version
-		w.s.serves(w.sl.m, w.model, ch.Version)
+	if chunk.Version != 0 && chunk.Version != o.version {
+		o.version = chunk.Version
+		o.shard.setServing(o.slot.member, o.model, chunk.Version)
 	}
 }
 
-// done teaches routing and limits the time between tokens.
-func (w *watch) done(class routing.Class) {
-	if w.tokens <= 0 {
+// recordTimings reports the mean time per token to routing and to the member's limit.
+func (o *chunkObserver) recordTimings(class routing.Class) {
+	if o.laterTokens <= 0 {
 		return
 	}
-	perToken := w.last.Sub(w.first) / time.Duration(w.tokens)
+	perToken := o.lastAt.Sub(o.firstAt) / time.Duration(o.laterTokens)
 	if perToken <= 0 {
 		return
 	}
-	s := w.s
+	s := o.shard
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.ObserveTokenTime(w.sl.m.target.Name, class, perToken, w.sl.beside)
-	s.pace.observe(perToken, w.last.Sub(w.sl.started))
-	s.observe(w.sl, perToken)
+	s.table.ObserveTokenTime(o.slot.member.target.Name, class, perToken, o.slot.upstreamInFlight)
+	s.generationTimes.observe(perToken, o.lastAt.Sub(o.slot.started))
+	s.observeLatency(o.slot, perToken)
 }
 
-// left takes note that an upstream is leaving.
-func (s *shard) left(m *member, source health.Source) {
+// markLeaving marks a member as leaving.
+func (s *shard) markLeaving(m *member, source health.Source) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.step(health.SaidLeaving{Upstream: m.target.Name, Source: source}, s.d.o.Now())
+	s.applyHealthEvent(health.SaidLeaving{Upstream: m.target.Name, Source: source}, s.dispatcher.options.Now())
 }
 
-// serves takes a version from a chunk, which is newer than any report.
-func (s *shard) serves(m *member, model ident.Model, v ident.Version) {
+// setServing takes the version that a member serves from a chunk, which is more recent
+// than any load report.
+func (s *shard) setServing(m *member, model ident.Model, version ident.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m.serving[model] == v {
+	if m.serving[model] == version {
 		return
 	}
-	serving := map[ident.Model]ident.Version{model: v}
-	for other, old := range m.serving {
+	serving := map[ident.Model]ident.Version{model: version}
+	for other, served := range m.serving {
 		if other != model {
-			serving[other] = old
+			serving[other] = served
 		}
 	}
-	m.serving = serving // replaced whole: digests share it
-	s.refresh(m)
+	m.serving = serving // replaced, not changed: digests share the map
+	s.updateRouting(m)
 }
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -7,120 +7,122 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// hedgeSlack is how much longer than expected a straggler runs before its copy.
-const hedgeSlack = 1.5
+// hedgeDelayFactor is how long a straggler runs before it is hedged, as a multiple of its
+// expected duration.
+const hedgeDelayFactor = 1.5
 
-// generateHedged runs a step's last sample. If it takes long, a copy goes on from
-// what it has on another engine; the first whole one wins and the other is
-// cancelled. Chunks are reported once it is known which one that is.
-func (d *Dispatcher) generateHedged(ctx context.Context, s *shard, g Generate, onChunk func(upstream.Chunk) error) (Generated, error) {
+// generateHedged runs a straggler. If it takes too long, a hedge resumes its answer on
+// another engine. The first run to complete wins, and the other one is cancelled. Chunks
+// are passed on only when the winner is known.
+func (d *Dispatcher) generateHedged(ctx context.Context, s *shard, request Generate, onChunk func(upstream.Chunk) error) (Generated, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // the loser's connection
-	first := newGeneration(d, s, g, &collector{keep: true})
-	ended := make(chan ending, 2)
-	go first.end(ctx, ended)
+	defer cancel() // stops the run that lost
+	original := newGeneration(d, s, request, &collector{keepChunks: true})
+	results := make(chan hedgeResult, 2)
+	go original.completeTo(ctx, results)
 
-	winner, err := d.race(ctx, first, ended)
+	winner, err := d.race(ctx, original, results)
 	if err != nil {
 		return Generated{}, err
 	}
-	return winner.had.generated(), replay(winner.had.chunks, onChunk)
+	return winner.collected.result(), replayChunks(winner.collected.chunks, onChunk)
 }
 
-// ending is how one of the copies ended.
-type ending struct {
-	of  *generation
-	err error
+// hedgeResult is the result of one of the runs.
+type hedgeResult struct {
+	generation *generation
+	err        error
 }
 
-func (c *generation) end(ctx context.Context, ended chan<- ending) {
-	ended <- ending{c, c.do(ctx)}
+func (g *generation) completeTo(ctx context.Context, results chan<- hedgeResult) {
+	results <- hedgeResult{g, g.complete(ctx)}
 }
 
-// race returns the first whole copy, or the first copy's error if none is.
-func (d *Dispatcher) race(ctx context.Context, first *generation, ended chan ending) (*generation, error) {
-	timer := time.NewTimer(d.hedgeDelay(first))
+// race returns the run that completes first. If neither completes, it returns the original
+// run's error.
+func (d *Dispatcher) race(ctx context.Context, original *generation, results chan hedgeResult) (*generation, error) {
+	timer := time.NewTimer(d.hedgeDelay(original))
 	defer timer.Stop()
 	running := 1
-	var failed error
+	var runErr error
 	for {
 		select {
 		case <-timer.C:
-			if second := d.hedge(first); second != nil {
+			if second := d.newHedge(original); second != nil {
 				running++
-				go second.end(ctx, ended)
+				go second.completeTo(ctx, results)
 			}
-		case e := <-ended:
+		case result := <-results:
 			running--
-			if e.err == nil {
-				d.won(e.of)
-				return e.of, nil
+			if result.err == nil {
+				d.recordHedgeEnd(result.generation)
+				return result.generation, nil
 			}
-			if failed == nil || e.of == first {
-				failed = e.err
+			if runErr == nil || result.generation == original {
+				runErr = result.err
 			}
 			if running == 0 {
-				return nil, failed
+				return nil, runErr
 			}
 		}
 	}
 }
 
-func (d *Dispatcher) won(c *generation) {
-	if c.hedge {
+func (d *Dispatcher) recordHedgeEnd(g *generation) {
+	if g.isHedge {
 		hedgesWon.Add(1)
 	}
-	d.record("hedge-end", c.id, c.want.team, "", "")
+	d.recordEvent("hedge-end", g.id, g.placement.team, "", "")
 }
 
-// hedgeDelay is when the sample has taken clearly longer than expected.
-func (d *Dispatcher) hedgeDelay(c *generation) time.Duration {
-	c.s.mu.Lock()
-	expected := c.s.pace.of(c.g.ExpectedTokens)
-	c.s.mu.Unlock()
-	return max(d.o.HedgeAfter, time.Duration(hedgeSlack*float64(expected)))
+// hedgeDelay returns after what time the straggler counts as slower than expected.
+func (d *Dispatcher) hedgeDelay(g *generation) time.Duration {
+	g.shard.mu.Lock()
+	expected := g.shard.generationTimes.estimate(g.request.ExpectedTokens)
+	g.shard.mu.Unlock()
+	return max(d.options.HedgeAfter, time.Duration(hedgeDelayFactor*float64(expected)))
 }
 
-// hedge makes the second copy, nil if the budget doesn't allow one or there is
-// no other upstream.
-func (d *Dispatcher) hedge(first *generation) *generation {
-	s := first.s
+// newHedge returns the second run, or nil if the budget doesn't allow one or there is no
+// other upstream.
+func (d *Dispatcher) newHedge(original *generation) *generation {
+	s := original.shard
 	s.mu.Lock()
-	allowed := s.spare() && s.hedges.Take(d.o.Now())
+	allowed := s.hasAlternative() && s.hedges.Take(d.options.Now())
 	s.mu.Unlock()
 	if !allowed {
 		return nil
 	}
-	first.mu.Lock()
-	had := first.had.clone()
-	exclude := first.tried
-	first.mu.Unlock()
-	second := newGeneration(d, s, first.g, had)
-	second.hedge = true
-	second.began = had.tokens
-	second.want.route.Exclude = append(second.want.route.Exclude, exclude...)
+	original.mu.Lock()
+	collected := original.collected.clone()
+	exclude := original.triedUpstreams
+	original.mu.Unlock()
+	hedge := newGeneration(d, s, original.request, collected)
+	hedge.isHedge = true
+	hedge.inheritedTokens = collected.tokens
+	hedge.placement.route.Exclude = append(hedge.placement.route.Exclude, exclude...)
 	hedgesMade.Add(1)
-	d.record("hedge", first.id, first.want.team, "", "")
-	return second
+	d.recordEvent("hedge", original.id, original.placement.team, "", "")
+	return hedge
 }
 
-// spare says whether another upstream than a running one is live.
-func (s *shard) spare() bool {
-	live := 0
-	for _, m := range s.order {
+// hasAlternative reports whether the group has more than one usable upstream.
+func (s *shard) hasAlternative() bool {
+	usable := 0
+	for _, m := range s.used {
 		if m.usable() {
-			live++
+			usable++
 		}
 	}
-	return live > 1
+	return usable > 1
 }
 
-func replay(chunks []upstream.Chunk, onChunk func(upstream.Chunk) error) error {
+func replayChunks(chunks []upstream.Chunk, onChunk func(upstream.Chunk) error) error {
 	if onChunk == nil {
 		return nil
 	}
-	for _, ch := range chunks {
-		if err := onChunk(ch); err != nil {
+	for _, chunk := range chunks {
+		if err := onChunk(chunk); err != nil {
 			return &Error{Reason: Cancelled, Err: err}
 		}
 	}
--- a/internal/dispatch/idle.go
+++ b/internal/dispatch/idle.go
@@ -9,60 +9,61 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/poison"
 )
 
-// awaitIdle gives other work on the upstream, ours and peers', some time to end.
-// On one that is cleared already, nothing but what got past probation runs; still each
-// peer must have heard that this daemon tries the suspect, or it tries it as well. It returns
-// false if the upstream is to be left to another daemon's suspect: two that opened lanes
-// there before they heard of each other would run both beside each other, and if one
-// kills, the other is convicted of it. The lower name stays.
-func (s *shard) awaitIdle(ctx context.Context, m *member, fp poison.Fingerprint, cleared bool) bool {
+// waitUntilIdle waits up to QuarantineWait for other work on a quarantined upstream to end,
+// this daemon's and its peers'. If the upstream is drained, only requests past their
+// probation run there; but each peer must still have heard of the trial, or it may start
+// one itself. It returns false if the upstream has to be left to another daemon's trial: if
+// two daemons quarantine it before they hear of each other, the suspects would run beside
+// each other, and if one kills the upstream, the other is convicted as well. The daemon with
+// the lower name keeps it.
+func (s *shard) waitUntilIdle(ctx context.Context, m *member, fp poison.Fingerprint, drained bool) bool {
 	name := m.target.Name
-	until := s.d.o.Now().Add(s.d.o.QuarantineWait)
+	giveUpAt := s.dispatcher.options.Now().Add(s.dispatcher.options.QuarantineWait)
 	for {
-		rival := s.d.rival(name)
-		if rival != "" && rival < s.d.o.Self {
+		competitor := s.dispatcher.competingTrial(name)
+		if competitor != "" && competitor < s.dispatcher.options.Self {
 			return false
 		}
-		said := rival == "" && s.d.saidClear(fp, name, cleared)
+		peersClear := competitor == "" && s.dispatcher.peersReportClear(fp, name, drained)
 		s.mu.Lock()
-		u, _ := s.table.Member(name)
-		idle := said && m.inFlight <= s.lanes.passed[name] && u.Peers == 0
-		wake := s.lanes.wake
-		s.lanes.waiters++
+		entry, _ := s.table.Member(name)
+		idle := peersClear && m.inFlight <= s.quarantine.pastProbation[name] && entry.Peers == 0
+		wake := s.quarantine.wake
+		s.quarantine.wakeWaiters++
 		s.mu.Unlock()
-		left := until.Sub(s.d.o.Now())
-		if !idle && left > 0 {
-			waitFor(ctx, wake, min(left, peerLook))
+		remaining := giveUpAt.Sub(s.dispatcher.options.Now())
+		if !idle && remaining > 0 {
+			waitUpTo(ctx, wake, min(remaining, peerPollInterval))
 		}
-		s.leaveLanes()
-		moot := s.d.judge(fp).Verdict != poison.Suspect
-		if idle || moot || left <= 0 || ctx.Err() != nil {
+		s.removeWakeWaiter()
+		decided := s.dispatcher.poisonDecision(fp).Verdict != poison.Suspect
+		if idle || decided || remaining <= 0 || ctx.Err() != nil {
 			return true
 		}
 	}
 }
 
-// peerLook is how often awaitIdle looks at what peers said.
-const peerLook = 10 * time.Millisecond
+// peerPollInterval is the interval between checks of what peers have reported.
+const peerPollInterval = 10 * time.Millisecond
 
-// saidClear says whether each live peer's last word was made after it had heard
-// of the lane, and none of its requests runs there, unless that is known. A word that
-// repeats the mark with this daemon's trial shows both, see Digest. An older word may say
-// that nothing runs there while a request is just being placed.
-func (d *Dispatcher) saidClear(fp poison.Fingerprint, on ident.Upstream, cleared bool) bool {
+// peersReportClear reports whether the last digest of each live peer shows that the peer
+// knows of this daemon's trial and, unless the upstream is drained, that it has no requests
+// there. A digest that repeats the mark of the trial shows both, see Digest. An older digest
+// may report no requests while the peer is just placing one.
+func (d *Dispatcher) peersReportClear(fp poison.Fingerprint, upstreamName ident.Upstream, drained bool) bool {
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
-	for _, h := range d.peers.heard {
-		if !d.echoed(h.digest.Poison, fp, on) || !cleared && h.digest.InFlight[on] > 0 {
+	for _, peer := range d.peers.digests {
+		if !d.acknowledgesTrial(peer.digest.Poison, fp, upstreamName) || !drained && peer.digest.InFlight[upstreamName] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// echoed finds this daemon's trial in a peer's marks.
-func (d *Dispatcher) echoed(marks []poison.Mark, fp poison.Fingerprint, on ident.Upstream) bool {
+// acknowledgesTrial reports whether a peer's marks contain this daemon's trial.
+func (d *Dispatcher) acknowledgesTrial(marks []poison.Mark, fp poison.Fingerprint, upstreamName ident.Upstream) bool {
 	return slices.ContainsFunc(marks, func(m poison.Mark) bool {
-		return m.Fingerprint == fp && m.Trying == d.o.Self && m.TryingOn == on
+		return m.Fingerprint == fp && m.Trying == d.options.Self && m.TryingOn == upstreamName
 	})
 }
--- a/internal/dispatch/lanes.go
+++ b/internal/dispatch/lanes.go
@@ -5,62 +5,62 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/poison"
 )
 
-// lanePart is the part of a group's live upstreams that may run suspects at
-// once, each alone on its own. A crash with many requests in flight makes as many
-// suspects; one lane would keep the innocent among them waiting for each other.
-// It costs no more upstreams: a request runs on one lane at a time.
-const lanePart = 3
+// quarantineDivisor bounds the upstreams in quarantine: a third of the group's live
+// upstreams, and at least one. A crash makes suspects of all requests that were in flight;
+// with a single quarantine, the innocent ones would wait long for each other. More
+// quarantines cost no more upstreams, since a request runs in one at a time.
+const quarantineDivisor = 3
 
-// laneTable holds which suspects run where, under the shard's lock.
-type laneTable struct {
-	held    map[ident.Upstream]poison.Fingerprint // suspects alone there
-	spare   map[ident.Upstream]bool               // clear of other work, for the next suspect
-	passed  map[ident.Upstream]int                // requests in flight past probation
-	running map[poison.Fingerprint]int            // all attempts in flight, in lanes or not
-	seekers int                                   // suspects that wait for a lane
-	wake    chan struct{}                         // closed when a lane or an upstream gets free
-	waiters int
+// quarantineTable holds a group's quarantines. It is guarded by the shard's lock.
+type quarantineTable struct {
+	active          map[ident.Upstream]poison.Fingerprint // suspect that owns the upstream
+	standby         map[ident.Upstream]bool               // free of other work and kept so for the next suspect
+	pastProbation   map[ident.Upstream]int                // attempts in flight that passed their probation there
+	attempts        map[poison.Fingerprint]int            // attempts in flight, in quarantine or not
+	waitingSuspects int                                   // suspects that wait for a quarantine
+	wake            chan struct{}                         // closed when a quarantine or a slot is released
+	wakeWaiters     int
 }
 
-func newLaneTable() laneTable {
-	return laneTable{
-		held:    map[ident.Upstream]poison.Fingerprint{},
-		spare:   map[ident.Upstream]bool{},
-		passed:  map[ident.Upstream]int{},
-		running: map[poison.Fingerprint]int{},
-		wake:    make(chan struct{}),
+func newQuarantineTable() quarantineTable {
+	return quarantineTable{
+		active:        map[ident.Upstream]poison.Fingerprint{},
+		standby:       map[ident.Upstream]bool{},
+		pastProbation: map[ident.Upstream]int{},
+		attempts:      map[poison.Fingerprint]int{},
+		wake:          make(chan struct{}),
 	}
 }
 
-// changed wakes those who wait for a lane.
-func (t *laneTable) changed() {
-	if t.waiters == 0 {
+// notifyChanged wakes the goroutines that wait for a quarantine or for an idle upstream.
+func (t *quarantineTable) notifyChanged() {
+	if t.wakeWaiters == 0 {
 		return
 	}
 	close(t.wake)
 	t.wake = make(chan struct{})
 }
 
-// runs counts an attempt of a fingerprint; it is known only to poison, so 0
-// isn't counted.
-func (t *laneTable) runs(fp poison.Fingerprint, delta int) {
+// countAttempt changes the number of attempts in flight of a fingerprint. 0 stands for a
+// request without a fingerprint and isn't counted.
+func (t *quarantineTable) countAttempt(fp poison.Fingerprint, delta int) {
 	if fp == 0 {
 		return
 	}
-	t.running[fp] += delta
-	if t.running[fp] <= 0 {
-		delete(t.running, fp)
+	t.attempts[fp] += delta
+	if t.attempts[fp] <= 0 {
+		delete(t.attempts, fp)
 	}
 }
 
-// ended takes an attempt off the books that got past probation.
-func (t *laneTable) ended(sl *slot) {
-	if !sl.passed {
+// endAttempt updates the table at the end of an attempt that had passed its probation.
+func (t *quarantineTable) endAttempt(sl *slot) {
+	if !sl.passedProbation {
 		return
 	}
-	name := sl.m.target.Name
-	t.passed[name]--
-	if t.passed[name] == 0 {
-		delete(t.passed, name)
+	name := sl.member.target.Name
+	t.pastProbation[name]--
+	if t.pastProbation[name] == 0 {
+		delete(t.pastProbation, name)
 	}
 }
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -2,48 +2,51 @@
 
 import "github.com/dogwoodflow/dogwoodflow/internal/routing"
 
-// reserveNeed estimates how much sensitive work the whole fleet of daemons has in
-// flight in a group: production by this daemon's, since callers come to all alike
-// through the platform's balancer, and what decides the end of its own steps.
-type reserveNeed struct {
-	daemons    int // that use the group, this one too
-	production int // in flight
-	deciding   int // rollouts in flight that decide their step's end
-	mean       float64
+// reserveDemand estimates how many sensitive requests of a group are in flight, over all
+// daemons (see routing.Table.SetReserve). Production is extrapolated from this daemon's,
+// since the platform's load balancer spreads callers evenly over the daemons. Of rollouts
+// only this daemon's own count, those that decide when their step ends.
+type reserveDemand struct {
+	daemons        int // that use the group, including this one
+	production     int // this daemon's production requests in flight
+	stepCritical   int // this daemon's rollouts in flight that decide when their step ends
+	meanProduction float64
 }
 
 const (
-	// needRate is the weight of a tick in the mean: some 1.5 s.
-	needRate = 1.0 / 30
-	// leastNeed is the mean below which nothing is reserved.
-	leastNeed = 0.3
+	// demandMeanRate is the weight of one tick in the moving mean, which is a time
+	// constant of about 1.5 s.
+	demandMeanRate = 1.0 / 30
+	// minReserveDemand is the demand below which nothing is reserved.
+	minReserveDemand = 0.3
 )
 
-func (n *reserveNeed) began(sl *slot, r routing.Request, t *routing.Table) {
+func (d *reserveDemand) add(sl *slot, r routing.Request, t *routing.Table) {
 	sl.class, sl.sensitive = r.Class, t.Sensitive(r)
-	n.add(sl, 1)
+	d.adjust(sl, 1)
 }
 
-func (n *reserveNeed) ended(sl *slot) { n.add(sl, -1) }
+func (d *reserveDemand) remove(sl *slot) { d.adjust(sl, -1) }
 
-func (n *reserveNeed) add(sl *slot, delta int) {
+func (d *reserveDemand) adjust(sl *slot, delta int) {
 	switch {
 	case !sl.sensitive:
 	case sl.class == routing.ClassProduction:
-		n.production += delta
+		d.production += delta
 	default:
-		n.deciding += delta
+		d.stepCritical += delta
 	}
 }
 
-// tick returns the mean need; it is called once a tick. What decides a step's end
-// counts at once: it comes first in a step, and the rest right behind it.
-func (n *reserveNeed) tick() float64 {
-	now := float64(n.production * max(1, n.daemons))
-	n.mean += needRate * (now - n.mean)
-	need := n.mean + float64(n.deciding)
-	if need < leastNeed {
+// update advances the moving mean by one tick and returns the demand in requests in
+// flight. Step-critical rollouts count at once, not by the mean: they are sent at the start
+// of a step, and the bulk of the step follows right behind them.
+func (d *reserveDemand) update() float64 {
+	production := float64(d.production * max(1, d.daemons))
+	d.meanProduction += demandMeanRate * (production - d.meanProduction)
+	demand := d.meanProduction + float64(d.stepCritical)
+	if demand < minReserveDemand {
 		return 0
 	}
-	return need
+	return demand
 }
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -10,72 +10,74 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/retry"
 )
 
-// Policy selects how work is placed and repeated.
+// Policy selects how requests are placed and retried.
 type Policy string
 
-// The policies. Naive is the bench's yardstick: round robin over live
-// upstreams, dispatch at once without limits, one retry of what is idempotent,
-// no resume, hedging, priorities or quarantine.
+// The policies. PolicyFull is the one for production. PolicyNaive is the baseline of
+// benchmarks: round robin over live upstreams, no admission limits, one retry of
+// idempotent requests, and no resuming, hedging, priorities or quarantine.
 const (
-	Ours  Policy = "ours"
-	Naive Policy = "naive"
+	PolicyFull  Policy = "ours"
+	PolicyNaive Policy = "naive"
 )
 
-// Options of a Dispatcher. Zero values take the defaults.
+// Options configure a Dispatcher. Zero values take the defaults.
 type Options struct {
 	Self       ident.VM
 	DataCentre ident.DataCentre
 	Client     Client // required
-	Policy     Policy // default Ours
+	Policy     Policy // default PolicyFull
 	Log        zerolog.Logger
-	Recorder   Recorder         // nil: no timeline
+	Recorder   Recorder         // nil: no timeline is recorded
 	Now        func() time.Time // default time.Now
 	Seed       uint64           // of routing's random choices
 
-	BusyPoll     time.Duration // between load reports of an upstream at work; default 500 ms
-	IdlePoll     time.Duration // of an idle one; default 1.5 s, below the 3 s for leaving
-	ProbeTimeout time.Duration // default 1 s
-	// QuarantineWait is how long a suspect waits for its upstream to be free of
-	// other work; default 1 s.
+	BusyPoll     time.Duration // interval between load reports of an upstream with requests in flight; default 500 ms
+	IdlePoll     time.Duration // the same for an idle upstream; default 1.5 s, below the 3 s within which leaving must be noticed
+	ProbeTimeout time.Duration // timeout of one load report; default 1 s
+	// QuarantineWait is how long a suspect waits for other work on its upstream to end;
+	// default 1 s.
 	QuarantineWait time.Duration
-	// PeerLife is how long a peer's digest counts; default 3 s.
-	PeerLife time.Duration
-	// HedgeAfter is the shortest run of a straggler before a copy; default 400 ms.
+	// DigestTTL is how long a peer's digest stays valid; default 3 s.
+	DigestTTL time.Duration
+	// HedgeAfter is the shortest time that a straggler runs before it is hedged; default
+	// 400 ms.
 	HedgeAfter time.Duration
-	// NoUpstreamWait is how long a request that began waits for an upstream to
-	// come back before it fails; default 5 s.
+	// NoUpstreamWait is how long a request that may already have run waits for an upstream
+	// to come back before it fails; default 5 s.
 	NoUpstreamWait time.Duration
-	// QueueTimeout bounds the wait of a request without a deadline; default 60 s.
+	// QueueTimeout bounds the queueing time of a production request without a deadline;
+	// default 60 s.
 	QueueTimeout time.Duration
 
 	Health      health.Options
 	Retry       retry.Options
 	RetryBudget retry.BudgetOptions
-	HedgeBudget retry.BudgetOptions // default 5% of traffic, 1 a second
+	HedgeBudget retry.BudgetOptions // default 5% of traffic, 1 per second
 }
 
-func (o Options) withDefaults() Options {
-	if o.Policy == "" {
-		o.Policy = Ours
+func (opts Options) withDefaults() Options {
+	if opts.Policy == "" {
+		opts.Policy = PolicyFull
 	}
-	if o.Now == nil {
-		o.Now = time.Now
+	if opts.Now == nil {
+		opts.Now = time.Now
 	}
-	setDuration(&o.BusyPoll, 500*time.Millisecond)
-	setDuration(&o.IdlePoll, 1500*time.Millisecond)
-	setDuration(&o.ProbeTimeout, time.Second)
-	setDuration(&o.QuarantineWait, time.Second)
-	setDuration(&o.PeerLife, 3*time.Second)
-	setDuration(&o.HedgeAfter, 400*time.Millisecond)
-	setDuration(&o.NoUpstreamWait, 5*time.Second)
-	setDuration(&o.QueueTimeout, time.Minute)
-	if o.HedgeBudget == (retry.BudgetOptions{}) {
-		o.HedgeBudget = retry.GenerationHedges()
+	setDefault(&opts.BusyPoll, 500*time.Millisecond)
+	setDefault(&opts.IdlePoll, 1500*time.Millisecond)
+	setDefault(&opts.ProbeTimeout, time.Second)
+	setDefault(&opts.QuarantineWait, time.Second)
+	setDefault(&opts.DigestTTL, 3*time.Second)
+	setDefault(&opts.HedgeAfter, 400*time.Millisecond)
+	setDefault(&opts.NoUpstreamWait, 5*time.Second)
+	setDefault(&opts.QueueTimeout, time.Minute)
+	if opts.HedgeBudget == (retry.BudgetOptions{}) {
+		opts.HedgeBudget = retry.GenerationHedges()
 	}
-	return o
+	return opts
 }
 
-func setDuration(d *time.Duration, fallback time.Duration) {
+func setDefault(d *time.Duration, fallback time.Duration) {
 	if *d <= 0 {
 		*d = fallback
 	}
--- a/internal/dispatch/park.go
+++ b/internal/dispatch/park.go
@@ -10,133 +10,135 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// The queue admits by the capacity of the whole group. While engines switch, a
-// rollout may fit only some of them, and with these full it would queue inside an
-// engine, which makes all that runs there slow. Such rollouts are parked: they wait
-// beside the queue, so that what fits elsewhere isn't held up, and enter it as soon
-// as an engine that fits has room. Production is never parked: it doesn't ask for
-// versions, and comes before rollouts everywhere.
+// The queue admits requests by the capacity of the whole group. While engines switch to a
+// new weight version, only some of them may serve a rollout. If these are full, an admitted
+// rollout would queue inside an engine and slow down all requests there. Such rollouts are
+// parked: they wait outside the queue, so that they don't block rollouts for other engines,
+// and enter it as soon as a suitable engine has room. Production requests are never parked:
+// they don't ask for versions and have priority over rollouts everywhere.
 
-// fit is what decides which members a waiter may run on. The team is in it so that
-// the teams that wait for one engine take turns.
-type fit struct {
+// placementKey determines on which members a waiter may run. It includes the team, so that
+// teams waiting for the same engine take turns.
+type placementKey struct {
 	team       ident.Team
 	model      ident.Model
 	minVersion ident.Version
 }
 
-func (w *want) fit() fit { return fit{w.team, w.model, w.route.MinVersion} }
+func (req *placementRequest) key() placementKey {
+	return placementKey{req.team, req.model, req.route.MinVersion}
+}
 
-// parkedList is what waits for room on the members of one fit, first come first.
-type parkedList struct {
-	fit     fit
+// parkedQueue holds the waiters of one key, first in, first out.
+type parkedQueue struct {
+	key     placementKey
 	waiters []*waiter
 }
 
-// mustPark says that a want fits only some of the usable members and that these
-// are full. When it fits all, the queue's count is right; when it fits none, place
-// has the word.
-func (s *shard) mustPark(w *want) bool {
-	if w.route.Class != routing.ClassRollout || w.route.MinVersion <= 0 && s.models <= 1 {
+// mustPark reports whether a request can run only on some of the usable members and all of
+// these are full. If it can run on all members, the queue's capacity is the right limit; if
+// on none, pickMember decides.
+func (s *shard) mustPark(req *placementRequest) bool {
+	if req.route.Class != routing.ClassRollout || req.route.MinVersion <= 0 && s.modelCount <= 1 {
 		return false
 	}
-	fitting, others := 0, 0
-	free := 0.0
-	for _, m := range s.order {
+	suitable, others := 0, 0
+	freeSlots := 0.0
+	for _, m := range s.used {
 		switch {
 		case !m.usable():
-		case m.fits(w):
-			fitting++
-			free += m.capacity()*(1-s.gate.reserve) - float64(m.inFlight)
+		case m.canServe(req):
+			suitable++
+			freeSlots += m.capacity()*(1-s.admission.productionReserve) - float64(m.inFlight)
 		default:
 			others++
 		}
 	}
-	return fitting > 0 && others > 0 && free <= 0
+	return suitable > 0 && others > 0 && freeSlots <= 0
 }
 
-// park lets a waiter wait for room; false if its team has too many waiting.
+// park parks a waiter. It returns false if the team has too many waiters parked.
 func (s *shard) park(ticket limits.Ticket, w *waiter) bool {
-	g := &s.gate
-	if g.parkedOf(w.want.team) >= g.maxQueue(w.want.team) {
+	a := &s.admission
+	if a.parkedCount(w.request.team) >= a.maxQueueOf(w.request.team) {
 		return false
 	}
-	parkings.Add(1)
+	requestsParked.Add(1)
 	w.ticket = ticket
-	g.waiting[ticket] = w
-	key := w.want.fit()
-	i := slices.IndexFunc(g.parked, func(l *parkedList) bool { return l.fit == key })
+	a.waiting[ticket] = w
+	key := w.request.key()
+	i := slices.IndexFunc(a.parked, func(queue *parkedQueue) bool { return queue.key == key })
 	if i < 0 {
-		i = len(g.parked)
-		g.parked = append(g.parked, &parkedList{fit: key})
+		i = len(a.parked)
+		a.parked = append(a.parked, &parkedQueue{key: key})
 	}
-	g.parked[i].waiters = append(g.parked[i].waiters, w)
+	a.parked[i].waiters = append(a.parked[i].waiters, w)
 	return true
 }
 
-func (g *gate) parkedOf(team ident.Team) int {
+func (a *admission) parkedCount(team ident.Team) int {
 	n := 0
-	for _, l := range g.parked {
-		if l.fit.team == team {
-			n += len(l.waiters)
+	for _, queue := range a.parked {
+		if queue.key.team == team {
+			n += len(queue.waiters)
 		}
 	}
 	return n
 }
 
-// maxQueue is a team's bound on what it has waiting.
-func (g *gate) maxQueue(team ident.Team) int {
-	if n := g.maxQueues[team]; n > 0 {
+// maxQueueOf returns how many waiters of a team may be parked.
+func (a *admission) maxQueueOf(team ident.Team) int {
+	if n := a.teamMaxQueue[team]; n > 0 {
 		return n
 	}
 	return limits.DefaultTeamQueue
 }
 
-// dropParked takes out the waiters that a rule picks.
-func (g *gate) dropParked(gone func(*waiter) bool) {
-	for _, l := range g.parked {
-		l.waiters = slices.DeleteFunc(l.waiters, gone)
+// removeParked removes the parked waiters that match.
+func (a *admission) removeParked(match func(*waiter) bool) {
+	for _, queue := range a.parked {
+		queue.waiters = slices.DeleteFunc(queue.waiters, match)
 	}
-	g.dropEmpty()
+	a.removeEmptyParked()
 }
 
-func (g *gate) dropEmpty() {
-	g.parked = slices.DeleteFunc(g.parked, func(l *parkedList) bool { return len(l.waiters) == 0 })
+func (a *admission) removeEmptyParked() {
+	a.parked = slices.DeleteFunc(a.parked, func(queue *parkedQueue) bool { return len(queue.waiters) == 0 })
 }
 
-// expireParked refuses what waited too long.
+// expireParked refuses parked waiters that are past their latest start.
 func (s *shard) expireParked(now time.Time) {
-	s.gate.dropParked(func(w *waiter) bool {
-		if w.want.deadline.IsZero() || now.Before(w.want.deadline) {
+	s.admission.removeParked(func(w *waiter) bool {
+		if w.request.latestStart.IsZero() || now.Before(w.request.latestStart) {
 			return false
 		}
-		delete(s.gate.waiting, w.ticket)
-		refusals.Add(1)
-		w.refuse(&Error{Outcome: outcome.NotRun, Reason: QueueTimeout, RetryAfter: retryNoUpstream})
+		delete(s.admission.waiting, w.ticket)
+		requestsRefused.Add(1)
+		w.refuse(&Error{Outcome: outcome.NotRun, Reason: QueueTimeout, RetryAfter: retryAfterNoUpstream})
 		return true
 	})
 }
 
-// unpark brings waiters into the queue while the members that they fit have room
-// and the queue starts them at once. The lists take turns, so that one team's
-// thousand don't keep out another's one.
+// unpark moves parked waiters to the queue as long as members that can serve them have room
+// and the queue starts them at once. The keys take turns, so that a team with a thousand
+// waiters doesn't block a team with one.
 func (s *shard) unpark(now time.Time) {
-	g := &s.gate
+	a := &s.admission
 	for moved := true; moved; {
 		moved = false
-		for _, l := range g.parked {
-			if len(l.waiters) == 0 || s.mustPark(&l.waiters[0].want) {
+		for _, queue := range a.parked {
+			if len(queue.waiters) == 0 || s.mustPark(&queue.waiters[0].request) {
 				continue
 			}
-			w := l.waiters[0]
-			l.waiters = l.waiters[1:]
-			delete(g.waiting, w.ticket)
-			w.want.urgent = true // it has waited its turn
+			w := queue.waiters[0]
+			queue.waiters = queue.waiters[1:]
+			delete(a.waiting, w.ticket)
+			w.request.prioritized = true // it has queued before
 			moved = s.admit(w.ticket, w, now) || moved
 		}
 	}
-	g.dropEmpty()
-	if len(g.parked) > 1 { // the next time begins with another
-		g.parked = append(g.parked[1:], g.parked[0])
+	a.removeEmptyParked()
+	if len(a.parked) > 1 { // the next call starts with another key
+		a.parked = append(a.parked[1:], a.parked[0])
 	}
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -11,183 +11,186 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// peerTable holds the last digest of each peer.
+// peerTable holds the last digest of each live peer.
 type peerTable struct {
-	mu    sync.Mutex
-	heard map[ident.VM]heard
+	mu      sync.Mutex
+	digests map[ident.VM]peerDigest
 }
 
-type heard struct {
-	at     time.Time
-	digest Digest
+// peerDigest is the last digest received from a peer.
+type peerDigest struct {
+	receivedAt time.Time
+	digest     Digest
 }
 
 func newPeerTable() peerTable {
-	return peerTable{heard: map[ident.VM]heard{}}
+	return peerTable{digests: map[ident.VM]peerDigest{}}
 }
 
-// Digest says what peers should know. Leaving and Down are first-hand only: news
-// that came from a peer isn't passed on, else daemons would keep each other in a
-// belief that none of them can check.
+// Digest returns this daemon's state for its peers. Leaving and Down are first-hand only:
+// if reports from peers were passed on, daemons could keep confirming to each other a state
+// that none of them can verify.
 func (d *Dispatcher) Digest() Digest {
-	now := d.o.Now()
+	now := d.options.Now()
 	digest := Digest{
 		InFlight: map[ident.Upstream]int{},
 		Serving:  map[ident.Upstream]map[ident.Model]ident.Version{},
 	}
-	// Who reads in the marks that this daemon knows of a lane reads in the requests
-	// in flight what runs there after it began to keep clear.
+	// The marks are read before the requests in flight are counted. So if a peer finds its
+	// trial in the marks, the counts are from after this daemon stopped sending work to
+	// that upstream.
 	d.poisonMu.Lock()
-	digest.Poison = d.keeper.Marks(now)
-	taken := d.keeper.Taken(now)
+	digest.Poison = d.suspectMarks.Marks(now)
+	peerTrials := d.suspectMarks.Taken(now)
 	d.poisonMu.Unlock()
 	for _, s := range d.allShards() {
-		s.digest(&digest, taken)
+		s.addToDigest(&digest, peerTrials)
 	}
 	return digest
 }
 
-func (s *shard) digest(to *Digest, taken []ident.Upstream) {
+func (s *shard) addToDigest(digest *Digest, peerTrials []ident.Upstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepClear(taken)
-	for _, m := range s.polled() {
+	s.quarantineForPeers(peerTrials)
+	for _, m := range s.polledMembers() {
 		name := m.target.Name
 		view, _ := s.health.View(name)
 		if m.inFlight > 0 {
-			to.InFlight[name] += m.inFlight
+			digest.InFlight[name] += m.inFlight
 		}
 		if view.Leaving && view.FirstHand {
-			to.Leaving = append(to.Leaving, name)
+			digest.Leaving = append(digest.Leaving, name)
 		}
 		if view.State == health.Down {
-			to.Down = append(to.Down, name)
+			digest.Down = append(digest.Down, name)
 		}
 		if len(m.serving) > 0 {
-			to.Serving[name] = m.serving
+			digest.Serving[name] = m.serving
 		}
 	}
 }
 
-// Merge takes a peer's digest in.
+// Merge takes over the digest of a peer.
 func (d *Dispatcher) Merge(from ident.VM, digest Digest) {
-	now := d.o.Now()
+	now := d.options.Now()
 	d.peers.mu.Lock()
-	d.peers.heard[from] = heard{now, digest}
-	d.tellFlights()
+	d.peers.digests[from] = peerDigest{now, digest}
+	d.updatePeerLoad()
 	d.peers.mu.Unlock()
 
 	d.poisonMu.Lock()
-	news := d.keeper.Merge(from, digest.Poison, now)
+	changed := d.suspectMarks.Merge(from, digest.Poison, now)
 	d.poisonMu.Unlock()
-	for _, fp := range news {
-		d.noteSuspect(fp, "heard of a suspect", func(e *zerolog.Event) { e.Str("peer", string(from)) })
+	for _, fp := range changed {
+		d.logSuspect(fp, "peer reported a suspect request", func(e *zerolog.Event) { e.Str("peer", string(from)) })
 		d.stopCopies(fp)
-		if d.triedBy(fp, from) {
-			d.tellUrgent() // it waits for this daemon's word
+		if d.isTrialHeldBy(fp, from) {
+			d.signalUrgentDigest() // the peer waits for an acknowledgement of its trial
 		}
 	}
-	taken := d.taken(now)
+	peerTrials := d.peerTrials(now)
 	for _, s := range d.allShards() {
-		s.merge(digest, taken, now)
+		s.mergeDigest(digest, peerTrials, now)
 	}
 }
 
-func (s *shard) merge(digest Digest, taken []ident.Upstream, now time.Time) {
+func (s *shard) mergeDigest(digest Digest, peerTrials []ident.Upstream, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepClear(taken)
+	s.quarantineForPeers(peerTrials)
 	for _, name := range digest.Leaving {
-		s.step(health.SaidLeaving{Upstream: name, Source: health.FromPeer}, now)
+		s.applyHealthEvent(health.SaidLeaving{Upstream: name, Source: health.FromPeer}, now)
 	}
 	for _, name := range digest.Down {
 		m := s.members[name]
-		if m == nil || !m.eligible || now.Sub(m.reported) < s.d.o.BusyPoll {
-			continue // known to be down, or known better
+		if m == nil || !m.eligible || now.Sub(m.reportedAt) < s.dispatcher.options.BusyPoll {
+			continue // already down, or this daemon has a more recent report
 		}
-		s.step(health.Doubted{Upstream: name}, now)
+		s.applyHealthEvent(health.Doubted{Upstream: name}, now)
 	}
 	for name, serving := range digest.Serving {
-		if m := s.members[name]; m != nil && m.reported.IsZero() {
+		if m := s.members[name]; m != nil && m.reportedAt.IsZero() {
 			m.serving = maps.Clone(serving)
-			s.refresh(m)
+			s.updateRouting(m)
 		}
 	}
-	s.pump(now)
+	s.admitWaiting(now)
 }
 
-// Forget drops what a peer said that is gone.
+// Forget drops the state of a peer that has left.
 func (d *Dispatcher) Forget(vm ident.VM) {
 	d.peers.mu.Lock()
-	delete(d.peers.heard, vm)
-	d.tellFlights()
+	delete(d.peers.digests, vm)
+	d.updatePeerLoad()
 	d.peers.mu.Unlock()
 	d.poisonMu.Lock()
-	d.keeper.Forget(vm)
+	d.suspectMarks.Forget(vm)
 	d.poisonMu.Unlock()
 }
 
-// expirePeers drops digests that nothing renewed.
+// expirePeers drops digests older than DigestTTL.
 func (d *Dispatcher) expirePeers(now time.Time) {
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
 	expired := false
-	for vm, h := range d.peers.heard {
-		if now.Sub(h.at) > d.o.PeerLife {
-			delete(d.peers.heard, vm)
+	for vm, peer := range d.peers.digests {
+		if now.Sub(peer.receivedAt) > d.options.DigestTTL {
+			delete(d.peers.digests, vm)
 			expired = true
 		}
 	}
-	if expired || len(d.peers.heard) > 0 {
-		d.tellFlights()
+	if expired || len(d.peers.digests) > 0 {
+		d.updatePeerLoad()
 	}
 }
 
-// A peer sends what changed within wordLag, and nothing for wordSilence at most
-// while nothing changed: until then its last word still holds.
+// A peer sends a change within digestLag. While nothing changes it sends nothing for up to
+// maxDigestGap, during which its last digest stays valid.
 const (
-	wordLag     = 400 * time.Millisecond
-	wordSilence = 1200 * time.Millisecond
+	digestLag    = 400 * time.Millisecond
+	maxDigestGap = 1200 * time.Millisecond
 )
 
-// tellFlights brings the sums of the peers' requests in flight to the shards.
-// The peers' lock is held.
-func (d *Dispatcher) tellFlights() {
+// updatePeerLoad passes the sums of the peers' requests in flight to the shards. The lock of
+// peers is held.
+func (d *Dispatcher) updatePeerLoad() {
 	sums := map[ident.Upstream]int{}
-	now := d.o.Now()
-	made := now.Add(-wordLag) // of the oldest word
-	for _, h := range d.peers.heard {
-		if h.at.Before(made) && now.Sub(h.at) > wordSilence {
-			made = h.at
+	now := d.options.Now()
+	asOf := now.Add(-digestLag) // time of the oldest digest
+	for _, peer := range d.peers.digests {
+		if peer.receivedAt.Before(asOf) && now.Sub(peer.receivedAt) > maxDigestGap {
+			asOf = peer.receivedAt
 		}
-		for name, n := range h.digest.InFlight {
+		for name, n := range peer.digest.InFlight {
 			sums[name] += max(0, n)
 		}
 	}
-	daemons := len(d.peers.heard) + 1
+	daemons := len(d.peers.digests) + 1
 	for _, s := range d.allShards() {
-		s.heardFlights(sums, daemons, made)
+		s.setPeerLoad(sums, daemons, asOf)
 	}
 }
 
-// heardFlights starts a new round of sharing limits between daemons.
-func (s *shard) heardFlights(sums map[ident.Upstream]int, daemons int, made time.Time) {
+// setPeerLoad updates this daemon's shares of the upstreams' limits by the peers' requests in
+// flight as of the given time.
+func (s *shard) setPeerLoad(sums map[ident.Upstream]int, daemons int, asOf time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sharers > 0 {
-		daemons = s.sharers
+	if s.daemonsPerUpstream > 0 {
+		daemons = s.daemonsPerUpstream
 	}
-	s.need.daemons = daemons
+	s.reserveDemand.daemons = daemons
 	s.table.SetDaemons(daemons)
-	for _, m := range s.order {
+	for _, m := range s.used {
 		peers := sums[m.target.Name]
-		if s.sharers > 0 {
-			// Of the few that use it too, not all are linked with this daemon; the
-			// upstream's own report counts their requests.
-			peers = max(peers, m.others)
+		if s.daemonsPerUpstream > 0 {
+			// Not all daemons that use the upstream are connected to this one. The
+			// upstream's load report counts their requests as well.
+			peers = max(peers, m.othersInFlight)
 		}
 		s.table.SetPeers(m.target.Name, peers)
-		m.share.HeardAt(m.concurrency(), peers, daemons, made)
+		m.limitShare.HeardAt(m.concurrencyLimit(), peers, daemons, asOf)
 	}
-	s.gate.stale = true
+	s.admission.capacityStale = true
 }
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -13,9 +13,9 @@
 )
 
 var _ = Describe("a peer's digest", func() {
-	// A peer says that it fills e0 and is heard of no more: its requests count for
-	// three seconds.
-	It("counts until it expires", session(2, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// A peer reports that it has filled e0, and then nothing more. Its requests must count
+	// for three seconds.
+	It("stays valid until it expires", withDaemon(2, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		peers := func() int {
 			s := d.shardOf("g")
 			s.mu.Lock()
@@ -33,13 +33,13 @@
 })
 
 var _ = Describe("a change of configuration", func() {
-	// An upstream leaves its group while requests run on it: they end there, and
-	// no place is left taken in the books.
-	It("cuts nothing off and loses no place", session(3, Ours, func(g Gomega, w *world, d *Dispatcher) {
+	// An upstream is removed from its group while requests are running on it. They must end
+	// there, and all slots must be released.
+	It("interrupts no request and releases all slots", withDaemon(3, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		var group sync.WaitGroup
 		answers := make([]Generated, 9)
 		for i := range answers {
-			group.Go(func() { answers[i], _, _ = ask(d, fmt.Sprint("r", i)) })
+			group.Go(func() { answers[i], _, _ = generate(d, fmt.Sprint("r", i)) })
 		}
 		time.Sleep(3 * tokenTime)
 		tree := w.tree()
@@ -47,7 +47,7 @@
 		d.applyTree(tree)
 		group.Wait()
 		for _, answer := range answers {
-			g.Expect(answer.Text).To(Equal(whole()))
+			g.Expect(answer.Text).To(Equal(fullAnswer()))
 			g.Expect(answer.Upstreams).To(HaveLen(1))
 		}
 		g.Expect(d.Upstreams()).To(HaveLen(2))
@@ -57,7 +57,7 @@
 		s := d.shardOf("g")
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		g.Expect(s.gate.queue.Running(routing.ClassProduction)).To(Equal(0))
-		g.Expect(s.lanes.running).To(BeEmpty())
+		g.Expect(s.admission.queue.Running(routing.ClassProduction)).To(Equal(0))
+		g.Expect(s.quarantine.attempts).To(BeEmpty())
 	}))
 })
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -8,101 +8,102 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// place chooses the member for a want, nil if none may take it. What was tried
-// already is avoided while something else is left. The lock is held.
-func (s *shard) place(w *want, now time.Time) *member {
-	if s.d.o.Policy == Naive {
-		return s.nextInTurn(w)
+// pickMember picks the member for a request, nil if no member may run it. Members already
+// tried are avoided as long as there are others. The shard's lock is held.
+func (s *shard) pickMember(req *placementRequest, now time.Time) *member {
+	if s.dispatcher.options.Policy == PolicyNaive {
+		return s.pickRoundRobin(req)
 	}
-	r := w.route
-	tried := r.Exclude
-	r.Exclude = s.unfit(w, tried)
-	if m := s.placeFresher(w, r, now); m != nil {
+	route := req.route
+	tried := route.Exclude
+	route.Exclude = s.unsuitable(req, tried)
+	if m := s.pickPreferred(req, route, now); m != nil {
 		return m
 	}
-	if name, ok := s.table.Pick(r, now); ok {
+	if name, ok := s.table.Pick(route, now); ok {
 		return s.members[name]
 	}
 	if len(tried) > 0 {
-		r.Exclude = s.unfit(w, nil)
-		if name, ok := s.table.Pick(r, now); ok {
+		route.Exclude = s.unsuitable(req, nil)
+		if name, ok := s.table.Pick(route, now); ok {
 			return s.members[name]
 		}
 	}
-	return s.lastResort(w)
+	return s.pickQuarantined(req)
 }
 
-// placeFresher chooses among the members that serve the version preferred, nil if
-// none of them has room or if they bear much more than the others: to wait for one,
-// or to crowd it, would cost more than an older version.
-func (s *shard) placeFresher(w *want, r routing.Request, now time.Time) *member {
-	if w.prefer <= r.MinVersion {
+// pickPreferred picks among the members that serve the preferred version. It returns nil
+// if none of them has room, or if the one picked has a much higher load than the others:
+// waiting for it or overloading it would cost more than an older version does.
+func (s *shard) pickPreferred(req *placementRequest, route routing.Request, now time.Time) *member {
+	if req.preferVersion <= route.MinVersion {
 		return nil
 	}
-	r.MinVersion = w.prefer
-	fresher := *w
-	fresher.route.MinVersion = w.prefer
-	r.Exclude = s.unfit(&fresher, r.Exclude)
-	name, ok := s.table.Pick(r, now)
+	route.MinVersion = req.preferVersion
+	preferred := *req
+	preferred.route.MinVersion = req.preferVersion
+	route.Exclude = s.unsuitable(&preferred, route.Exclude)
+	name, ok := s.table.Pick(route, now)
 	if !ok {
 		return nil
 	}
-	if m := s.members[name]; m.hasRoom() && s.withinBound(m) {
+	if m := s.members[name]; m.hasRoom() && s.withinLoadBound(m) {
 		return m
 	}
 	return nil
 }
 
-// fresherFactor is how much more than the mean a member with newer weights may bear
-// for that alone, as prefixes may put on theirs.
-const fresherFactor = 1.25
+// preferredLoadFactor bounds the load of a member that is picked for its version, as a
+// multiple of the mean load. Members picked by prefix have the same bound.
+const preferredLoadFactor = 1.25
 
-// withinBound keeps the first members that switched from taking all while others idle.
-func (s *shard) withinBound(m *member) bool {
+// withinLoadBound prevents that the first members with a new version get all requests
+// while others are idle.
+func (s *shard) withinLoadBound(m *member) bool {
 	sum, n := 0, 0
-	for _, other := range s.order {
+	for _, other := range s.used {
 		if other.usable() {
 			sum += other.inFlight
 			n++
 		}
 	}
-	return float64(m.inFlight) <= fresherFactor*float64(sum+1)/float64(max(1, n))+1
+	return float64(m.inFlight) <= preferredLoadFactor*float64(sum+1)/float64(max(1, n))+1
 }
 
-// hasRoom says whether this daemon's share of the member's limit isn't used up.
+// hasRoom reports whether this daemon's share of the member's limit has a free slot.
 func (m *member) hasRoom() bool { return float64(m.inFlight) < m.capacity() }
 
-// unfit returns the members that can't run the want: those already tried, and
-// in a group of several models, those that don't serve its model fresh enough.
-// A group of one model leaves versions to the table.
-func (s *shard) unfit(w *want, tried []ident.Upstream) []ident.Upstream {
-	if s.models <= 1 || w.model == "" {
+// unsuitable returns the members that can't run the request: those already tried and, in
+// a group of several models, those that don't serve its model in a version new enough. In
+// a group of one model, the routing table checks the version.
+func (s *shard) unsuitable(req *placementRequest, tried []ident.Upstream) []ident.Upstream {
+	if s.modelCount <= 1 || req.model == "" {
 		return tried
 	}
-	unfit := slices.Clone(tried)
-	for _, m := range s.order {
-		if !m.fits(w) {
-			unfit = append(unfit, m.target.Name)
+	excluded := slices.Clone(tried)
+	for _, m := range s.used {
+		if !m.canServe(req) {
+			excluded = append(excluded, m.target.Name)
 		}
 	}
-	return unfit
+	return excluded
 }
 
-// fits says whether a member can run the want, as far as its reports tell.
-func (m *member) fits(w *want) bool {
-	if w.model == "" || len(m.serving) == 0 {
-		return w.route.MinVersion == 0
+// canServe reports whether a member can run the request, as far as its load reports tell.
+func (m *member) canServe(req *placementRequest) bool {
+	if req.model == "" || len(m.serving) == 0 {
+		return req.route.MinVersion == 0
 	}
-	v, serves := m.serving[w.model]
-	return serves && v >= w.route.MinVersion
+	v, serves := m.serving[req.model]
+	return serves && v >= req.route.MinVersion
 }
 
-// lastResort takes a member that a quarantine lane holds: beside a suspect is
-// better than not at all.
-func (s *shard) lastResort(w *want) *member {
+// pickQuarantined picks a member that is in quarantine, if no other is left: running
+// beside a suspect is better than not running at all.
+func (s *shard) pickQuarantined(req *placementRequest) *member {
 	var best *member
-	for _, m := range s.order {
-		if !m.eligible || m.usable() || !m.fits(w) {
+	for _, m := range s.used {
+		if !m.eligible || m.usable() || !m.canServe(req) {
 			continue
 		}
 		if best == nil || m.inFlight < best.inFlight {
@@ -112,12 +113,12 @@
 	return best
 }
 
-// nextInTurn is the naive policy: round robin over live members.
-func (s *shard) nextInTurn(w *want) *member {
-	for range s.order {
-		s.robin = (s.robin + 1) % len(s.order)
-		m := s.order[s.robin]
-		if m.eligible && m.fits(w) && !slices.Contains(w.route.Exclude, m.target.Name) {
+// pickRoundRobin implements the naive policy: round robin over eligible members.
+func (s *shard) pickRoundRobin(req *placementRequest) *member {
+	for range s.used {
+		s.roundRobinIndex = (s.roundRobinIndex + 1) % len(s.used)
+		m := s.used[s.roundRobinIndex]
+		if m.eligible && m.canServe(req) && !slices.Contains(req.route.Exclude, m.target.Name) {
 			return m
 		}
 	}
@@ -125,10 +126,10 @@
 }
 
 func (s *shard) anyEligible() bool {
-	return slices.ContainsFunc(s.order, func(m *member) bool { return m.eligible })
+	return slices.ContainsFunc(s.used, func(m *member) bool { return m.eligible })
 }
 
-func classOf(c Class) routing.Class {
+func routingClass(c Class) routing.Class {
 	if c == Rollout {
 		return routing.ClassRollout
 	}
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -13,12 +13,12 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// tick is the grain of probes, weights, queue deadlines and peers' expiry.
-const tick = 50 * time.Millisecond
+// tickInterval is the resolution of probes, weights, queue deadlines and the expiry of peers.
+const tickInterval = 50 * time.Millisecond
 
-// Run polls load reports and keeps time until ctx ends.
+// Run polls load reports and drives all timers until ctx is done.
 func (d *Dispatcher) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		d.tick(ctx)
@@ -31,29 +31,29 @@
 }
 
 func (d *Dispatcher) tick(ctx context.Context) {
-	now := d.o.Now()
+	now := d.options.Now()
 	d.expirePeers(now)
 	d.poisonMu.Lock()
-	d.keeper.Tick(now)
+	d.suspectMarks.Tick(now)
 	d.poisonMu.Unlock()
-	taken := d.taken(now)
+	peerTrials := d.peerTrials(now)
 	for _, s := range d.allShards() {
-		s.tick(ctx, now, taken)
+		s.tick(ctx, now, peerTrials)
 	}
 }
 
-func (s *shard) tick(ctx context.Context, now time.Time, taken []ident.Upstream) {
+func (s *shard) tick(ctx context.Context, now time.Time, peerTrials []ident.Upstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.step(health.Tick{}, now)
-	s.renewLanes(now)
-	s.keepClear(taken)
-	if s.kind == config.KindEngine && s.d.o.Policy != Naive {
-		s.table.SetReserve(s.need.tick())
+	s.applyHealthEvent(health.Tick{}, now)
+	s.renewTrials(now)
+	s.quarantineForPeers(peerTrials)
+	if s.kind == config.KindEngine && s.dispatcher.options.Policy != PolicyNaive {
+		s.table.SetReserve(s.reserveDemand.update())
 	}
-	s.pump(now)
-	s.sweep()
-	for _, m := range s.polled() {
+	s.admitWaiting(now)
+	s.dropUnused()
+	for _, m := range s.polledMembers() {
 		if m.probing || now.Before(m.nextProbe) {
 			continue
 		}
@@ -62,116 +62,118 @@
 	}
 }
 
-// poll takes one load report by schedule.
+// poll gets one regular load report.
 func (s *shard) poll(ctx context.Context, m *member) {
-	s.probe(ctx, m, s.d.o.Now())
+	s.probe(ctx, m, s.dispatcher.options.Now())
 	s.mu.Lock()
 	m.probing = false
 	s.mu.Unlock()
 }
 
-// probed is what a probe found.
-type probed struct {
+// probeResult is the result of a probe, which is a request for a load report.
+type probeResult struct {
 	started time.Time
 	bootID  string
-	refused bool // nothing listens
-	broken  bool // a connection was made and broke
+	refused bool // the connection was refused
+	broken  bool // the connection was established and then broke
 	err     error
 }
 
-// prober lets one probe of a member run at a time, and shares its result with
-// those who waited. The semaphore is a channel, so that waiting for it counts as
-// blocked under testing/synctest.
+// prober runs one probe of a member at a time and shares its result with those who waited.
+// The semaphore is a channel, so that waiting for it counts as blocked for
+// testing/synctest.
 type prober struct {
-	busy chan struct{}
-	last probed
+	semaphore chan struct{}
+	last      probeResult
 }
 
-func newProber() prober { return prober{busy: make(chan struct{}, 1)} }
+func newProber() prober { return prober{semaphore: make(chan struct{}, 1)} }
 
-// probe returns what a probe that began at or after since found: the last one
-// if it is new enough, else one made now.
-func (s *shard) probe(ctx context.Context, m *member, since time.Time) probed {
-	m.probes.busy <- struct{}{}
-	defer func() { <-m.probes.busy }()
-	if last := m.probes.last; !last.started.IsZero() && last.started.After(since) {
+// probe returns the result of a probe that started after the given time: the last one if it
+// is recent enough, otherwise a new one.
+func (s *shard) probe(ctx context.Context, m *member, startedAfter time.Time) probeResult {
+	m.prober.semaphore <- struct{}{}
+	defer func() { <-m.prober.semaphore }()
+	if last := m.prober.last; !last.started.IsZero() && last.started.After(startedAfter) {
 		return last
 	}
 	s.mu.Lock()
 	target := m.target
 	s.mu.Unlock()
-	found := probed{started: s.d.o.Now()}
-	limited, cancel := context.WithTimeout(ctx, s.d.o.ProbeTimeout)
+	found := probeResult{started: s.dispatcher.options.Now()}
+	probeCtx, cancel := context.WithTimeout(ctx, s.dispatcher.options.ProbeTimeout)
 	defer cancel()
-	report, err := s.d.o.Client.Load(limited, target)
+	report, err := s.dispatcher.options.Client.Load(probeCtx, target)
 	if ctx.Err() != nil {
-		return probed{err: ctx.Err()} // says nothing about the upstream
+		return probeResult{err: ctx.Err()} // the caller gave up, which says nothing about the upstream
 	}
 	found.err = err
 	if err == nil {
 		found.bootID = report.BootID
 	}
-	found.refused, found.broken = brokenBy(err)
-	m.probes.last = found
-	s.learn(m, report, found)
+	found.refused, found.broken = connectionFault(err)
+	m.prober.last = found
+	s.applyProbe(m, report, found)
 	return found
 }
 
-func brokenBy(err error) (refused, broken bool) {
-	var ue *upstream.Error
-	if !errors.As(err, &ue) {
+// connectionFault reports how the connection of a probe failed, if it did.
+func connectionFault(err error) (refused, broken bool) {
+	var upstreamErr *upstream.Error
+	if !errors.As(err, &upstreamErr) {
 		return false, false
 	}
-	return ue.Fault == upstream.Refused, ue.Fault == upstream.Reset || ue.Fault == upstream.Truncated
+	return upstreamErr.Fault == upstream.Refused, upstreamErr.Fault == upstream.Reset || upstreamErr.Fault == upstream.Truncated
 }
 
-// learn takes a probe's result into health, routing and the books.
-func (s *shard) learn(m *member, report wire.LoadReport, found probed) {
+// applyProbe updates the member's state, health and routing by a probe's result.
+func (s *shard) applyProbe(m *member, report wire.LoadReport, found probeResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.d.o.Now()
+	now := s.dispatcher.options.Now()
 	m.nextProbe = now.Add(s.pollInterval(m))
 	name := m.target.Name
 	if s.members[name] != m {
 		return
 	}
 	if found.err != nil {
-		s.step(health.ProbeFailed{Upstream: name, Refused: found.refused}, now)
-		s.pump(now)
+		s.applyHealthEvent(health.ProbeFailed{Upstream: name, Refused: found.refused}, now)
+		s.admitWaiting(now)
 		return
 	}
 	m.bootID = report.BootID
-	m.serving = servingOf(report)
-	m.loaded = loadedOf(report)
-	m.reported = now
-	m.others = max(0, report.Running-m.inFlight)
+	m.serving = servingVersions(report)
+	m.loaded = loadedVersions(report)
+	m.reportedAt = now
+	m.othersInFlight = max(0, report.Running-m.inFlight)
 	s.table.Report(name, report.Running, report.Queued, now.Add(-time.Duration(report.AgeMillis)*time.Millisecond))
-	s.step(health.Reported{Upstream: name, BootID: report.BootID, Leaving: report.Leaving}, now)
-	s.refresh(m)
-	s.pump(now)
+	s.applyHealthEvent(health.Reported{Upstream: name, BootID: report.BootID, Leaving: report.Leaving}, now)
+	s.updateRouting(m)
+	s.admitWaiting(now)
 }
 
-func servingOf(r wire.LoadReport) map[ident.Model]ident.Version {
+func servingVersions(r wire.LoadReport) map[ident.Model]ident.Version {
 	if len(r.Serving) == 0 {
 		return nil
 	}
 	serving := make(map[ident.Model]ident.Version, len(r.Serving))
-	for model, v := range r.Serving {
-		serving[ident.Model(model)] = ident.Version(v)
+	for model, version := range r.Serving {
+		serving[ident.Model(model)] = ident.Version(version)
 	}
 	return serving
 }
 
-// pollInterval is jittered by a fifth, so that daemons don't poll in step.
+// pollInterval returns the member's polling interval with a jitter of ±10%, so that daemons
+// don't poll in lockstep.
 func (s *shard) pollInterval(m *member) time.Duration {
-	interval := s.d.o.IdlePoll
+	interval := s.dispatcher.options.IdlePoll
 	if m.inFlight > 0 {
-		interval = s.d.o.BusyPoll
+		interval = s.dispatcher.options.BusyPoll
 	}
 	return time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 }
 
-func loadedOf(r wire.LoadReport) map[ident.Model][]ident.Version {
+func loadedVersions(r wire.LoadReport) map[ident.Model][]ident.Version {
 	loaded := make(map[ident.Model][]ident.Version, len(r.Loaded))
 	for model, versions := range r.Loaded {
 		for _, v := range versions {
--- a/internal/dispatch/postmortem.go
+++ b/internal/dispatch/postmortem.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// autopsies is how often a broken connection is looked into: the kernel of a
-	// dying process may close its streams before its listening socket, so that
-	// the first probe gets a connection which then breaks.
-	autopsies    = 4
-	autopsyPause = 25 * time.Millisecond
+	// deathProbes is the number of probes after a broken connection. The kernel of a
+	// dying process may close its streams before its listening socket, so the first probe
+	// may still get a connection, which then breaks.
+	deathProbes     = 4
+	deathProbePause = 25 * time.Millisecond
 )
 
-// postMortem finds out whether the upstream's process ended during an attempt
-// that broke. Refused connections and another boot ID prove it; the same boot ID
-// disproves it; anything else is not known and counts as alive.
-func (s *shard) postMortem(sl *slot) (poison.Death, bool) {
-	death := poison.Death{Upstream: sl.m.target.Name, BootID: sl.bootID}
-	broke := s.d.o.Now()
-	// The caller may be gone; what killed the upstream must be known all the same.
-	ctx, cancel := context.WithTimeout(context.Background(), 2*s.d.o.ProbeTimeout)
+// confirmDeath probes the upstream to find out whether its process died during a failed
+// attempt. A refused connection or a different boot ID proves the death, and the same boot
+// ID disproves it. Any other result is inconclusive, and the process counts as alive.
+func (s *shard) confirmDeath(sl *slot) (poison.Death, bool) {
+	death := poison.Death{Upstream: sl.member.target.Name, BootID: sl.bootID}
+	brokenAt := s.dispatcher.options.Now()
+	// The context isn't the caller's: the death has to be detected even if the caller is gone.
+	ctx, cancel := context.WithTimeout(context.Background(), 2*s.dispatcher.options.ProbeTimeout)
 	defer cancel()
-	for i := range autopsies {
+	for i := range deathProbes {
 		if i > 0 {
-			waitFor(ctx, nil, autopsyPause)
-			broke = s.d.o.Now()
+			waitUpTo(ctx, nil, deathProbePause)
+			brokenAt = s.dispatcher.options.Now()
 		}
-		found := s.probe(ctx, sl.m, broke)
+		found := s.probe(ctx, sl.member, brokenAt)
 		switch {
 		case found.refused:
 			return death, true
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -13,186 +13,192 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// probation ends the suspect's time alone once it got past the point where its
-// upstream died. A crash makes suspects of all that ran there; to run each alone
-// to its end would make a step wait for the innocent, and a request that kills at
-// one point does so before this. It runs on, and the next suspect runs beside it.
-func (r *run) probation(sl *slot) {
-	if !sl.lane || sl.passed || !r.d.passed(r.fp, r.resumed+sl.tokens) {
+// checkProbation ends a suspect's quarantine once its answer has got past the point where
+// its upstream died. A crash makes suspects of all requests that ran on the upstream. If
+// each ran alone to its end, a training step would wait long for the innocent ones; and a
+// request that kills at a fixed point of its answer has done so by then. The request
+// continues, and the next suspect runs beside it.
+func (r *requestRun) checkProbation(sl *slot) {
+	if !sl.quarantined || sl.passedProbation || !r.dispatcher.passProbation(r.fingerprint, r.resumedTokens+sl.tokens) {
 		return
 	}
-	s := r.s
+	s := r.shard
 	s.mu.Lock()
-	sl.passed = true
-	s.lanes.passed[sl.m.target.Name]++
+	sl.passedProbation = true
+	s.quarantine.pastProbation[sl.member.target.Name]++
 	s.mu.Unlock()
-	r.d.record("cleared", r.id, r.want.team, sl.m.target.Name, "")
-	s.closeLane(sl.m)
+	r.dispatcher.recordEvent("cleared", r.id, r.placement.team, sl.member.target.Name, "")
+	s.closeQuarantine(sl.member)
 }
 
-// placeAlone waits for a lane and for its upstream to be free of other work.
-func (r *run) placeAlone(ctx context.Context) (*slot, *Error) {
-	s := r.s
-	if wait := r.d.stagger(r.fp); wait > 0 {
-		waitFor(ctx, nil, wait)
-		if r.d.judge(r.fp).Verdict != poison.Suspect {
+// acquireQuarantined waits for a quarantine and for other work on its upstream to end. It
+// returns neither a slot nor an error if the request has to be judged again.
+func (r *requestRun) acquireQuarantined(ctx context.Context) (*slot, *Error) {
+	s := r.shard
+	if wait := r.dispatcher.trialDelay(r.fingerprint); wait > 0 {
+		waitUpTo(ctx, nil, wait)
+		if r.dispatcher.poisonDecision(r.fingerprint).Verdict != poison.Suspect {
 			return nil, nil
 		}
 	}
-	m, cleared, err := r.awaitLane(ctx)
+	m, drained, err := r.waitForQuarantine(ctx)
 	if m == nil {
 		return nil, err
 	}
-	// Said before the wait, so that peers keep clear of the upstream from now on.
-	if !r.d.try(r.fp, m.target.Name, r.d.o.Now()) {
-		s.closeLane(m)
-		return nil, nil // judged anew
+	// The trial is announced before the wait, so that peers send no more work there.
+	if !r.dispatcher.claimTrial(r.fingerprint, m.target.Name, r.dispatcher.options.Now()) {
+		s.closeQuarantine(m)
+		return nil, nil // the verdict has changed
 	}
-	ready := s.awaitIdle(ctx, m, r.fp, cleared) && s.newBoot(ctx, m)
+	ready := s.waitUntilIdle(ctx, m, r.fingerprint, drained) && s.refreshBootID(ctx, m)
 	if ctx.Err() != nil {
-		r.d.tried(r.fp, false)
-		s.closeLane(m)
+		r.dispatcher.finishTrial(r.fingerprint, false)
+		s.closeQuarantine(m)
 		return nil, contextError(ctx, r.outcome())
 	}
-	now := r.d.o.Now()
-	if !ready || !r.d.begin(r.fp, m.target.Name, now) {
-		r.d.tried(r.fp, false)
-		s.closeLane(m)
+	now := r.dispatcher.options.Now()
+	if !ready || !r.dispatcher.startTrial(r.fingerprint, m.target.Name, now) {
+		r.dispatcher.finishTrial(r.fingerprint, false)
+		s.closeQuarantine(m)
 		return nil, nil
 	}
-	r.d.record("quarantine", r.id, r.want.team, m.target.Name, "")
+	r.dispatcher.recordEvent("quarantine", r.id, r.placement.team, m.target.Name, "")
 	s.mu.Lock()
-	sl := s.take(m, r.fp, now)
-	sl.lane, sl.unqueued = true, true
+	sl := s.bookSlot(m, r.fingerprint, now)
+	sl.quarantined, sl.outsideQueue = true, true
 	s.mu.Unlock()
-	r.d.noteSuspect(r.fp, "suspect runs alone", func(e *zerolog.Event) {
+	r.dispatcher.logSuspect(r.fingerprint, "running suspect request in quarantine", func(e *zerolog.Event) {
 		e.Str("request", string(r.id)).Str("upstream", string(m.target.Name)).Str("boot", sl.bootID).
-			Int("beside", sl.beside-1)
+			Int("beside", sl.upstreamInFlight-1)
 	})
 	return sl, nil
 }
 
-// mayAwait says whether a request waits for another daemon's trial of it. One that has
-// begun may have a caller who saw a part of its answer, and a step's sample takes its
-// whole group along when it is refused. Most that were beside a death are innocent, which
-// the trial shows within seconds.
-func (r *run) mayAwait() bool {
-	return !r.hedge && (r.sends.Made > 0 || r.want.route.Class == routing.ClassRollout)
+// mayWaitForPeerTrial reports whether the request waits for the end of another daemon's
+// trial of it. A request that has begun does, since its caller may have seen a part of the
+// answer, and so does a sample of a training step, since a refusal would fail its whole
+// group of samples. Most requests that were running when an upstream died are innocent,
+// and the trial shows that within seconds.
+func (r *requestRun) mayWaitForPeerTrial() bool {
+	return !r.isHedge && (r.sends.Made > 0 || r.placement.route.Class == routing.ClassRollout)
 }
 
-// awaitVerdict waits a moment for the end of another daemon's trial.
-func (r *run) awaitVerdict(ctx context.Context) *Error {
-	waitFor(ctx, nil, peerLook)
+// waitForPeerTrial waits for one polling interval while another daemon's trial is running.
+func (r *requestRun) waitForPeerTrial(ctx context.Context) *Error {
+	waitUpTo(ctx, nil, peerPollInterval)
 	if ctx.Err() != nil {
 		return contextError(ctx, r.outcome())
 	}
 	return nil
 }
 
-// newBoot asks an upstream which process it is, false if it doesn't say. Its last report
-// may be of a process that ended since: a death under the suspect would bear that one's
-// boot ID, pass for the death known already, and not count.
-func (s *shard) newBoot(ctx context.Context, m *member) bool {
-	return s.probe(ctx, m, s.d.o.Now()).err == nil
+// refreshBootID gets a member's current boot ID by a load report, false if there is none.
+// The last report may be from a process that has died since. If the suspect then killed
+// the new process, that death would be recorded under the old boot ID, and not count, as
+// it would be taken for the one already known.
+func (s *shard) refreshBootID(ctx context.Context, m *member) bool {
+	return s.probe(ctx, m, s.dispatcher.options.Now()).err == nil
 }
 
-// Several daemons may see one request kill at one moment and would all try it
-// alone at once, each at the cost of an upstream. Each waits for a time of its
-// own, so that the first one's word reaches the others before their turn. Of two whose
-// times differ by less than that word takes the lower name goes first, see poison.Mark.
+// Several daemons may see a request kill an upstream at the same time. If each started a
+// trial at once, each would lose an upstream. So each waits for a different time first, for
+// the announcement of the first trial to reach the others. If two daemons' delays differ by
+// less than the announcement takes, the daemon with the lower name goes first, see
+// poison.Mark.
 const (
-	staggerLeast = 30 * time.Millisecond
-	staggerRange = 300 // in ms
+	minTrialDelay         = 30 * time.Millisecond
+	trialDelayRangeMillis = 300
 )
 
-// stagger is this daemon's wait before it tries a suspect; none without peers.
-func (d *Dispatcher) stagger(fp poison.Fingerprint) time.Duration {
+// trialDelay returns how long this daemon waits before it starts a trial, 0 without peers.
+func (d *Dispatcher) trialDelay(fp poison.Fingerprint) time.Duration {
 	d.peers.mu.Lock()
-	alone := len(d.peers.heard) == 0
+	noPeers := len(d.peers.digests) == 0
 	d.peers.mu.Unlock()
-	if alone {
+	if noPeers {
 		return 0
 	}
-	hash := xxhash.Sum64String(string(d.o.Self) + "\x00" + strconv.FormatUint(uint64(fp), 16))
-	return staggerLeast + time.Duration(hash%staggerRange)*time.Millisecond
+	hash := xxhash.Sum64String(string(d.options.Self) + "\x00" + strconv.FormatUint(uint64(fp), 16))
+	return minTrialDelay + time.Duration(hash%trialDelayRangeMillis)*time.Millisecond
 }
 
-// awaitLane waits until a lane opens, or fails if no upstream is live for long.
-// Cleared says that other work on it has ended. It returns nothing once the
-// request isn't a suspect any more: one that was convicted or cleared elsewhere
-// must not wait for a lane to learn it.
-func (r *run) awaitLane(ctx context.Context) (m *member, cleared bool, err *Error) {
-	s := r.s
-	s.seek(1)
-	defer s.seek(-1)
-	since := r.d.o.Now()
+// waitForQuarantine waits until it can open a quarantine. It fails if the group has no live
+// upstream for NoUpstreamWait. drained means that other work on the upstream has already
+// ended. It returns no member and no error once the request is no longer a suspect: a
+// request that was convicted or cleared elsewhere must not wait for a quarantine to find
+// that out.
+func (r *requestRun) waitForQuarantine(ctx context.Context) (m *member, drained bool, err *Error) {
+	s := r.shard
+	s.addWaitingSuspects(1)
+	defer s.addWaitingSuspects(-1)
+	lastEligibleAt := r.dispatcher.options.Now()
 	for {
-		if r.d.judge(r.fp).Verdict != poison.Suspect {
+		if r.dispatcher.poisonDecision(r.fingerprint).Verdict != poison.Suspect {
 			return nil, false, nil
 		}
 		s.mu.Lock()
-		now := r.d.o.Now()
+		now := r.dispatcher.options.Now()
 		if s.anyEligible() {
-			since = now
+			lastEligibleAt = now
 		}
-		m, cleared := s.openLane(r.fp, &r.want)
-		wake := s.lanes.wake
+		m, drained := s.openQuarantine(r.fingerprint, &r.placement)
+		wake := s.quarantine.wake
 		if m == nil {
-			s.lanes.waiters++
+			s.quarantine.wakeWaiters++
 		}
 		s.mu.Unlock()
 		if m != nil {
-			return m, cleared, nil
+			return m, drained, nil
 		}
-		if now.Sub(since) >= r.d.o.NoUpstreamWait {
-			s.leaveLanes()
-			return nil, false, &Error{Outcome: r.outcome(), Reason: NoUpstream, RetryAfter: retryNoUpstream}
+		if now.Sub(lastEligibleAt) >= r.dispatcher.options.NoUpstreamWait {
+			s.removeWakeWaiter()
+			return nil, false, &Error{Outcome: r.outcome(), Reason: NoUpstream, RetryAfter: retryAfterNoUpstream}
 		}
-		waitFor(ctx, wake, tick)
-		s.leaveLanes()
+		waitUpTo(ctx, wake, tickInterval)
+		s.removeWakeWaiter()
 		if ctx.Err() != nil {
 			return nil, false, contextError(ctx, r.outcome())
 		}
 	}
 }
 
-// seek counts who waits for a lane. With the last one, spare lanes go back to
-// other work.
-func (s *shard) seek(delta int) {
+// addWaitingSuspects changes the number of suspects that wait for a quarantine. When the
+// last one stops waiting, the standby upstreams are returned to other work.
+func (s *shard) addWaitingSuspects(delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lanes.seekers += delta
-	if s.lanes.seekers > 0 || len(s.lanes.spare) == 0 {
+	s.quarantine.waitingSuspects += delta
+	if s.quarantine.waitingSuspects > 0 || len(s.quarantine.standby) == 0 {
 		return
 	}
-	for _, m := range s.order {
-		if s.lanes.spare[m.target.Name] {
-			s.release(m)
+	for _, m := range s.used {
+		if s.quarantine.standby[m.target.Name] {
+			s.endQuarantine(m)
 		}
 	}
-	clear(s.lanes.spare)
-	s.pump(s.d.o.Now())
+	clear(s.quarantine.standby)
+	s.admitWaiting(s.dispatcher.options.Now())
 }
 
-// release opens an upstream to other work.
-func (s *shard) release(m *member) {
-	delete(s.lanes.spare, m.target.Name)
-	m.held = false
-	s.refresh(m)
+// endQuarantine returns an upstream to other work.
+func (s *shard) endQuarantine(m *member) {
+	delete(s.quarantine.standby, m.target.Name)
+	m.quarantined = false
+	s.updateRouting(m)
 }
 
-func (s *shard) leaveLanes() {
+func (s *shard) removeWakeWaiter() {
 	s.mu.Lock()
-	s.lanes.waiters--
+	s.quarantine.wakeWaiters--
 	s.mu.Unlock()
 }
 
-// openLane takes an upstream off other work, nil while none may be taken. The
-// lock is held. Suspects of one fingerprint run one by one. A spare lane comes
-// first: it is cleared already.
-func (s *shard) openLane(fp poison.Fingerprint, w *want) (m *member, cleared bool) {
+// openQuarantine quarantines an upstream for a suspect. It returns nil if none is available,
+// or if the suspect is already running: copies of it run one at a time. A standby upstream
+// is taken first, since other work there has already ended. The shard's lock is held.
+func (s *shard) openQuarantine(fp poison.Fingerprint, req *placementRequest) (m *member, drained bool) {
 	live, usable := 0, 0
-	for _, m := range s.order {
+	for _, m := range s.used {
 		if m.eligible {
 			live++
 		}
@@ -200,68 +206,68 @@
 			usable++
 		}
 	}
-	if s.lanes.running[fp] > 0 {
+	if s.quarantine.attempts[fp] > 0 {
 		return nil, false
 	}
-	for _, taken := range s.lanes.held {
-		if taken == fp {
+	for _, active := range s.quarantine.active {
+		if active == fp {
 			return nil, false
 		}
 	}
-	if m := s.takeSpare(w); m != nil {
-		s.lanes.held[m.target.Name] = fp
+	if m := s.takeStandby(req); m != nil {
+		s.quarantine.active[m.target.Name] = fp
 		return m, true
 	}
-	if len(s.lanes.held)+len(s.lanes.spare) >= max(1, live/lanePart) {
+	if len(s.quarantine.active)+len(s.quarantine.standby) >= max(1, live/quarantineDivisor) {
 		return nil, false
 	}
-	m = s.chooseLane(w)
+	m = s.chooseQuarantine(req)
 	if m == nil {
 		return nil, false
 	}
-	s.lanes.held[m.target.Name] = fp
-	m.held = usable > 1 // the last one goes on with other work
-	s.refresh(m)
+	s.quarantine.active[m.target.Name] = fp
+	m.quarantined = usable > 1 // the last usable upstream continues with other work
+	s.updateRouting(m)
 	return m, false
 }
 
-// takeSpare returns a spare lane that fits, nil if there is none, and gives up
-// those whose upstream isn't live any more.
-func (s *shard) takeSpare(w *want) *member {
-	for _, m := range s.order {
+// takeStandby returns a standby upstream that can serve the request, nil if there is none.
+// Standby upstreams that have become ineligible are returned to other work.
+func (s *shard) takeStandby(req *placementRequest) *member {
+	for _, m := range s.used {
 		name := m.target.Name
 		switch {
-		case !s.lanes.spare[name]:
+		case !s.quarantine.standby[name]:
 		case !m.eligible:
-			s.release(m)
-		case m.fits(w):
-			delete(s.lanes.spare, name)
+			s.endQuarantine(m)
+		case m.canServe(req):
+			delete(s.quarantine.standby, name)
 			return m
 		}
 	}
 	return nil
 }
 
-// chooseLane prefers upstreams that weren't tried and that no other daemon uses
-// for a suspect; among equals, rendezvous hashing by this daemon's name gives
-// each daemon another one.
-func (s *shard) chooseLane(w *want) *member {
+// chooseQuarantine prefers upstreams that the request wasn't tried on and that aren't in
+// quarantine for a peer. Among equals, rendezvous hashing by this daemon's name makes
+// different daemons choose different upstreams.
+func (s *shard) chooseQuarantine(req *placementRequest) *member {
 	var best *member
 	var bestRank int
 	var bestHash uint64
-	for _, m := range s.order {
-		_, taken := s.lanes.held[m.target.Name]
-		if taken || s.lanes.spare[m.target.Name] || !m.eligible || !m.fits(w) {
+	for _, m := range s.used {
+		_, inUse := s.quarantine.active[m.target.Name]
+		if inUse || s.quarantine.standby[m.target.Name] || !m.eligible || !m.canServe(req) {
 			continue
 		}
 		rank := 0
-		if slices.Contains(w.route.Exclude, m.target.Name) {
+		if slices.Contains(req.route.Exclude, m.target.Name) {
 			rank += 2
 		}
-		if m.peerHeld {
+		if m.quarantinedForPeer {
 			rank++
 		}
-		hash := xxhash.Sum64String(string(s.d.o.Self) + "\x00" + string(m.target.Name))
+		hash := xxhash.Sum64String(string(s.dispatcher.options.Self) + "\x00" + string(m.target.Name))
 		if best == nil || rank < bestRank || rank == bestRank && hash > bestHash {
 			best, bestRank, bestHash = m, rank, hash
 		}
@@ -269,33 +275,33 @@
 	return best
 }
 
-// closeLane gives the upstream to the next suspect, or back to other work.
-func (s *shard) closeLane(m *member) {
+// closeQuarantine passes the upstream on to the next suspect or returns it to other work.
+func (s *shard) closeQuarantine(m *member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := m.target.Name
-	delete(s.lanes.held, name)
-	if m.held && m.eligible && s.lanes.seekers > 0 && s.members[name] == m && m.used {
-		s.lanes.spare[name] = true
+	delete(s.quarantine.active, name)
+	if m.quarantined && m.eligible && s.quarantine.waitingSuspects > 0 && s.members[name] == m && m.used {
+		s.quarantine.standby[name] = true
 	} else {
-		s.release(m)
+		s.endQuarantine(m)
 	}
-	s.lanes.changed()
-	s.pump(s.d.o.Now())
+	s.quarantine.notifyChanged()
+	s.admitWaiting(s.dispatcher.options.Now())
 }
 
-// renewLanes holds on to the suspects that run, for peers.
-func (s *shard) renewLanes(now time.Time) {
-	for name, fp := range s.lanes.held {
-		if s.lanes.running[fp] > 0 {
-			s.d.renew(fp, name, now)
+// renewTrials extends the announced trials of the suspects that are running.
+func (s *shard) renewTrials(now time.Time) {
+	for name, fp := range s.quarantine.active {
+		if s.quarantine.attempts[fp] > 0 {
+			s.dispatcher.renewTrial(fp, name, now)
 		}
 	}
 }
 
-// waitFor waits for a wake, the end of ctx or of the time.
-func waitFor(ctx context.Context, wake <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+// waitUpTo waits until wake is closed, ctx is done or the limit has passed.
+func waitUpTo(ctx context.Context, wake <-chan struct{}, limit time.Duration) {
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-wake:
--- a/internal/dispatch/recheck.go
+++ b/internal/dispatch/recheck.go
@@ -6,8 +6,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Recheck has an upstream's load report asked for at the next tick: an order changed
-// what it serves or holds, and an idle engine's next report would come much later.
+// Recheck requests an upstream's load report at the next tick. It is called after an order
+// has changed what an engine serves or has loaded: an idle engine's next regular report
+// would come much later.
 func (d *Dispatcher) Recheck(group string, name ident.Upstream) {
 	s := d.shardOf(group)
 	if s == nil {
--- a/internal/dispatch/recheck_test.go
+++ b/internal/dispatch/recheck_test.go
@@ -9,16 +9,16 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// A step waits for an engine to switch to a version that it may use. The engine is
-// idle, so its load report is asked for every 1.5 s only, and a switch that was
-// confirmed at once is seen that much later: the trainer idles meanwhile.
-var _ = Describe("an idle engine that carried out an order", func() {
-	const seen = 3 * tick // an order's confirmation, a tick, a report
+// A training step waits for an engine to switch to a version that it may use. The engine is
+// idle, so its load report is requested only every 1.5 s. Without Recheck, a switch that the
+// engine had already confirmed was noticed that much later, and the trainer was idle.
+var _ = Describe("an idle engine that has carried out an order", func() {
+	const seen = 3 * tickInterval // the order's confirmation, a tick and a load report
 
 	serves := func(recheck bool) func() {
-		return session(1, Ours, func(g Gomega, w *world, d *Dispatcher) {
+		return withDaemon(1, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 			for untilNextReport(d, "g", "e0") <= seen {
-				time.Sleep(tick)
+				time.Sleep(tickInterval)
 			}
 			w.mu.Lock()
 			w.engines["e0"].version = 7
@@ -31,11 +31,11 @@
 		})
 	}
 
-	It("is seen to serve the new version within ticks", serves(true))
-	It("red alive: is seen late when nobody asks", serves(false))
+	It("is known to serve the new version within a few ticks", serves(true))
+	It("negative control: isn't known to serve it in time without Recheck", serves(false))
 })
 
-// untilNextReport is how long an upstream's next regular report is away.
+// untilNextReport returns the time until an upstream's next regular load report.
 func untilNextReport(d *Dispatcher, group string, name ident.Upstream) time.Duration {
 	s := d.shardOf(group)
 	s.mu.Lock()
