--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -16,278 +16,286 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// run is one request on its way through its attempts. One goroutine uses it.
-type run struct {
-	d          *Dispatcher
-	s          *shard
-	id         ident.RequestID
-	fp         poison.Fingerprint
-	want       want
-	deadline   time.Time
-	idempotent bool
-	resumable  bool
-	hedge      bool // a copy: gives up rather than run alone
-	sends      retry.Sends
-	mayHaveRun outcome.Outcome // of the attempts so far
-	lastFault  error
-	died       bool          // the last attempt's upstream ended
-	resumed    int           // tokens of the answer that the last attempt began with
-	sender     poison.Sender // of this copy, once it was asked for
-	apart      bool          // it needn't agree with other copies any more
+// requestRun is the state of one request over all of its attempts. It is used by one
+// goroutine only.
+type requestRun struct {
+	dispatcher     *Dispatcher
+	shard          *shard
+	id             ident.RequestID
+	fingerprint    poison.Fingerprint
+	placement      placementRequest
+	deadline       time.Time
+	idempotent     bool
+	resumable      bool
+	isHedge        bool // second attempt of a straggler: fails instead of running in quarantine
+	sends          retry.Sends
+	earlierOutcome outcome.Outcome // combined outcome of the attempts so far
+	lastErr        error
+	upstreamDied   bool          // the upstream process of the last attempt died
+	resumedTokens  int           // tokens of the answer that the last attempt started with
+	copySender     poison.Sender // identifies this copy of the request; zero until placeCopy needs it
+	uncoordinated  bool          // the run no longer shares an upstream with other copies of the request
 }
 
-// outcome is what is known over all attempts: NotRun while none began.
-func (r *run) outcome() outcome.Outcome {
+// outcome returns the combined outcome of all attempts, NotRun if none started.
+func (r *requestRun) outcome() outcome.Outcome {
 	if r.sends.Made == 0 {
 		return outcome.NotRun
 	}
-	return r.mayHaveRun
+	return r.earlierOutcome
 }
 
-// place finds the next attempt a place, alone if the request is a suspect.
-func (r *run) place(ctx context.Context) (*slot, *Error) {
+// acquireSlot waits for a slot for the next attempt, in quarantine if the request is a
+// suspect.
+func (r *requestRun) acquireSlot(ctx context.Context) (*slot, *Error) {
 	for {
-		sl, err := r.placeOnce(ctx)
+		sl, err := r.tryAcquireSlot(ctx)
 		if sl != nil || err != nil {
-			return sl, r.begun(err)
+			return sl, r.withEarlierOutcome(err)
 		}
 	}
 }
 
-// placeOnce returns neither a slot nor an error if the verdict on the request
-// changed meanwhile.
-func (r *run) placeOnce(ctx context.Context) (*slot, *Error) {
-	if r.d.o.Policy == Naive {
-		return r.s.acquire(ctx, r.want, 0)
+// tryAcquireSlot makes one try to get a slot. It returns neither a slot nor an error if
+// the request has to be judged again, since the verdict on it may have changed.
+func (r *requestRun) tryAcquireSlot(ctx context.Context) (*slot, *Error) {
+	if r.dispatcher.options.Policy == PolicyNaive {
+		return r.shard.acquire(ctx, r.placement, 0)
 	}
-	dec := r.d.judge(r.fp)
+	decision := r.dispatcher.poisonDecision(r.fingerprint)
 	switch {
-	case dec.Verdict == poison.Busy && r.mayAwait():
-		return nil, r.awaitVerdict(ctx)
-	case dec.Verdict == poison.Convicted, dec.Verdict == poison.Busy:
-		return nil, poisonError(r.outcome(), dec)
-	case dec.Verdict == poison.Suspect && r.hedge:
-		return nil, poisonError(r.outcome(), dec)
-	case dec.Verdict == poison.Suspect:
-		return r.placeAlone(ctx)
-	}
-	sl, err := r.s.acquire(ctx, r.want, r.fp)
+	case decision.Verdict == poison.Busy && r.mayWaitForPeerTrial():
+		return nil, r.waitForPeerTrial(ctx)
+	case decision.Verdict == poison.Convicted, decision.Verdict == poison.Busy:
+		return nil, poisonError(r.outcome(), decision)
+	case decision.Verdict == poison.Suspect && r.isHedge:
+		return nil, poisonError(r.outcome(), decision)
+	case decision.Verdict == poison.Suspect:
+		return r.acquireQuarantined(ctx)
+	}
+	sl, err := r.shard.acquire(ctx, r.placement, r.fingerprint)
 	if err != nil {
 		return nil, err
 	}
-	if r.d.judge(r.fp).Verdict == poison.Clean {
-		return r.agree(ctx, sl)
+	if r.dispatcher.poisonDecision(r.fingerprint).Verdict == poison.Clean {
+		return r.coordinateSlot(ctx, sl)
 	}
-	r.s.giveBackLocked(sl, false) // marked while it was queued
+	r.shard.releaseSlot(sl, false) // the request became a suspect while it was queued
 	return nil, nil
 }
 
-// begun corrects a refusal's outcome by earlier attempts, which may have run.
-func (r *run) begun(err *Error) *Error {
+// withEarlierOutcome replaces the outcome of a placement error by that of the earlier
+// attempts, which may have run.
+func (r *requestRun) withEarlierOutcome(err *Error) *Error {
 	if err == nil || r.sends.Made == 0 {
 		return err
 	}
 	err.Outcome = r.outcome()
 	if err.Err == nil {
-		err.Err = r.lastFault
+		err.Err = r.lastErr
 	}
 	return err
 }
 
-// loop makes attempts until one succeeds or nothing more may be tried. sent says
-// whether a part of the answer is already had.
-func (r *run) loop(ctx context.Context, attempt func(context.Context, *slot) error, sent func() bool) *Error {
-	var waitedSince time.Time
+// runAttempts makes attempts until one succeeds or no further attempt is allowed.
+// hasPartialAnswer reports whether a part of the answer has already been received.
+func (r *requestRun) runAttempts(ctx context.Context, attemptFunc func(context.Context, *slot) error, hasPartialAnswer func() bool) *Error {
+	var unavailableSince time.Time
 	for {
-		sl, refused := r.place(ctx)
-		if refused != nil {
-			if r.mayWait(refused, &waitedSince) {
-				waitFor(ctx, nil, 2*tick)
+		sl, placementErr := r.acquireSlot(ctx)
+		if placementErr != nil {
+			if r.mayWaitForUpstream(placementErr, &unavailableSince) {
+				waitUpTo(ctx, nil, 2*tickInterval)
 				continue
 			}
-			return refused
+			return placementErr
 		}
-		waitedSince = time.Time{}
-		err := r.attempt(ctx, sl, attempt)
+		unavailableSince = time.Time{}
+		err := r.runAttempt(ctx, sl, attemptFunc)
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, errStopped) {
+		if errors.Is(err, errAttemptStopped) {
 			continue
 		}
-		if final := r.afterFault(ctx, sl, err, sent()); final != nil {
-			return final
+		if finalErr := r.prepareRetry(ctx, sl, err, hasPartialAnswer()); finalErr != nil {
+			return finalErr
 		}
 	}
 }
 
-// mayWait lets a request that began wait a while for a group that is all down,
-// rather than throw away what it has. One that didn't is refused at once.
-func (r *run) mayWait(refused *Error, since *time.Time) bool {
-	if refused.Reason != NoUpstream || r.outcome() == outcome.NotRun || r.d.o.Policy == Naive {
+// mayWaitForUpstream reports whether a request that may already have run waits for an
+// upstream to come back while its whole group is down, rather than lose its partial
+// answer. A request that hasn't run fails at once.
+func (r *requestRun) mayWaitForUpstream(placementErr *Error, unavailableSince *time.Time) bool {
+	if placementErr.Reason != NoUpstream || r.outcome() == outcome.NotRun || r.dispatcher.options.Policy == PolicyNaive {
 		return false
 	}
-	now := r.d.o.Now()
-	if since.IsZero() {
-		*since = now
+	now := r.dispatcher.options.Now()
+	if unavailableSince.IsZero() {
+		*unavailableSince = now
 	}
-	return now.Sub(*since) < r.d.o.NoUpstreamWait
+	return now.Sub(*unavailableSince) < r.dispatcher.options.NoUpstreamWait
 }
 
-// attempt runs one attempt and gives its place back.
-func (r *run) attempt(ctx context.Context, sl *slot, do func(context.Context, *slot) error) error {
+// runAttempt runs one attempt and releases its slot.
+func (r *requestRun) runAttempt(ctx context.Context, sl *slot, attemptFunc func(context.Context, *slot) error) error {
 	r.sends.Begin()
 	attemptsMade.Add(1)
-	name := sl.m.target.Name
-	r.want.route.Exclude = append(r.want.route.Exclude, name)
-	r.want.urgent = true // if there is a next, it has waited its turn
-	r.d.record("dispatch", r.id, r.want.team, name, r.want.route.Class.String())
-	err := r.attemptStoppable(ctx, sl, do)
-	r.died = false
+	name := sl.member.target.Name
+	r.placement.route.Exclude = append(r.placement.route.Exclude, name)
+	r.placement.prioritized = true // the next attempt, if any, doesn't queue a second time
+	r.dispatcher.recordEvent("dispatch", r.id, r.placement.team, name, r.placement.route.Class.String())
+	err := r.runStoppable(ctx, sl, attemptFunc)
+	r.upstreamDied = false
 	if err == nil {
-		r.succeeded(sl)
+		r.finishSucceeded(sl)
 		return nil
 	}
-	if errors.Is(err, errStopped) {
-		r.stopped(sl)
+	if errors.Is(err, errAttemptStopped) {
+		r.releaseStopped(sl)
 		return err
 	}
-	failures.Add(1)
-	r.faulted(ctx, sl, err)
+	attemptsFailed.Add(1)
+	r.finishFailed(ctx, sl, err)
 	return err
 }
 
-func (r *run) succeeded(sl *slot) {
-	if r.want.route.Class == routing.ClassProduction {
-		r.d.noteAnswered(r.fp)
+// finishSucceeded reports a successful attempt to poison, retry and health, and releases its
+// slot.
+func (r *requestRun) finishSucceeded(sl *slot) {
+	if r.placement.route.Class == routing.ClassProduction {
+		r.dispatcher.recordAnswered(r.fingerprint)
 	}
-	alone := sl.lane && !sl.passed
-	if alone {
-		r.d.tried(r.fp, true)
+	inTrial := sl.quarantined && !sl.passedProbation
+	if inTrial {
+		r.dispatcher.finishTrial(r.fingerprint, true)
 	}
-	s := r.s
+	s := r.shard
 	s.mu.Lock()
-	s.lanes.ended(sl)
-	now := r.d.o.Now()
+	s.quarantine.endAttempt(sl)
+	now := r.dispatcher.options.Now()
 	s.retries.Succeeded(now)
 	s.hedges.Succeeded(now)
-	if name := sl.m.target.Name; !s.health.Spotless(name) {
-		s.step(health.Succeeded{Upstream: name}, now)
+	if name := sl.member.target.Name; !s.health.Spotless(name) {
+		s.applyHealthEvent(health.Succeeded{Upstream: name}, now)
 	}
-	s.giveBack(sl, true)
-	s.pump(now)
+	s.releaseSlotLocked(sl, true)
+	s.admitWaiting(now)
 	s.mu.Unlock()
-	if alone {
-		s.closeLane(sl.m)
+	if inTrial {
+		s.closeQuarantine(sl.member)
 	}
 }
 
-// faulted tells health, poison and limits what an attempt showed. The place is
-// given back only when the death, if it was one, is known: what waits for a lane
-// must not start beside a request that is about to be convicted.
-func (r *run) faulted(ctx context.Context, sl *slot, err error) {
-	fault := faultOf(err)
-	r.observe(sl, fault)
-	if fault.dead() && r.d.o.Policy != Naive {
-		if death, died := r.s.postMortem(sl); died {
-			r.died = true
-			r.suspect(sl, death)
+// finishFailed reports a failed attempt to health, poison and limits. It releases the
+// slot only after it is known whether the upstream process died: otherwise a suspect
+// that waits for a quarantine could start beside a request that is about to be
+// convicted.
+func (r *requestRun) finishFailed(ctx context.Context, sl *slot, err error) {
+	fault := classifyError(err)
+	r.reportFault(sl, fault)
+	if fault.suggestsDeath() && r.dispatcher.options.Policy != PolicyNaive {
+		if death, died := r.shard.confirmDeath(sl); died {
+			r.upstreamDied = true
+			r.recordSuspectDeath(sl, death)
 		}
 	}
-	alone := sl.lane && !sl.passed
-	if alone {
-		r.d.tried(r.fp, false)
+	inTrial := sl.quarantined && !sl.passedProbation
+	if inTrial {
+		r.dispatcher.finishTrial(r.fingerprint, false)
 	}
-	r.s.mu.Lock()
-	r.s.lanes.ended(sl)
-	r.s.giveBack(sl, false)
-	r.s.pump(r.d.o.Now())
-	r.s.mu.Unlock()
-	if alone {
-		r.s.closeLane(sl.m)
+	r.shard.mu.Lock()
+	r.shard.quarantine.endAttempt(sl)
+	r.shard.releaseSlotLocked(sl, false)
+	r.shard.admitWaiting(r.dispatcher.options.Now())
+	r.shard.mu.Unlock()
+	if inTrial {
+		r.shard.closeQuarantine(sl.member)
 	}
 }
 
-// suspect marks the request as one that may have killed its upstream, whatever it
-// had generated.
-func (r *run) suspect(sl *slot, death poison.Death) {
+// recordSuspectDeath marks the request as one that may have killed its upstream, however
+// much of the answer it had generated.
+func (r *requestRun) recordSuspectDeath(sl *slot, death poison.Death) {
 	death.Seen = true
-	death.Tokens = r.resumed + sl.tokens
-	alone := sl.lane && !sl.passed
-	unrelated := !alone && r.d.unrelated(r.fp, death)
+	death.Tokens = r.resumedTokens + sl.tokens
+	inTrial := sl.quarantined && !sl.passedProbation
+	unrelated := !inTrial && r.dispatcher.isUnrelatedDeath(r.fingerprint, death)
 	if !unrelated {
-		r.d.died(r.fp, death)
-		r.d.record("suspect", r.id, r.want.team, sl.m.target.Name, death.BootID)
+		r.dispatcher.recordDeath(r.fingerprint, death)
+		r.dispatcher.recordEvent("suspect", r.id, r.placement.team, sl.member.target.Name, death.BootID)
 	}
-	r.d.noteSuspect(r.fp, "upstream ended under a request", func(e *zerolog.Event) {
+	r.dispatcher.logSuspect(r.fingerprint, "upstream process died while running a request", func(e *zerolog.Event) {
 		e.Str("request", string(r.id)).Str("upstream", string(death.Upstream)).Str("boot", death.BootID).
-			Int("tokens", death.Tokens).Bool("alone", alone).Bool("unrelated", unrelated).
-			Dur("ran_ms", r.d.o.Now().Sub(sl.started))
+			Int("tokens", death.Tokens).Bool("alone", inTrial).Bool("unrelated", unrelated).
+			Dur("ran_ms", r.dispatcher.options.Now().Sub(sl.started))
 	})
 }
 
-func (r *run) observe(sl *slot, fault fault) {
-	s := r.s
+// reportFault passes a fault to health, and an upstream's rejection to its limit.
+func (r *requestRun) reportFault(sl *slot, fault fault) {
+	s := r.shard
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := r.d.o.Now()
-	name := sl.m.target.Name
-	if kind, known := fault.health(); known {
-		s.step(health.Faulted{Upstream: name, Kind: kind}, now)
+	now := r.dispatcher.options.Now()
+	name := sl.member.target.Name
+	if kind, known := fault.healthKind(); known {
+		s.applyHealthEvent(health.Faulted{Upstream: name, Kind: kind}, now)
 	}
 	if fault.leaving {
-		s.step(health.SaidLeaving{Upstream: name, Source: health.FromAnswer}, now)
+		s.applyHealthEvent(health.SaidLeaving{Upstream: name, Source: health.FromAnswer}, now)
 	}
 	if fault.kind == upstream.Rejected && !fault.leaving {
-		sl.m.controller.Overloaded(now)
-		s.refresh(sl.m)
+		sl.member.controller.Overloaded(now)
+		s.updateRouting(sl.member)
 	}
 }
 
-// afterFault returns the final error, or nil once the next attempt may start.
-func (r *run) afterFault(ctx context.Context, sl *slot, err error, sent bool) *Error {
-	fault := faultOf(err)
-	r.note(fault.outcome)
-	r.lastFault = err
-	r.d.record("fault", r.id, r.want.team, sl.m.target.Name, fault.kind.String())
+// prepareRetry returns the final error, or nil after the delay before the next attempt.
+func (r *requestRun) prepareRetry(ctx context.Context, sl *slot, err error, hasPartialAnswer bool) *Error {
+	fault := classifyError(err)
+	r.addOutcome(fault.outcome)
+	r.lastErr = err
+	r.dispatcher.recordEvent("fault", r.id, r.placement.team, sl.member.target.Name, fault.kind.String())
 	if ctx.Err() != nil {
 		return contextError(ctx, r.outcome())
 	}
-	if fault.ours {
+	if fault.callerFailed {
 		return &Error{Outcome: outcome.Unknown, Reason: Cancelled, Err: err}
 	}
-	decision := r.decide(fault, sent)
+	decision := r.decideRetry(fault, hasPartialAnswer)
 	if decision.Action == retry.Fail {
-		return r.failure(fault, decision.Cause)
+		return r.finalError(fault, decision.Cause)
 	}
 	if decision.Action == retry.Resume {
 		resumesMade.Add(1)
 	}
 	retriesMade.Add(1)
-	r.d.record(decision.Action.String(), r.id, r.want.team, "", "")
+	r.dispatcher.recordEvent(decision.Action.String(), r.id, r.placement.team, "", "")
 	if decision.After > 0 {
-		waitFor(ctx, nil, decision.After)
+		waitUpTo(ctx, nil, decision.After)
 	}
 	return nil
 }
 
-// note folds one attempt's outcome into what is known of all.
-func (r *run) note(o outcome.Outcome) {
+// addOutcome merges an attempt's outcome into the combined outcome of the request.
+func (r *requestRun) addOutcome(o outcome.Outcome) {
 	if o == outcome.NotRun {
 		r.sends.NotRun()
 	}
 	switch {
 	case r.sends.Made <= 1:
-		r.mayHaveRun = o
+		r.earlierOutcome = o
 	case o == outcome.Ran:
-		r.mayHaveRun = outcome.Ran
-	case o == outcome.Unknown && r.mayHaveRun == outcome.NotRun:
-		r.mayHaveRun = outcome.Unknown
+		r.earlierOutcome = outcome.Ran
+	case o == outcome.Unknown && r.earlierOutcome == outcome.NotRun:
+		r.earlierOutcome = outcome.Unknown
 	}
 }
 
-func (r *run) decide(f fault, sent bool) retry.Decision {
-	s := r.s
+func (r *requestRun) decideRetry(f fault, hasPartialAnswer bool) retry.Decision {
+	s := r.shard
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	attempt := retry.Attempt{
@@ -295,29 +303,29 @@
 		Idempotent: r.idempotent,
 		Resumable:  r.resumable,
 		Transient:  f.transient,
-		Died:       r.died,
+		Died:       r.upstreamDied,
 		Sends:      r.sends,
-		Sent:       sent,
+		Sent:       hasPartialAnswer,
 		Deadline:   r.deadline,
 	}
-	options := r.d.o.Retry
-	if r.d.o.Policy == Naive {
+	options := r.dispatcher.options.Retry
+	if r.dispatcher.options.Policy == PolicyNaive {
 		options.MaxAttempts, options.MaxNotRun = 2, 2
 	}
-	return retry.Decide(attempt, s.retries, options, r.d.o.Now())
+	return retry.Decide(attempt, s.retries, options, r.dispatcher.options.Now())
 }
 
-func (r *run) failure(f fault, cause retry.Cause) *Error {
+func (r *requestRun) finalError(f fault, cause retry.Cause) *Error {
 	reason := UpstreamFailed
 	if cause == retry.PastDue {
 		reason = Deadline
 	}
-	after := f.retryAfter
-	if after <= 0 && cause != retry.Answered {
-		after = retryNoUpstream
+	retryAfter := f.retryAfter
+	if retryAfter <= 0 && cause != retry.Answered {
+		retryAfter = retryAfterNoUpstream
 	}
-	return &Error{Outcome: r.outcome(), Reason: reason, RetryAfter: after, Err: f.err}
+	return &Error{Outcome: r.outcome(), Reason: reason, RetryAfter: retryAfter, Err: f.err}
 }
 
-// errCaller marks a failure of the caller's onChunk.
-var errCaller = errors.New("the caller didn't take a chunk")
+// errCallerFailed marks an error that the caller's onChunk returned.
+var errCallerFailed = errors.New("dispatch: the caller's chunk handler failed")
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -15,101 +15,101 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// shard is one group: its upstreams and all that is decided about them, under
-// one lock of its own.
+// shard is the dispatch state of one upstream group, guarded by its own lock.
 type shard struct {
-	d    *Dispatcher
-	name string
+	dispatcher *Dispatcher
+	name       string
 
-	mu      sync.Mutex
-	kind    config.Kind
-	members map[ident.Upstream]*member
-	order   []*member // those used, by name
-	watched []*member // those only polled, by name
-	gone    []ident.Upstream
-	sharers int // daemons that use each of the group's subset, 0: no subset
-	table   *routing.Table
-	health  *health.Group
-	gate    gate
-	retries *retry.Budget
-	hedges  *retry.Budget
-	lanes   laneTable
-	models  int // that the group's engines serve, by settings or reports
-	robin   int // naive policy: next in turn
-	pace    pace
-	need    reserveNeed
-	// unloaded is the token time of requests that ran nearly alone.
-	unloaded time.Duration
-	closed   bool
+	mu                 sync.Mutex
+	kind               config.Kind
+	members            map[ident.Upstream]*member
+	used               []*member // members that requests are sent to, by name
+	polledOnly         []*member // the other members, which are only polled, by name
+	droppedLeaving     []ident.Upstream
+	daemonsPerUpstream int // daemons that use each upstream of a subset, 0: all daemons use the whole group
+	table              *routing.Table
+	health             *health.Group
+	admission          admission
+	retries            *retry.Budget
+	hedges             *retry.Budget
+	quarantine         quarantineTable
+	modelCount         int // different models on the group's engines, by settings or reports
+	roundRobinIndex    int // of the member picked last under the naive policy
+	generationTimes    generationTimes
+	reserveDemand      reserveDemand
+	// unloadedTokenTime is the mean token time of requests on nearly idle engines.
+	unloadedTokenTime time.Duration
+	closed            bool
 }
 
-// member is one upstream of the group, guarded by the shard's lock save probes.
+// member is one upstream of the group. Its fields are guarded by the shard's lock, except
+// prober.
 type member struct {
-	target     upstream.Target
-	dataCentre ident.DataCentre
-	used       bool      // requests go there; else it is owned, or some still run there
-	owned      bool      // this daemon gives it orders
-	others     int       // that ran there beside ours, by its last report
-	eligible   bool      // by health
-	lostAt     time.Time // when it was eligible last, while it isn't
-	held       bool      // by a quarantine lane
-	peerHeld   bool      // by a peer's
-	weight     float64
-	inFlight   int
-	configured int // limit by settings, 0: found by the controller
-	controller *limits.Controller
-	share      limits.Sharer // of the limit, between daemons
-	bootID     string
-	serving    map[ident.Model]ident.Version
-	loaded     map[ident.Model][]ident.Version // held in memory
-	nextProbe  time.Time
-	probing    bool
-	reported   time.Time // when its last report came
-	probes     prober
+	target             upstream.Target
+	dataCentre         ident.DataCentre
+	used               bool      // requests are sent there; otherwise it is owned, or requests are still running there
+	owned              bool      // this daemon gives it orders
+	othersInFlight     int       // requests of other daemons, by its last report
+	eligible           bool      // according to health
+	ineligibleSince    time.Time // set while it isn't eligible
+	quarantined        bool      // for a suspect of this daemon
+	quarantinedForPeer bool      // for a suspect of a peer
+	weight             float64
+	inFlight           int
+	configuredLimit    int // concurrency limit by settings, 0: the controller finds it
+	controller         *limits.Controller
+	limitShare         limits.Sharer // this daemon's share of the concurrency limit
+	bootID             string
+	serving            map[ident.Model]ident.Version
+	loaded             map[ident.Model][]ident.Version // versions loaded in memory
+	nextProbe          time.Time
+	probing            bool
+	reportedAt         time.Time // time of the last load report
+	prober             prober
 }
 
 func newShard(d *Dispatcher, name string) *shard {
-	now := d.o.Now()
+	now := d.options.Now()
 	return &shard{
-		d:       d,
-		name:    name,
-		members: map[ident.Upstream]*member{},
-		table:   routing.NewTable(routing.Options{Self: d.o.DataCentre, Seed: d.o.Seed}),
-		health:  health.New(d.o.Health),
-		gate:    newGate(d.o.Policy),
-		retries: retry.NewBudget(d.o.RetryBudget, now),
-		hedges:  retry.NewBudget(d.o.HedgeBudget, now),
-		lanes:   newLaneTable(),
+		dispatcher: d,
+		name:       name,
+		members:    map[ident.Upstream]*member{},
+		table:      routing.NewTable(routing.Options{Self: d.options.DataCentre, Seed: d.options.Seed}),
+		health:     health.New(d.options.Health),
+		admission:  newAdmission(d.options.Policy),
+		retries:    retry.NewBudget(d.options.RetryBudget, now),
+		hedges:     retry.NewBudget(d.options.HedgeBudget, now),
+		quarantine: newQuarantineTable(),
 	}
 }
 
-// apply takes the group's settings over.
-func (s *shard) apply(g config.Group, t *config.Tree, f Fleet) {
+// apply puts the group's settings into force.
+func (s *shard) apply(settings config.Group, tree *config.Tree, daemons Fleet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.d.o.Now()
-	s.kind = g.Kind
-	s.models = modelsOf(s.name, t)
-	c := f.choose(s.d.o.Self, s.d.o.DataCentre, g)
-	s.sharers = c.sharers
+	now := s.dispatcher.options.Now()
+	s.kind = settings.Kind
+	s.modelCount = countModels(s.name, tree)
+	choice := daemons.choose(s.dispatcher.options.Self, s.dispatcher.options.DataCentre, settings)
+	s.daemonsPerUpstream = choice.daemonsPerUpstream
 	for name := range s.members {
-		if _, stays := g.Upstreams[name]; !stays {
-			s.remove(name)
+		if _, stays := settings.Upstreams[name]; !stays {
+			s.removeMember(name)
 		}
 	}
-	for name, u := range g.Upstreams {
-		s.applyMember(name, u, c.used[name], f.Owned[name])
+	for name, u := range settings.Upstreams {
+		s.applyMember(name, u, choice.upstreams[name], daemons.Owned[name])
 	}
-	s.sweep()
-	s.reorder()
-	for _, m := range s.polled() {
-		s.act(s.health.Step(health.Added{Upstream: m.target.Name}, now))
+	s.dropUnused()
+	s.rebuildMembers()
+	for _, m := range s.polledMembers() {
+		s.applyHealthActions(s.health.Step(health.Added{Upstream: m.target.Name}, now))
 	}
-	s.gate.configure(g.Kind, t)
-	s.pump(now)
+	s.admission.configure(settings.Kind, tree)
+	s.admitWaiting(now)
 }
 
-func (s *shard) applyMember(name ident.Upstream, u config.Upstream, used, owned bool) {
+func (s *shard) applyMember(name ident.Upstream, settings config.Upstream, used, owned bool) {
 	m := s.members[name]
 	if m == nil && !used && !owned {
 		return
@@ -118,87 +118,87 @@
 		m = newMember(name, s.kind)
 		s.members[name] = m
 	}
-	if m.target.Address != u.Address {
-		m.target.Address = u.Address
+	if m.target.Address != settings.Address {
+		m.target.Address = settings.Address
 	}
 	m.used, m.owned = used, owned
-	m.dataCentre = u.DataCentre
-	m.configured = u.MaxConcurrency
+	m.dataCentre = settings.DataCentre
+	m.configuredLimit = settings.MaxConcurrency
 }
 
-// reorder renews the sorted list and the routing table's members.
-func (s *shard) reorder() {
-	s.order, s.watched = s.order[:0:0], s.watched[:0:0]
+// rebuildMembers rebuilds the sorted member lists and the routing table's members.
+func (s *shard) rebuildMembers() {
+	s.used, s.polledOnly = s.used[:0:0], s.polledOnly[:0:0]
 	for _, m := range s.members {
 		if m.used {
-			s.order = append(s.order, m)
+			s.used = append(s.used, m)
 		} else {
-			s.watched = append(s.watched, m)
+			s.polledOnly = append(s.polledOnly, m)
 		}
 	}
-	slices.SortFunc(s.order, byName)
-	slices.SortFunc(s.watched, byName)
-	list := make([]routing.Upstream, 0, len(s.order))
-	for _, m := range s.order {
-		u, _ := s.table.Member(m.target.Name) // keeps load and reports
+	slices.SortFunc(s.used, compareByName)
+	slices.SortFunc(s.polledOnly, compareByName)
+	list := make([]routing.Upstream, 0, len(s.used))
+	for _, m := range s.used {
+		u, _ := s.table.Member(m.target.Name) // its load and reports are kept
 		u.Name = m.target.Name
 		u.DataCentre = m.dataCentre
 		u.Eligible = m.usable()
 		u.Weight = m.weight
-		u.Limit = m.concurrency()
+		u.Limit = m.concurrencyLimit()
 		u.Own = m.inFlight
-		u.Serving = newestOf(m.serving)
+		u.Serving = newestVersion(m.serving)
 		list = append(list, u)
 	}
 	s.table.SetMembers(list)
 }
 
-func byName(a, b *member) int { return cmp.Compare(a.target.Name, b.target.Name) }
+func compareByName(a, b *member) int { return cmp.Compare(a.target.Name, b.target.Name) }
 
-// close refuses what waits; what runs goes on.
+// close refuses the waiting requests. Running ones continue.
 func (s *shard) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.pump(s.d.o.Now())
+	s.admitWaiting(s.dispatcher.options.Now())
 }
 
-// usable says whether normal work may start there.
-func (m *member) usable() bool { return m.eligible && !m.held && !m.peerHeld }
+// usable reports whether ordinary requests may be started there.
+func (m *member) usable() bool { return m.eligible && !m.quarantined && !m.quarantinedForPeer }
 
-// Least concurrency that latency may bring an upstream down to. Services answer
-// in very different times by path, which says little about load.
+// The lowest limits that the controller may set. A service's latency says little about its
+// load, since it differs much between paths, so its limit stays higher.
 const (
 	minEngineLimit  = 2
 	minServiceLimit = 8
 )
 
 func newMember(name ident.Upstream, kind config.Kind) *member {
-	least := minServiceLimit
+	minLimit := minServiceLimit
 	if kind == config.KindEngine {
-		least = minEngineLimit
+		minLimit = minEngineLimit
 	}
-	m := &member{target: upstream.Target{Name: name}, eligible: true, weight: 1, probes: newProber()}
-	m.controller = limits.NewController(limits.Options{Min: least})
-	m.share.Heard(m.controller.Limit(), 0, 0, 1)
+	m := &member{target: upstream.Target{Name: name}, eligible: true, weight: 1, prober: newProber()}
+	m.controller = limits.NewController(limits.Options{Min: minLimit})
+	m.limitShare.Heard(m.controller.Limit(), 0, 0, 1)
 	return m
 }
 
-// refresh tells the routing table what changed about a member.
-func (s *shard) refresh(m *member) {
+// updateRouting passes a member's current state to the routing table.
+func (s *shard) updateRouting(m *member) {
 	s.table.Update(m.target.Name, func(u *routing.Upstream) {
 		u.Eligible = m.usable()
 		u.Weight = m.weight
-		u.Limit = m.concurrency()
-		u.Serving = newestOf(m.serving)
+		u.Limit = m.concurrencyLimit()
+		u.Serving = newestVersion(m.serving)
 	})
 	if len(m.serving) > 1 {
-		s.models = max(s.models, len(m.serving))
+		s.modelCount = max(s.modelCount, len(m.serving))
 	}
-	s.gate.stale = true
+	s.admission.capacityStale = true
 }
 
-func newestOf(serving map[ident.Model]ident.Version) ident.Version {
+func newestVersion(serving map[ident.Model]ident.Version) ident.Version {
 	var newest ident.Version
 	for _, v := range serving {
 		newest = max(newest, v)
@@ -206,10 +206,10 @@
 	return newest
 }
 
-// modelsOf counts the different models that teams run on the group.
-func modelsOf(group string, t *config.Tree) int {
+// countModels returns how many different models the teams run on the group.
+func countModels(group string, tree *config.Tree) int {
 	names := map[ident.Model]bool{}
-	for _, team := range t.Teams {
+	for _, team := range tree.Teams {
 		for name, m := range team.Models {
 			if m.Group == group {
 				names[name] = true
@@ -219,51 +219,52 @@
 	return len(names)
 }
 
-// step gives health an event and carries out what it says. The lock is held.
-func (s *shard) step(e health.Event, now time.Time) {
-	s.act(s.health.Step(e, now))
+// applyHealthEvent passes an event to health and carries out the resulting actions. The
+// shard's lock is held.
+func (s *shard) applyHealthEvent(e health.Event, now time.Time) {
+	s.applyHealthActions(s.health.Step(e, now))
 }
 
-func (s *shard) act(actions []health.Action) {
+func (s *shard) applyHealthActions(actions []health.Action) {
 	for _, a := range actions {
-		s.actOne(a)
+		s.applyHealthAction(a)
 	}
 }
 
-func (s *shard) actOne(a health.Action) {
+func (s *shard) applyHealthAction(a health.Action) {
 	switch a := a.(type) {
 	case health.SetEligible:
 		if m := s.members[a.Upstream]; m != nil {
 			if m.eligible && !a.Eligible {
-				m.lostAt = s.d.o.Now()
+				m.ineligibleSince = s.dispatcher.options.Now()
 			}
 			m.eligible = a.Eligible
-			s.refresh(m)
+			s.updateRouting(m)
 		}
 	case health.SetWeight:
 		if m := s.members[a.Upstream]; m != nil {
 			m.weight = a.Weight
-			s.refresh(m)
+			s.updateRouting(m)
 		}
 	case health.ProbeAt:
 		if m := s.members[a.Upstream]; m != nil {
 			m.nextProbe = a.At
 		}
 	case health.Died:
-		deaths.Add(1)
-		s.d.record("upstream-died", "", "", a.Upstream, a.BootID)
-		s.d.o.Log.Warn().Str("group", s.name).Str("upstream", string(a.Upstream)).Str("boot", a.BootID).Msg("upstream process ended")
+		upstreamDeaths.Add(1)
+		s.dispatcher.recordEvent("upstream-died", "", "", a.Upstream, a.BootID)
+		s.dispatcher.options.Log.Warn().Str("group", s.name).Str("upstream", string(a.Upstream)).Str("boot", a.BootID).Msg("upstream process died")
 	case health.Changed:
-		s.changed(a)
+		s.recordHealthChange(a)
 	}
 }
 
-func (s *shard) changed(a health.Changed) {
+func (s *shard) recordHealthChange(a health.Changed) {
 	detail := a.State.String() + ": " + a.Cause
-	s.d.record("upstream-health", "", "", a.Upstream, detail)
-	s.d.o.Log.Info().Str("group", s.name).Str("upstream", string(a.Upstream)).
-		Stringer("state", a.State).Bool("leaving", a.Leaving).Str("cause", a.Cause).Msg("upstream health")
+	s.dispatcher.recordEvent("upstream-health", "", "", a.Upstream, detail)
+	s.dispatcher.options.Log.Info().Str("group", s.name).Str("upstream", string(a.Upstream)).
+		Stringer("state", a.State).Bool("leaving", a.Leaving).Str("cause", a.Cause).Msg("upstream health changed")
 	if a.Leaving || a.State == health.Down {
-		s.d.tellUrgent()
+		s.dispatcher.signalUrgentDigest()
 	}
 }
--- a/internal/dispatch/status.go
+++ b/internal/dispatch/status.go
@@ -7,7 +7,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Upstreams returns the state of every upstream, by group and name.
+// Upstreams returns the state of every upstream, sorted by group and name.
 func (d *Dispatcher) Upstreams() []Status {
 	var list []Status
 	for _, s := range d.allShards() {
@@ -20,7 +20,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]Status, 0, len(s.members))
-	for _, m := range s.polled() {
+	for _, m := range s.polledMembers() {
 		view, _ := s.health.View(m.target.Name)
 		list = append(list, Status{
 			Name:       m.target.Name,
@@ -31,8 +31,8 @@
 			Leaving:    view.Leaving,
 			Weight:     m.weight,
 			InFlight:   m.inFlight,
-			Limit:      m.concurrency(),
-			Queued:     s.gate.queued(),
+			Limit:      m.concurrencyLimit(),
+			Queued:     s.admission.waitingCount(),
 			Serving:    maps.Clone(m.serving),
 			BootID:     m.bootID,
 		})
@@ -40,8 +40,8 @@
 	return list
 }
 
-// Newest returns the newest version of a model that any engine serves, as far as
-// this daemon and its peers know; 0 if none is known.
+// Newest returns the newest weight version of a model that any engine serves, as far as
+// this daemon and its peers know, or 0 if none is known.
 func (d *Dispatcher) Newest(model ident.Model) ident.Version {
 	var newest ident.Version
 	for _, s := range d.allShards() {
@@ -53,20 +53,22 @@
 	}
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
-	for _, h := range d.peers.heard {
-		for _, serving := range h.digest.Serving {
+	for _, peer := range d.peers.digests {
+		for _, serving := range peer.digest.Serving {
 			newest = max(newest, serving[model])
 		}
 	}
 	return newest
 }
 
-// maxLeavingUnknown bounds what is kept of upstreams that may never be configured.
-const maxLeavingUnknown = 4096
+// maxLeavingUnconfigured bounds the notices kept for upstreams that may never be
+// configured.
+const maxLeavingUnconfigured = 4096
 
-// SetLeaving takes the word of a source outside, as the VM list. Of an upstream
-// that isn't configured yet, or not in this daemon's subset, it is kept: a daemon that starts may read the list,
-// which says it once, before the configuration.
+// SetLeaving marks an upstream as leaving on behalf of an external source such as the VM
+// list. The notice is kept if the upstream isn't configured yet or isn't in this daemon's
+// subset: a daemon that starts may read the list before the configuration, and the list
+// names each upstream only once.
 func (d *Dispatcher) SetLeaving(name ident.Upstream, source string) {
 	d.leavingMu.Lock()
 	defer d.leavingMu.Unlock()
@@ -74,7 +76,7 @@
 	for _, s := range d.allShards() {
 		s.mu.Lock()
 		if m := s.members[name]; m != nil {
-			s.step(health.SaidLeaving{Upstream: name, Source: health.Source(source)}, s.d.o.Now())
+			s.applyHealthEvent(health.SaidLeaving{Upstream: name, Source: health.Source(source)}, s.dispatcher.options.Now())
 			known = true
 		}
 		s.mu.Unlock()
@@ -82,31 +84,33 @@
 	if known {
 		return
 	}
-	if len(d.leavingUnknown) >= maxLeavingUnknown {
-		for any := range d.leavingUnknown {
-			delete(d.leavingUnknown, any)
+	if len(d.leavingUnconfigured) >= maxLeavingUnconfigured {
+		for evicted := range d.leavingUnconfigured {
+			delete(d.leavingUnconfigured, evicted)
 			break
 		}
 	}
-	d.leavingUnknown[name] = source
+	d.leavingUnconfigured[name] = source
 }
 
-// keepGone notes which upstreams were leaving when they left this daemon's subset.
-func (d *Dispatcher) keepGone() {
+// keepDroppedLeaving keeps the notices of upstreams that were leaving when they were
+// dropped from this daemon's subset.
+func (d *Dispatcher) keepDroppedLeaving() {
 	for _, s := range d.allShards() {
-		for _, name := range s.takeGone() {
+		for _, name := range s.takeDroppedLeaving() {
 			d.SetLeaving(name, string(health.FromVMList))
 		}
 	}
 }
 
-// leaveKept brings what was said of upstreams before they were configured.
-func (d *Dispatcher) leaveKept() {
+// applyKeptLeaving applies the notices that were kept, now that their upstreams may have
+// been configured.
+func (d *Dispatcher) applyKeptLeaving() {
 	d.leavingMu.Lock()
-	kept := d.leavingUnknown
-	d.leavingUnknown = map[ident.Upstream]string{}
+	pending := d.leavingUnconfigured
+	d.leavingUnconfigured = map[ident.Upstream]string{}
 	d.leavingMu.Unlock()
-	for name, source := range kept {
+	for name, source := range pending {
 		d.SetLeaving(name, source)
 	}
 }
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -11,77 +11,79 @@
 )
 
 const (
-	// wholeUpTo is the size of a group that every daemon uses whole.
-	wholeUpTo = 64
-	// subsetSize is about how many upstreams of a larger group a daemon uses.
+	// maxWholeGroupSize is the size up to which every daemon uses all upstreams of a group.
+	maxWholeGroupSize = 64
+	// subsetSize is about how many upstreams of a larger group each daemon uses.
 	subsetSize = 50
 )
 
-// Fleet is what dispatching needs to know of the daemons. The zero value says
-// that nobody was met yet.
+// Fleet is what dispatch needs to know of the daemons. The zero value means that no other
+// daemon is known yet.
 type Fleet struct {
-	Daemons []ident.VM // live ones of the own data centre, this one too
-	// Elsewhere holds the other data centres with live daemons of their own.
+	Daemons []ident.VM // live daemons of this data centre, including this one
+	// Elsewhere holds the other data centres that have live daemons.
 	Elsewhere map[ident.DataCentre]bool
-	// Owned holds the engines that this daemon gives orders to. They are polled
-	// whether or not requests go there.
+	// Owned holds the engines that this daemon gives orders to. They are polled even if
+	// requests aren't sent there.
 	Owned map[ident.Upstream]bool
 }
 
-// SetFleet takes the daemons over; the next Apply chooses upstreams by them.
+// SetFleet sets the known daemons. The next Apply chooses upstreams by them.
 func (d *Dispatcher) SetFleet(f Fleet) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet = f
+	d.daemons = f
 }
 
-// choice is which upstreams of a group a daemon uses.
-type choice struct {
-	used map[ident.Upstream]bool
-	// sharers is how many daemons use each of them, 0 when all use the whole group.
-	sharers int
+// upstreamChoice is the part of a group that a daemon uses.
+type upstreamChoice struct {
+	upstreams map[ident.Upstream]bool
+	// daemonsPerUpstream is how many daemons use each upstream, 0 if all daemons use the
+	// whole group.
+	daemonsPerUpstream int
 }
 
-// choose takes a small group whole. Of a larger one it takes a subset of those that
-// this data centre looks after: its own, and those of data centres without a
-// daemon, which nobody else would use. Where these are few, favourites from
-// elsewhere fill up.
-func (f Fleet) choose(self ident.VM, own ident.DataCentre, g config.Group) choice {
-	if len(g.Upstreams) <= wholeUpTo {
-		return choice{used: setOf(slices.Collect(maps.Keys(g.Upstreams)))}
+// choose returns which upstreams of the group this daemon uses. A small group is used whole.
+// Of a larger one, the daemon uses a subset of the upstreams that are local to its data
+// centre: those in it and those in data centres without daemons, which would otherwise be
+// unused. If there are few of these, routing.Favourites from other data centres are added.
+func (f Fleet) choose(self ident.VM, dataCentre ident.DataCentre, group config.Group) upstreamChoice {
+	if len(group.Upstreams) <= maxWholeGroupSize {
+		return upstreamChoice{upstreams: setOf(slices.Collect(maps.Keys(group.Upstreams)))}
 	}
-	near, far := f.split(own, g)
+	local, remote := f.splitByDataCentre(dataCentre, group)
 	if len(f.Daemons) == 0 {
-		mine := routing.Favourites(string(self), near, subsetSize)
-		mine = append(mine, routing.Favourites(string(self), far, subsetSize-len(mine))...)
-		return choice{used: setOf(mine), sharers: minSharers}
+		chosen := routing.Favourites(string(self), local, subsetSize)
+		chosen = append(chosen, routing.Favourites(string(self), remote, subsetSize-len(chosen))...)
+		return upstreamChoice{upstreams: setOf(chosen), daemonsPerUpstream: assumedDaemonsPerUpstream}
 	}
-	mine, sharers := near, len(f.Daemons)
-	if len(near) > wholeUpTo {
-		mine = routing.Subset(string(self), near, namesOf(f.Daemons), subsetSize)
-		sharers = routing.Keepers(len(near), len(f.Daemons), subsetSize)
+	chosen, daemonsPerUpstream := local, len(f.Daemons)
+	if len(local) > maxWholeGroupSize {
+		chosen = routing.Subset(string(self), local, namesOf(f.Daemons), subsetSize)
+		daemonsPerUpstream = routing.Keepers(len(local), len(f.Daemons), subsetSize)
 	}
-	if len(near) < subsetSize {
-		mine = append(slices.Clone(mine), routing.Favourites(string(self), far, subsetSize-len(near))...)
+	if len(local) < subsetSize {
+		chosen = append(slices.Clone(chosen), routing.Favourites(string(self), remote, subsetSize-len(local))...)
 	}
-	return choice{used: setOf(mine), sharers: sharers}
+	return upstreamChoice{upstreams: setOf(chosen), daemonsPerUpstream: daemonsPerUpstream}
 }
 
-// minSharers is supposed while the others aren't known.
-const minSharers = 2
-
-// split sorts a group's upstreams, by name, into those this data centre looks
-// after and the others. Before anybody was met, only its own ones count as such.
-func (f Fleet) split(own ident.DataCentre, g config.Group) (near, far []ident.Upstream) {
-	for _, name := range slices.Sorted(maps.Keys(g.Upstreams)) {
-		dc := g.Upstreams[name].DataCentre
-		if dc == own || len(f.Daemons) > 0 && !f.Elsewhere[dc] {
-			near = append(near, name)
+// assumedDaemonsPerUpstream is used while no other daemon is known.
+const assumedDaemonsPerUpstream = 2
+
+// splitByDataCentre divides a group's upstreams, sorted by name, into those that the daemons
+// of this data centre are responsible for and the others. While no daemon is known, only
+// upstreams of this data centre are local.
+func (f Fleet) splitByDataCentre(dataCentre ident.DataCentre, group config.Group) (local, remote []ident.Upstream) {
+	for _, name := range slices.Sorted(maps.Keys(group.Upstreams)) {
+		dc := group.Upstreams[name].DataCentre
+		if dc == dataCentre || len(f.Daemons) > 0 && !f.Elsewhere[dc] {
+			local = append(local, name)
 		} else {
-			far = append(far, name)
+			remote = append(remote, name)
 		}
 	}
-	return near, far
+	return local, remote
 }
 
 func setOf(names []ident.Upstream) map[ident.Upstream]bool {
@@ -100,47 +102,48 @@
 	return names
 }
 
-// sweep drops members that only stayed for what ran there. What was learnt of them
-// goes too: it would be stale when they come back, and they are probed then.
-// What is learnt of speeds stays in the routing table.
-func (s *shard) sweep() {
+// dropUnused drops members that were kept only for their requests in flight. Their state
+// would be out of date if they came back, and is obtained again by a probe. The routing
+// table remembers their speed.
+func (s *shard) dropUnused() {
 	for name, m := range s.members {
 		if !m.used && !m.owned && m.inFlight == 0 {
-			s.drop(name)
+			s.dropMember(name)
 		}
 	}
 }
 
-// drop forgets a member that is still configured. That it is leaving, which the
-// VM list says once, must not be forgotten with it.
-func (s *shard) drop(name ident.Upstream) {
+// dropMember removes a member that is still configured. If it is leaving, that is
+// remembered, since the VM list reports it only once.
+func (s *shard) dropMember(name ident.Upstream) {
 	if view, _ := s.health.View(name); view.Leaving {
-		s.gone = append(s.gone, name)
+		s.droppedLeaving = append(s.droppedLeaving, name)
 	}
-	s.remove(name)
-	s.watched = slices.DeleteFunc(s.watched, func(m *member) bool { return m.target.Name == name })
+	s.removeMember(name)
+	s.polledOnly = slices.DeleteFunc(s.polledOnly, func(m *member) bool { return m.target.Name == name })
 }
 
-func (s *shard) remove(name ident.Upstream) {
+func (s *shard) removeMember(name ident.Upstream) {
 	delete(s.members, name)
-	s.act(s.health.Step(health.Removed{Upstream: name}, s.d.o.Now()))
+	s.applyHealthActions(s.health.Step(health.Removed{Upstream: name}, s.dispatcher.options.Now()))
 }
 
-// polled returns the members by name, also those that no request goes to.
-func (s *shard) polled() []*member {
-	if len(s.watched) == 0 {
-		return s.order
+// polledMembers returns all members, sorted by name, including those that requests aren't
+// sent to.
+func (s *shard) polledMembers() []*member {
+	if len(s.polledOnly) == 0 {
+		return s.used
 	}
-	all := slices.Concat(s.order, s.watched)
-	slices.SortFunc(all, byName)
+	all := slices.Concat(s.used, s.polledOnly)
+	slices.SortFunc(all, compareByName)
 	return all
 }
 
-// takeGone returns the leaving ones among those dropped since the last call.
-func (s *shard) takeGone() []ident.Upstream {
+// takeDroppedLeaving returns the members dropped since the last call that were leaving.
+func (s *shard) takeDroppedLeaving() []ident.Upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gone := s.gone
-	s.gone = nil
-	return gone
+	dropped := s.droppedLeaving
+	s.droppedLeaving = nil
+	return dropped
 }
--- a/internal/dispatch/suite_test.go
+++ b/internal/dispatch/suite_test.go
@@ -8,19 +8,19 @@
 	. "github.com/onsi/gomega"
 )
 
-var suite *testing.T
+var suiteT *testing.T
 
 func TestDispatch(t *testing.T) {
-	suite = t
+	suiteT = t
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "Dispatch")
 }
 
-// bubble runs a spec under a clock of its own, which moves only while every
-// goroutine waits.
-func bubble(body func(g Gomega)) func() {
+// inBubble returns a test body that runs in a synctest bubble, under a simulated clock that
+// advances only while all goroutines are blocked.
+func inBubble(body func(g Gomega)) func() {
 	return func() {
-		synctest.Test(suite, func(*testing.T) {
+		synctest.Test(suiteT, func(*testing.T) {
 			defer GinkgoRecover()
 			body(NewGomega(Fail))
 		})
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -11,128 +11,138 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/poison"
 )
 
-func (d *Dispatcher) judge(fp poison.Fingerprint) poison.Decision {
+// poisonDecision returns the verdict on a request.
+func (d *Dispatcher) poisonDecision(fp poison.Fingerprint) poison.Decision {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.keeper.Admit(fp, d.o.Now())
+	return d.suspectMarks.Admit(fp, d.options.Now())
 }
 
-// noteSuspect writes down what this daemon believes of a suspect, and why. Suspects are
-// bounded by the requests in flight on an upstream that ended.
-func (d *Dispatcher) noteSuspect(fp poison.Fingerprint, message string, more func(*zerolog.Event)) {
-	now := d.o.Now()
+// logSuspect logs what this daemon knows of a suspect, with the fields that addFields adds.
+// The number of lines is limited by the requests in flight on the upstreams that die.
+func (d *Dispatcher) logSuspect(fp poison.Fingerprint, message string, addFields func(*zerolog.Event)) {
+	now := d.options.Now()
 	d.poisonMu.Lock()
-	verdict := d.keeper.Admit(fp, now).Verdict
-	mark := d.keeper.Mark(fp, now)
+	verdict := d.suspectMarks.Admit(fp, now).Verdict
+	mark := d.suspectMarks.Mark(fp, now)
 	d.poisonMu.Unlock()
-	line := d.o.Log.Info().Stringer("fingerprint", fp).Stringer("verdict", verdict).Int("crashes", mark.Crashes())
+	line := d.options.Log.Info().Stringer("fingerprint", fp).Stringer("verdict", verdict).Int("crashes", mark.Crashes())
 	if mark.Trying != "" {
 		line = line.Str("trying", string(mark.Trying)).Str("trying_on", string(mark.TryingOn))
 	}
-	line.Func(more).Msg(message)
+	line.Func(addFields).Msg(message)
 }
 
-func (d *Dispatcher) try(fp poison.Fingerprint, on ident.Upstream, now time.Time) bool {
+// claimTrial announces that this daemon runs the suspect's trial on the upstream. It returns
+// false if the request is no longer a suspect that this daemon may try.
+func (d *Dispatcher) claimTrial(fp poison.Fingerprint, upstreamName ident.Upstream, now time.Time) bool {
 	d.poisonMu.Lock()
-	ok := d.keeper.Try(fp, on, now)
+	ok := d.suspectMarks.Try(fp, upstreamName, now)
 	d.poisonMu.Unlock()
 	if ok {
-		d.tellUrgent()
+		d.signalUrgentDigest()
 	}
 	return ok
 }
 
-// begin is try for a suspect that runs from now on.
-func (d *Dispatcher) begin(fp poison.Fingerprint, on ident.Upstream, now time.Time) bool {
+// startTrial is claimTrial for an attempt that starts now: it is no longer given up in
+// favour of another daemon's.
+func (d *Dispatcher) startTrial(fp poison.Fingerprint, upstreamName ident.Upstream, now time.Time) bool {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.keeper.Begin(fp, on, now)
+	return d.suspectMarks.Begin(fp, upstreamName, now)
 }
 
-// renew holds on to a suspect; digests that flow anyway tell of it.
-func (d *Dispatcher) renew(fp poison.Fingerprint, on ident.Upstream, now time.Time) {
+// renewTrial extends a trial. No urgent digest is needed, since the regular ones tell of it.
+func (d *Dispatcher) renewTrial(fp poison.Fingerprint, upstreamName ident.Upstream, now time.Time) {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	d.keeper.Try(fp, on, now)
+	d.suspectMarks.Try(fp, upstreamName, now)
 }
 
-func (d *Dispatcher) tried(fp poison.Fingerprint, succeeded bool) {
+// finishTrial ends this daemon's trial. A success clears the request.
+func (d *Dispatcher) finishTrial(fp poison.Fingerprint, succeeded bool) {
 	d.poisonMu.Lock()
-	d.keeper.Tried(fp, succeeded, d.o.Now())
+	d.suspectMarks.Tried(fp, succeeded, d.options.Now())
 	d.poisonMu.Unlock()
-	d.tellUrgent()
+	d.signalUrgentDigest()
 }
 
-// passed ends a suspect's trial if it got past the point of its death.
-func (d *Dispatcher) passed(fp poison.Fingerprint, tokens int) bool {
+// passProbation ends the trial of a suspect that has got past the point where its upstream
+// died. It returns false if the suspect hasn't.
+func (d *Dispatcher) passProbation(fp poison.Fingerprint, tokens int) bool {
 	d.poisonMu.Lock()
-	ok := d.keeper.Passed(fp, tokens, d.o.Now())
+	ok := d.suspectMarks.Passed(fp, tokens, d.options.Now())
 	d.poisonMu.Unlock()
 	if ok {
-		d.tellUrgent()
+		d.signalUrgentDigest()
 	}
 	return ok
 }
 
-func (d *Dispatcher) unrelated(fp poison.Fingerprint, death poison.Death) bool {
+// isUnrelatedDeath reports whether a death tells nothing new of the suspect, see
+// poison.Keeper.Unrelated.
+func (d *Dispatcher) isUnrelatedDeath(fp poison.Fingerprint, death poison.Death) bool {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.keeper.Unrelated(fp, death, d.o.Now())
+	return d.suspectMarks.Unrelated(fp, death, d.options.Now())
 }
 
-// triedBy says whether another daemon tries a suspect alone.
-func (d *Dispatcher) triedBy(fp poison.Fingerprint, vm ident.VM) bool {
+// isTrialHeldBy reports whether the given daemon runs the suspect's trial.
+func (d *Dispatcher) isTrialHeldBy(fp poison.Fingerprint, vm ident.VM) bool {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.keeper.Mark(fp, d.o.Now()).Trying == vm
+	return d.suspectMarks.Mark(fp, d.options.Now()).Trying == vm
 }
 
-// rival returns the other daemon, the lowest-named one, that tries a suspect on an
-// upstream.
-func (d *Dispatcher) rival(on ident.Upstream) ident.VM {
+// competingTrial returns the lowest-named other daemon with a trial on the upstream, "" if
+// there is none.
+func (d *Dispatcher) competingTrial(upstreamName ident.Upstream) ident.VM {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.keeper.Rival(on, d.o.Now())
+	return d.suspectMarks.Rival(upstreamName, d.options.Now())
 }
 
-// taken returns the upstreams on which peers run suspects alone.
-func (d *Dispatcher) taken(now time.Time) []ident.Upstream {
+// peerTrials returns the upstreams on which peers run trials, sorted by name.
+func (d *Dispatcher) peerTrials(now time.Time) []ident.Upstream {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.keeper.Taken(now)
+	return d.suspectMarks.Taken(now)
 }
 
-// keepClear takes normal work off the upstreams on which peers run suspects, up
-// to the part of the group that lanes may take.
-func (s *shard) keepClear(taken []ident.Upstream) {
-	room := max(1, len(s.order)/lanePart)
-	for _, m := range s.order {
-		_, clear := slices.BinarySearch(taken, m.target.Name)
-		clear = clear && room > 0 && len(s.order) > 1
-		if clear {
+// quarantineForPeers takes other work off the upstreams on which peers run trials, up to the
+// part of the group that may be in quarantine.
+func (s *shard) quarantineForPeers(peerTrials []ident.Upstream) {
+	room := max(1, len(s.used)/quarantineDivisor)
+	for _, m := range s.used {
+		_, quarantine := slices.BinarySearch(peerTrials, m.target.Name)
+		quarantine = quarantine && room > 0 && len(s.used) > 1
+		if quarantine {
 			room--
 		}
-		if clear != m.peerHeld {
-			m.peerHeld = clear
-			s.refresh(m)
+		if quarantine != m.quarantinedForPeer {
+			m.quarantinedForPeer = quarantine
+			s.updateRouting(m)
 		}
 	}
 }
 
-func (d *Dispatcher) died(fp poison.Fingerprint, death poison.Death) {
+// recordDeath records that an upstream died while it ran the request. If that is news, the
+// peers are told at once, and running copies of the request are stopped.
+func (d *Dispatcher) recordDeath(fp poison.Fingerprint, death poison.Death) {
 	d.poisonMu.Lock()
-	news := d.keeper.Died(fp, death, d.o.Now())
+	changed := d.suspectMarks.Died(fp, death, d.options.Now())
 	d.poisonMu.Unlock()
-	if news {
-		suspects.Add(1)
-		d.tellUrgent()
+	if changed {
+		poisonSuspects.Add(1)
+		d.signalUrgentDigest()
 		d.stopCopies(fp)
 	}
 }
 
-// poisonError is the final answer to a convicted request, or the refusal while
-// another daemon tries it.
-func poisonError(o outcome.Outcome, dec poison.Decision) *Error {
-	poisonFinal.Add(1)
-	return &Error{Outcome: o, Reason: Poison, RetryAfter: dec.RetryAfter}
+// poisonError returns the error for a convicted request, or for a suspect during another
+// daemon's trial.
+func poisonError(o outcome.Outcome, decision poison.Decision) *Error {
+	poisonRefused.Add(1)
+	return &Error{Outcome: o, Reason: Poison, RetryAfter: decision.RetryAfter}
 }
--- a/internal/dispatch/versions_test.go
+++ b/internal/dispatch/versions_test.go
@@ -15,15 +15,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// rollOut runs n samples at once and returns how many failed and when the last ended.
-func rollOut(d *Dispatcher, name string, n int, least, prefer ident.Version) (failed int, took time.Duration) {
+// runSamples generates n samples at once and returns how many failed and how long all took.
+func runSamples(d *Dispatcher, name string, n int, minVersion, prefer ident.Version) (failed int, took time.Duration) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	since := time.Now()
+	started := time.Now()
 	for i := range n {
 		group.Go(func() {
 			id := fmt.Sprintf("%s %d", name, i)
-			g := Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerSize, MinVersion: least, Prefer: prefer}
+			g := Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion, Prefer: prefer}
 			if _, err := d.Generate(context.Background(), g, nil); err != nil {
 				mu.Lock()
 				failed++
@@ -32,81 +32,84 @@
 		})
 	}
 	group.Wait()
-	return failed, time.Since(since)
+	return failed, time.Since(started)
 }
 
-// most is how many requests ran at once where one of a name began.
-func (w *world) most(name string) int {
+// maxConcurrent returns the largest number of requests that were running on an engine when
+// it started one whose prompt has the given prefix.
+func (w *world) maxConcurrent(prefix string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := 0
-	for what, beside := range w.beside {
-		if strings.HasPrefix(what, name) {
-			for _, b := range beside {
-				n = max(n, b+1)
+	largest := 0
+	for content, counts := range w.runningAtStart {
+		if strings.HasPrefix(content, prefix) {
+			for _, running := range counts {
+				largest = max(largest, running+1)
 			}
 		}
 	}
-	return n
+	return largest
 }
 
-// sample asks for one and says whether it ended as it should: whole, or given up
-// by its caller. Engines serve 4 at least somewhere, so none is refused.
-func (w *world) sample(ctx context.Context, d *Dispatcher, i int, least ident.Version, gone bool, patience time.Duration) bool {
-	if gone {
+// runSample generates one sample and reports whether it ended as expected: with its whole
+// answer or, if gone is set, given up by its client. Some engine always serves version 4 or
+// newer, so no sample is refused.
+func (w *world) runSample(ctx context.Context, d *Dispatcher, i int, minVersion ident.Version, givesUp bool, patience time.Duration) bool {
+	if givesUp {
 		short, stop := context.WithTimeout(ctx, patience)
 		defer stop()
 		ctx = short
 	}
 	id := fmt.Sprintf("sample %d", i)
-	got, err := d.Generate(ctx, Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerSize, MinVersion: least}, nil)
+	got, err := d.Generate(ctx, Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion}, nil)
 	if err != nil {
-		return gone && ctx.Err() != nil
+		return givesUp && ctx.Err() != nil
 	}
-	return got.Text == whole()
+	return got.Text == fullAnswer()
 }
 
-// raise has an engine switch to a newer version.
-func (w *world) raise(d *Dispatcher, name ident.Upstream) {
+// raiseVersion makes an engine switch to its next version.
+func (w *world) raiseVersion(d *Dispatcher, name ident.Upstream) {
 	w.mu.Lock()
 	w.engines[name].version++
 	w.mu.Unlock()
 	d.Recheck("g", name)
 }
 
-// expectNoneIdle says that nothing is parked that has room where it fits, and
-// nothing queued, unless all that the queue lets rollouts use is taken.
-func (s *shard) expectNoneIdle(g Gomega) {
+// expectNoIdleCapacity checks that no parked request could run on an engine with room, and
+// that no request is queued, unless all capacity that the queue leaves to rollouts is used.
+func (s *shard) expectNoIdleCapacity(g Gomega) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	running := 0
-	for _, m := range s.order {
+	for _, m := range s.used {
 		running += m.inFlight
 	}
-	full := float64(running) >= float64(len(s.order)*engineLimit)*(1-s.gate.reserve)-1
+	full := float64(running) >= float64(len(s.used)*engineLimit)*(1-s.admission.productionReserve)-1
 	parked := 0
-	for _, l := range s.gate.parked {
-		parked += len(l.waiters)
-		g.Expect(full || s.mustPark(&l.waiters[0].want)).To(BeTrue(), "%v waits for nothing", l.fit)
+	for _, queue := range s.admission.parked {
+		parked += len(queue.waiters)
+		g.Expect(full || s.mustPark(&queue.waiters[0].request)).To(BeTrue(), "requests of %v wait although they could run", queue.key)
 	}
-	g.Expect(full || s.gate.queued() == parked).To(BeTrue(), "the queue holds back what fits")
+	g.Expect(full || s.admission.waitingCount() == parked).To(BeTrue(), "the queue holds back requests that could run")
 }
 
 func (s *shard) expectEmpty(g Gomega) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g.Expect(s.gate.queued()).To(BeZero())
-	g.Expect(s.gate.parked).To(BeEmpty())
-	for _, m := range s.order {
+	g.Expect(s.admission.waitingCount()).To(BeZero())
+	g.Expect(s.admission.parked).To(BeEmpty())
+	for _, m := range s.used {
 		g.Expect(m.inFlight).To(BeZero())
 	}
 }
 
 const engineLimit = 8
 
-// limitedDaemon starts a dispatcher with engineLimit at each engine; e0 serves 1, e1 2 and so on.
-func limitedDaemon(ctx context.Context, w *world) *Dispatcher {
-	d := w.daemon(ctx, "vm1", Ours)
+// startLimitedDaemon starts a daemon with a limit of engineLimit for each engine. Engine e0
+// serves version 1, e1 version 2 and so on.
+func startLimitedDaemon(ctx context.Context, w *world) *Dispatcher {
+	d := w.startDaemon(ctx, "vm1", PolicyFull)
 	t := w.tree()
 	for name, u := range t.Fleet.Groups["g"].Upstreams {
 		u.MaxConcurrency = engineLimit
@@ -117,133 +120,133 @@
 }
 
 var _ = Describe("versions", func() {
-	// The first of four engines has switched, and a step asks for the new version.
-	// Admission counted the places of all four, and all that it let through was put
-	// on the one, beyond its limit. Found with `scripts/bench.sh versions-fresh`.
-	It("queues here what only a full engine may run", bubble(func(g Gomega) {
+	// The first of four engines has switched to a new version, and a step asks for it.
+	// Admission counted the capacity of all four engines, and all requests that it admitted
+	// went to the one, beyond its limit. Found with `scripts/bench.sh versions-fresh`.
+	It("queues requests that only a full engine may run", inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(4)
-		d := limitedDaemon(ctx, w)
-		failed, _ := rollOut(d, "new", 40, 4, 0)
+		d := startLimitedDaemon(ctx, w)
+		failed, _ := runSamples(d, "new", 40, 4, 0)
 		g.Expect(failed).To(BeZero())
-		g.Expect(w.most("new")).To(BeNumerically("<=", engineLimit))
+		g.Expect(w.maxConcurrent("new")).To(BeNumerically("<=", engineLimit))
 	}))
 
-	It("lets others pass those that wait for one engine", bubble(func(g Gomega) {
+	It("lets other requests pass those that wait for one engine", inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(4)
-		d := limitedDaemon(ctx, w)
+		d := startLimitedDaemon(ctx, w)
 		var group sync.WaitGroup
 		group.Go(func() {
 			defer GinkgoRecover()
-			failed, _ := rollOut(d, "new", 60, 4, 0)
+			failed, _ := runSamples(d, "new", 60, 4, 0)
 			g.Expect(failed).To(BeZero())
 		})
 		time.Sleep(tokenTime)
-		failed, took := rollOut(d, "any", 10, 0, 0)
+		failed, took := runSamples(d, "any", 10, 0, 0)
 		g.Expect(failed).To(BeZero())
-		g.Expect(took).To(BeNumerically("<=", (answerSize+1)*tokenTime))
+		g.Expect(took).To(BeNumerically("<=", (answerTokens+1)*tokenTime))
 		group.Wait()
-		g.Expect(w.most("new")).To(BeNumerically("<=", engineLimit))
+		g.Expect(w.maxConcurrent("new")).To(BeNumerically("<=", engineLimit))
 	}))
 
-	It("starts all that waits once more engines switched, and refuses what none will run", bubble(func(g Gomega) {
+	It("starts waiting requests once more engines have switched, and refuses those that no engine can serve", inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(4)
-		d := limitedDaemon(ctx, w)
-		time.AfterFunc(answerSize*tokenTime/2, func() {
+		d := startLimitedDaemon(ctx, w)
+		time.AfterFunc(answerTokens*tokenTime/2, func() {
 			w.mu.Lock()
 			for _, e := range w.engines {
 				e.version = 4
 			}
 			w.mu.Unlock()
 			for name := range w.engines {
-				d.Recheck("g", name) // as whoever ordered the switch does
+				d.Recheck("g", name) // as the code that ordered the switch does
 			}
 		})
-		failed, took := rollOut(d, "new", 100, 4, 0)
+		failed, took := runSamples(d, "new", 100, 4, 0)
 		g.Expect(failed).To(BeZero())
-		g.Expect(took).To(BeNumerically("<", 100/engineLimit*answerSize*tokenTime*2/3), "not one engine's work")
-		failed, _ = rollOut(d, "newer", 3, 5, 0)
+		g.Expect(took).To(BeNumerically("<", 100/engineLimit*answerTokens*tokenTime*2/3), "more than one engine must have taken part")
+		failed, _ = runSamples(d, "newer", 3, 5, 0)
 		g.Expect(failed).To(Equal(3))
 	}))
 
-	It("gives up what waits for an engine when its caller does", bubble(func(g Gomega) {
+	It("drops a waiting request when its client gives up", inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(4)
-		d := limitedDaemon(ctx, w)
-		go rollOut(d, "new", engineLimit, 4, 0)
+		d := startLimitedDaemon(ctx, w)
+		go runSamples(d, "new", engineLimit, 4, 0)
 		time.Sleep(tokenTime)
 		short, stop := context.WithTimeout(ctx, 2*tokenTime)
 		defer stop()
-		late := Generate{ID: "late", Team: "t", Model: "m", Class: Rollout, Prompt: "late", MaxTokens: answerSize, MinVersion: 4}
+		late := Generate{ID: "late", Team: "t", Model: "m", Class: Rollout, Prompt: "late", MaxTokens: answerTokens, MinVersion: 4}
 		_, err := d.Generate(short, late, nil)
 		g.Expect(err).To(HaveOccurred())
 		time.Sleep(time.Second)
-		g.Expect(w.count("late")).To(BeZero())
+		g.Expect(w.startCount("late")).To(BeZero())
 		d.shardOf("g").expectEmpty(g)
 	}))
 
-	// Random sessions against the rules: each caller gets one end, an engine never
-	// runs more than its limit, nothing waits while it could run, nothing is left.
-	DescribeTable("random sessions", func(seed uint64) {
-		bubble(func(g Gomega) {
+	// Invariants in random sessions: each client gets one result, no engine exceeds its
+	// limit, no request waits that could run, and nothing is left over at the end.
+	DescribeTable("keeps its invariants in random sessions", func(seed uint64) {
+		inBubble(func(g Gomega) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			r := rand.New(rand.NewPCG(seed, 1))
 			w := newWorld(4)
-			d := limitedDaemon(ctx, w)
+			d := startLimitedDaemon(ctx, w)
 			var group sync.WaitGroup
 			for i := range 300 {
-				least, gone := ident.Version(r.IntN(5)), r.IntN(8) == 0
+				minVersion, givesUp := ident.Version(r.IntN(5)), r.IntN(8) == 0
 				patience := time.Duration(r.IntN(300)) * time.Millisecond
 				group.Go(func() {
 					defer GinkgoRecover()
-					g.Expect(w.sample(ctx, d, i, least, gone, patience)).To(BeTrue())
+					g.Expect(w.runSample(ctx, d, i, minVersion, givesUp, patience)).To(BeTrue())
 				})
 				if r.IntN(20) == 0 {
-					w.raise(d, ident.Upstream(fmt.Sprintf("e%d", r.IntN(4))))
+					w.raiseVersion(d, ident.Upstream(fmt.Sprintf("e%d", r.IntN(4))))
 				}
 				time.Sleep(time.Duration(r.IntN(6)) * time.Millisecond)
 				synctest.Wait()
-				d.shardOf("g").expectNoneIdle(g)
+				d.shardOf("g").expectNoIdleCapacity(g)
 			}
 			group.Wait()
-			g.Expect(w.most("sample")).To(BeNumerically("<=", engineLimit))
+			g.Expect(w.maxConcurrent("sample")).To(BeNumerically("<=", engineLimit))
 			d.shardOf("g").expectEmpty(g)
 		})()
 	}, Entry(nil, uint64(1)), Entry(nil, uint64(2)), Entry(nil, uint64(3)), Entry(nil, uint64(4)))
 
-	// A step that preferred newer weights than any engine served was refused whole.
-	It("prefers newer weights, within their engine's limit, and refuses nothing for it", bubble(func(g Gomega) {
+	// A step that preferred a version newer than any engine served was refused as a whole.
+	It("prefers engines with newer weights up to their limit, and refuses no request for lack of one", inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(2)
-		d := limitedDaemon(ctx, w)
-		failed, _ := rollOut(d, "few", 3, 1, 2)
+		d := startLimitedDaemon(ctx, w)
+		failed, _ := runSamples(d, "few", 3, 1, 2)
 		g.Expect(failed).To(BeZero())
-		g.Expect(w.most("few")).To(Equal(3), "all on the newer one")
-		failed, took := rollOut(d, "more", 14, 1, 2)
+		g.Expect(w.maxConcurrent("few")).To(Equal(3), "all on the engine with newer weights")
+		failed, took := runSamples(d, "more", 14, 1, 2)
 		g.Expect(failed).To(BeZero())
-		g.Expect(w.most("more")).To(Equal(engineLimit))
-		g.Expect(took).To(BeNumerically("<=", (answerSize+1)*tokenTime), "none waited")
-		failed, _ = rollOut(d, "none serves", 3, 1, 9)
+		g.Expect(w.maxConcurrent("more")).To(Equal(engineLimit))
+		g.Expect(took).To(BeNumerically("<=", (answerTokens+1)*tokenTime), "no request may have waited")
+		failed, _ = runSamples(d, "none serves", 3, 1, 9)
 		g.Expect(failed).To(BeZero())
 	}))
 
-	// The first engine to switch was filled to its limit while three idled, and its
-	// samples, slow by its load, decided the step's end.
-	It("doesn't pile all on the first engine with newer weights", bubble(func(g Gomega) {
+	// The first engine to switch was filled to its limit while three were idle. The load
+	// slowed its samples down, and the step ended late because of them.
+	It("doesn't send all requests to the first engine with newer weights", inBubble(func(g Gomega) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		w := newWorld(4)
-		d := limitedDaemon(ctx, w)
-		failed, _ := rollOut(d, "some", 12, 1, 4)
+		d := startLimitedDaemon(ctx, w)
+		failed, _ := runSamples(d, "some", 12, 1, 4)
 		g.Expect(failed).To(BeZero())
-		g.Expect(w.most("some")).To(And(BeNumerically(">", 12/4), BeNumerically("<=", 6)), "more than its part, within the bound")
+		g.Expect(w.maxConcurrent("some")).To(And(BeNumerically(">", 12/4), BeNumerically("<=", 6)), "more than an even share, but within the load bound")
 	}))
 })
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	tokenTime   = 10 * time.Millisecond
-	answerSize  = 10 // tokens
-	restartTime = 300 * time.Millisecond
-	killer      = "kills engines"
+	tokenTime    = 10 * time.Millisecond
+	answerTokens = 10 // length of an answer
+	restartTime  = 300 * time.Millisecond
+	killerPrompt = "kills engines" // a request whose prompt contains this is a killer: it ends its engine
 )
 
-// engine is a fake upstream.
+// engine is a simulated engine.
 type engine struct {
-	name     ident.Upstream
-	boot     int
-	alive    bool
-	leaving  bool
-	version  ident.Version
-	slow     time.Duration // by token, besides tokenTime
-	resetAll bool          // breaks calls after the first byte
-	frozen   bool          // takes calls in and never answers
-	end      chan struct{} // closed when the process ends
-	running  int
-	died     int
+	name           ident.Upstream
+	boot           int
+	alive          bool
+	leaving        bool
+	version        ident.Version
+	extraTokenTime time.Duration // per token, in addition to tokenTime
+	resetAll       bool          // its connections break after the first byte
+	frozen         bool          // accepts calls and never answers
+	exited         chan struct{} // closed when the process dies
+	running        int
+	deaths         int
 }
 
-// world is a fake client and the engines behind it.
+// world simulates the engines of a group and implements Client for them.
 type world struct {
-	mu      sync.Mutex
-	engines map[ident.Upstream]*engine
-	began   map[string]int   // requests by prompt or body that an upstream began
-	beside  map[string][]int // what ran beside, at each beginning
-	size    int              // of an answer, in tokens
-	killAt  int              // the token at which a killer ends its engine
+	mu             sync.Mutex
+	engines        map[ident.Upstream]*engine
+	started        map[string]int   // how often engines started a request, by its prompt or body
+	runningAtStart map[string][]int // other requests that were running on the engine at each start
+	answerTokens   int              // length of an answer
+	killAtToken    int              // token at which a killer ends its engine
 }
 
 func newWorld(n int) *world {
-	w := &world{engines: map[ident.Upstream]*engine{}, began: map[string]int{}, beside: map[string][]int{}, size: answerSize, killAt: 2}
+	w := &world{engines: map[ident.Upstream]*engine{}, started: map[string]int{}, runningAtStart: map[string][]int{}, answerTokens: answerTokens, killAtToken: 2}
 	for i := range n {
 		name := ident.Upstream(fmt.Sprintf("e%d", i))
-		w.engines[name] = &engine{name: name, alive: true, boot: 1, version: ident.Version(i + 1), end: make(chan struct{})}
+		w.engines[name] = &engine{name: name, alive: true, boot: 1, version: ident.Version(i + 1), exited: make(chan struct{})}
 	}
 	return w
 }
 
-// kill ends an engine's process; it comes back after restartTime.
+// kill ends an engine's process, which restarts after restartTime.
 func (w *world) kill(e *engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,12 +66,12 @@
 		return
 	}
 	e.alive = false
-	e.died++
-	close(e.end)
+	e.deaths++
+	close(e.exited)
 	time.AfterFunc(restartTime, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		e.alive, e.boot, e.end = true, e.boot+1, make(chan struct{})
+		e.alive, e.boot, e.exited = true, e.boot+1, make(chan struct{})
 	})
 }
 
@@ -80,12 +80,12 @@
 	defer w.mu.Unlock()
 	n := 0
 	for _, e := range w.engines {
-		n += e.died
+		n += e.deaths
 	}
 	return n
 }
 
-func (w *world) busy() []*engine {
+func (w *world) busyEngines() []*engine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []*engine
@@ -97,79 +97,79 @@
 	return list
 }
 
-// slow sets how slow engines are: all of them, or those at rest.
-func (w *world) slow(by time.Duration, idleOnly bool) {
+// setExtraTokenTime slows down all engines, or only the idle ones.
+func (w *world) setExtraTokenTime(by time.Duration, idleOnly bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.engines {
 		if !idleOnly || e.running == 0 {
-			e.slow = by
+			e.extraTokenTime = by
 		}
 	}
 }
 
-func (w *world) slowness(e *engine) time.Duration {
+func (w *world) extraTokenTime(e *engine) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return e.slow
+	return e.extraTokenTime
 }
 
-func (w *world) versionOf(e *engine) ident.Version {
+func (w *world) servingVersion(e *engine) ident.Version {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return e.version
 }
 
-func fail(t upstream.Target, f upstream.Fault, o outcome.Outcome) error {
+func fakeFault(t upstream.Target, f upstream.Fault, o outcome.Outcome) error {
 	return &upstream.Error{Fault: f, Outcome: o, Upstream: t.Name, Err: errors.New("fake")}
 }
 
-// begin counts a request in; the error says that nothing ran.
-func (w *world) begin(t upstream.Target, what string) (*engine, chan struct{}, error) {
+// start counts a request as running. It returns an error if the engine isn't alive.
+func (w *world) start(t upstream.Target, content string) (*engine, chan struct{}, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e := w.engines[t.Name]
 	if !e.alive {
-		return nil, nil, fail(t, upstream.Refused, outcome.NotRun)
+		return nil, nil, fakeFault(t, upstream.Refused, outcome.NotRun)
 	}
-	w.beside[what] = append(w.beside[what], e.running)
-	w.began[what]++
+	w.runningAtStart[content] = append(w.runningAtStart[content], e.running)
+	w.started[content]++
 	e.running++
-	return e, e.end, nil
+	return e, e.exited, nil
 }
 
-// count returns how often a request began.
-func (w *world) count(what string) int {
+// startCount returns how often engines started a request.
+func (w *world) startCount(content string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.began[what]
+	return w.started[content]
 }
 
-func (w *world) done(e *engine) {
+func (w *world) finish(e *engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e.running--
 }
 
 func (w *world) Generate(ctx context.Context, t upstream.Target, r upstream.GenerateRequest, onChunk func(upstream.Chunk) error) error {
-	e, end, err := w.begin(t, r.Prompt)
+	e, end, err := w.start(t, r.Prompt)
 	if err != nil {
 		return err
 	}
-	defer w.done(e)
-	for i := r.ResumeTokens; i < w.size; i++ {
-		if strings.Contains(r.Prompt, killer) && i == w.killAt {
+	defer w.finish(e)
+	for i := r.ResumeTokens; i < w.answerTokens; i++ {
+		if strings.Contains(r.Prompt, killerPrompt) && i == w.killAtToken {
 			w.kill(e)
 		}
 		select {
 		case <-end:
-			return fail(t, upstream.Reset, outcome.Unknown)
+			return fakeFault(t, upstream.Reset, outcome.Unknown)
 		case <-ctx.Done():
-			return fail(t, upstream.Cancelled, outcome.Unknown)
-		case <-time.After(tokenTime + w.slowness(e)):
+			return fakeFault(t, upstream.Cancelled, outcome.Unknown)
+		case <-time.After(tokenTime + w.extraTokenTime(e)):
 		}
-		ch := upstream.Chunk{Text: fmt.Sprintf("t%d ", i), Tokens: 1, Version: w.versionOf(e), Leaving: e.leaving}
-		if i == w.size-1 {
+		ch := upstream.Chunk{Text: fmt.Sprintf("t%d ", i), Tokens: 1, Version: w.servingVersion(e), Leaving: e.leaving}
+		if i == w.answerTokens-1 {
 			ch.FinishReason = "stop"
 		}
 		if err := onChunk(ch); err != nil {
@@ -180,13 +180,13 @@
 }
 
 func (w *world) Call(ctx context.Context, t upstream.Target, r upstream.ServiceRequest) (*upstream.ServiceResponse, error) {
-	e, end, err := w.begin(t, string(r.Body))
+	e, end, err := w.start(t, string(r.Body))
 	if err != nil {
 		return nil, err
 	}
-	defer w.done(e)
+	defer w.finish(e)
 	if e.resetAll {
-		return nil, fail(t, upstream.Reset, outcome.Unknown)
+		return nil, fakeFault(t, upstream.Reset, outcome.Unknown)
 	}
 	answered, silent := time.After(tokenTime), (<-chan time.Time)(nil)
 	if e.frozen {
@@ -197,11 +197,11 @@
 	}
 	select {
 	case <-end:
-		return nil, fail(t, upstream.Reset, outcome.Unknown)
+		return nil, fakeFault(t, upstream.Reset, outcome.Unknown)
 	case <-ctx.Done():
-		return nil, fail(t, upstream.Cancelled, outcome.Unknown)
+		return nil, fakeFault(t, upstream.Cancelled, outcome.Unknown)
 	case <-silent:
-		return nil, fail(t, upstream.Silent, outcome.Unknown)
+		return nil, fakeFault(t, upstream.Silent, outcome.Unknown)
 	case <-answered:
 	}
 	return &upstream.ServiceResponse{Status: 200, Body: r.Body, Leaving: e.leaving}, nil
@@ -216,13 +216,13 @@
 	defer w.mu.Unlock()
 	e := w.engines[t.Name]
 	if !e.alive {
-		return wire.LoadReport{}, fail(t, upstream.Refused, outcome.NotRun)
+		return wire.LoadReport{}, fakeFault(t, upstream.Refused, outcome.NotRun)
 	}
 	serving := map[string]int64{"m": int64(e.version)}
 	return wire.LoadReport{BootID: fmt.Sprint(e.boot), Running: e.running, Leaving: e.leaving, Serving: serving}, nil
 }
 
-// tree has one group "g" of all engines.
+// tree returns a configuration with one group, "g", of all engines.
 func (w *world) tree() *config.Tree {
 	group := config.Group{Kind: config.KindEngine, Upstreams: map[ident.Upstream]config.Upstream{}}
 	for name := range w.engines {
@@ -234,19 +234,19 @@
 	}
 }
 
-// daemon starts a dispatcher that knows the boot IDs already.
-func (w *world) daemon(ctx context.Context, self ident.VM, p Policy) *Dispatcher {
+// startDaemon starts a dispatcher and waits until it has load reports.
+func (w *world) startDaemon(ctx context.Context, self ident.VM, p Policy) *Dispatcher {
 	d := New(Options{Self: self, Client: w, Policy: p, Log: zerolog.Nop()})
 	d.applyTree(w.tree())
 	go d.Run(ctx)
-	time.Sleep(2 * time.Second) // of the bubble: first reports are in
+	time.Sleep(2 * time.Second) // of simulated time, until the first load reports are in
 	return d
 }
 
-// whole is the text of a whole answer.
-func whole() string { return wholeOf(answerSize) }
+// fullAnswer returns the text of a whole answer.
+func fullAnswer() string { return answerOf(answerTokens) }
 
-func wholeOf(size int) string {
+func answerOf(size int) string {
 	var b strings.Builder
 	for i := range size {
 		fmt.Fprintf(&b, "t%d ", i)
@@ -254,9 +254,9 @@
 	return b.String()
 }
 
-func ask(d *Dispatcher, prompt string) (Generated, string, error) {
+func generate(d *Dispatcher, prompt string) (Generated, string, error) {
 	var seen strings.Builder
-	g := Generate{ID: ident.RequestID(prompt), Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerSize}
+	g := Generate{ID: ident.RequestID(prompt), Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerTokens}
 	answer, err := d.Generate(context.Background(), g, func(ch upstream.Chunk) error {
 		seen.WriteString(ch.Text)
 		return nil
