--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -13,8 +13,8 @@
 //     where the upstream died. A second death convicts the request; see package poison.
 //   - Copies are identical requests that reach one or several daemons. They are sent to
 //     the same upstream, since each of them might kill the one that it runs on.
-//   - Stragglers are the last unfinished samples of a training step. They may be hedged:
-//     run a second time on another upstream.
+//   - Stragglers are the last samples of a training step. They may be hedged: run a second
+//     time on another upstream.
 package dispatch
 
 import (
@@ -95,8 +95,8 @@
 }
 
 // Digest is the dispatch state that a daemon shares with its peers. InFlight counts the
-// daemon's requests in flight by upstream, and Serving holds the newest weight version of
-// each model by upstream.
+// daemon's requests in flight by upstream. Leaving and Down list what the daemon has found
+// out itself. Serving holds the weight version of each model that an upstream serves.
 type Digest struct {
 	InFlight map[ident.Upstream]int
 	Leaving  []ident.Upstream
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -44,8 +44,8 @@
 	return copyPlacement{places: poison.NewPlaces(), answeredRecently: poison.NewAnswered()}
 }
 
-// SetPlacer sets the Placer, which is built on top of the Dispatcher. It must be called
-// before requests arrive.
+// SetPlacer sets how other daemons are asked. It isn't one of the Options, since p is built on
+// top of the Dispatcher.
 func (d *Dispatcher) SetPlacer(p Placer) {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
@@ -175,7 +175,7 @@
 	}
 	sl := s.bookSlot(m, fp, s.dispatcher.options.Now())
 	sl.outsideQueue = true
-	s.reserveDemand.add(sl, req.route, s.table)
+	s.reserveDemand.add(sl, req.route, s.routingTable)
 	return sl
 }
 
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -21,11 +21,11 @@
 // placementRequest is what one attempt asks of admission and routing.
 type placementRequest struct {
 	team          ident.Team
-	model         ident.Model // "" for calls and scores
-	latestStart   time.Time   // the attempt must start by then; zero: no limit
-	stepDeadline  time.Time
-	prioritized   bool // goes before the team's other requests: a straggler, or a request that has waited before
-	cost          float64
+	model         ident.Model   // "" for calls and scores
+	latestStart   time.Time     // the attempt must start by then; zero: no limit
+	stepDeadline  time.Time     // deadline of the whole request: orders the team's rollouts in the queue; zero comes last
+	prioritized   bool          // goes before the team's other requests: a straggler, or a request that has waited before
+	cost          float64       // expected tokens; 1 for calls and scores
 	preferVersion ident.Version // engines that serve it or a newer version are preferred; 0: no preference
 	route         routing.Request
 }
@@ -287,7 +287,7 @@
 	}
 	w.slot = s.bookSlot(m, w.fingerprint, now)
 	w.slot.ticket = ticket
-	s.reserveDemand.add(w.slot, w.request.route, s.table)
+	s.reserveDemand.add(w.slot, w.request.route, s.routingTable)
 	close(w.ready)
 }
 
@@ -296,8 +296,8 @@
 	m.inFlight++
 	m.limitShare.Note(m.inFlight, now)
 	s.quarantine.countAttempt(fp, 1)
-	s.table.AddOwn(m.target.Name, 1)
-	entry, _ := s.table.Member(m.target.Name)
+	s.routingTable.AddOwn(m.target.Name, 1)
+	entry, _ := s.routingTable.Member(m.target.Name)
 	return &slot{member: m, fingerprint: fp, bootID: m.bootID, started: now, upstreamInFlight: entry.Own + entry.Peers}
 }
 
@@ -310,7 +310,7 @@
 	s.quarantine.countAttempt(sl.fingerprint, -1)
 	s.reserveDemand.remove(sl)
 	if s.members[sl.member.target.Name] == sl.member { // otherwise it was removed, or replaced under the same name
-		s.table.AddOwn(sl.member.target.Name, -1)
+		s.routingTable.AddOwn(sl.member.target.Name, -1)
 	}
 	if s.admission.queue != nil && !sl.outsideQueue {
 		if completed {
--- a/internal/dispatch/generate.go
+++ b/internal/dispatch/generate.go
@@ -118,7 +118,8 @@
 // deadline: the estimate may be wrong, and on an idle engine the request is worth a try.
 const maxRunShare = 0.9
 
-// prefixHash hashes the beginning of the prompt, by which engines cache.
+// prefixHash hashes the beginning of the prompt, so that requests with the same beginning can
+// be sent to an engine that has it in its prefix cache.
 func prefixHash(request Generate) uint64 {
 	prompt := request.Prompt
 	if len(request.Chat) > 0 {
@@ -150,8 +151,8 @@
 }
 
 // hasPartialAnswer reports whether the next attempt can resume a partial answer. Under the
-// naive policy it can't: the attempt starts from scratch unless the caller has already
-// received chunks.
+// naive policy it can't: the attempt starts from scratch, with collected reset, unless the
+// caller has already received chunks.
 func (g *generation) hasPartialAnswer() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -261,7 +262,7 @@
 	s := o.shard
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.ObserveTokenTime(o.slot.member.target.Name, class, perToken, o.slot.upstreamInFlight)
+	s.routingTable.ObserveTokenTime(o.slot.member.target.Name, class, perToken, o.slot.upstreamInFlight)
 	s.generationTimes.observe(perToken, o.lastAt.Sub(o.slot.started))
 	s.observeLatency(o.slot, perToken)
 }
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -88,7 +88,7 @@
 func (d *Dispatcher) newHedge(original *generation) *generation {
 	s := original.shard
 	s.mu.Lock()
-	allowed := s.hasAlternative() && s.hedges.Take(d.options.Now())
+	allowed := s.hasAlternative() && s.hedgeBudget.Take(d.options.Now())
 	s.mu.Unlock()
 	if !allowed {
 		return nil
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -21,8 +21,8 @@
 	minReserveDemand = 0.3
 )
 
-func (d *reserveDemand) add(sl *slot, r routing.Request, t *routing.Table) {
-	sl.class, sl.sensitive = r.Class, t.Sensitive(r)
+func (d *reserveDemand) add(sl *slot, route routing.Request, table *routing.Table) {
+	sl.class, sl.sensitive = route.Class, table.Sensitive(route)
 	d.adjust(sl, 1)
 }
 
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -181,7 +181,7 @@
 		daemons = s.daemonsPerUpstream
 	}
 	s.reserveDemand.daemons = daemons
-	s.table.SetDaemons(daemons)
+	s.routingTable.SetDaemons(daemons)
 	for _, m := range s.used {
 		peers := sums[m.target.Name]
 		if s.daemonsPerUpstream > 0 {
@@ -189,7 +189,7 @@
 			// upstream's load report counts their requests as well.
 			peers = max(peers, m.othersInFlight)
 		}
-		s.table.SetPeers(m.target.Name, peers)
+		s.routingTable.SetPeers(m.target.Name, peers)
 		m.limitShare.HeardAt(m.concurrencyLimit(), peers, daemons, asOf)
 	}
 	s.admission.capacityStale = true
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -20,7 +20,7 @@
 			s := d.shardOf("g")
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			u, _ := s.table.Member("e0")
+			u, _ := s.routingTable.Member("e0")
 			return u.Peers
 		}
 		d.Merge("vm2", Digest{InFlight: map[ident.Upstream]int{"e0": 9}})
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -20,12 +20,12 @@
 	if m := s.pickPreferred(req, route, now); m != nil {
 		return m
 	}
-	if name, ok := s.table.Pick(route, now); ok {
+	if name, ok := s.routingTable.Pick(route, now); ok {
 		return s.members[name]
 	}
 	if len(tried) > 0 {
 		route.Exclude = s.unsuitable(req, nil)
-		if name, ok := s.table.Pick(route, now); ok {
+		if name, ok := s.routingTable.Pick(route, now); ok {
 			return s.members[name]
 		}
 	}
@@ -43,7 +43,7 @@
 	preferred := *req
 	preferred.route.MinVersion = req.preferVersion
 	route.Exclude = s.unsuitable(&preferred, route.Exclude)
-	name, ok := s.table.Pick(route, now)
+	name, ok := s.routingTable.Pick(route, now)
 	if !ok {
 		return nil
 	}
@@ -57,7 +57,7 @@
 // multiple of the mean load. Members picked by prefix have the same bound.
 const preferredLoadFactor = 1.25
 
-// withinLoadBound prevents that the first members with a new version get all requests
+// withinLoadBound keeps the first members with a new version from getting all requests
 // while others are idle.
 func (s *shard) withinLoadBound(m *member) bool {
 	sum, n := 0, 0
@@ -94,8 +94,8 @@
 	if req.model == "" || len(m.serving) == 0 {
 		return req.route.MinVersion == 0
 	}
-	v, serves := m.serving[req.model]
-	return serves && v >= req.route.MinVersion
+	version, serves := m.serving[req.model]
+	return serves && version >= req.route.MinVersion
 }
 
 // pickQuarantined picks a member that is in quarantine, if no other is left: running
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -27,8 +27,8 @@
 	deadline       time.Time
 	idempotent     bool
 	resumable      bool
-	isHedge        bool // second attempt of a straggler: fails instead of running in quarantine
-	sends          retry.Sends
+	isHedge        bool            // second attempt of a straggler: fails instead of running in quarantine
+	sends          retry.Sends     // counts the attempts
 	earlierOutcome outcome.Outcome // combined outcome of the attempts so far
 	lastErr        error
 	upstreamDied   bool          // the upstream process of the last attempt died
@@ -175,8 +175,8 @@
 	s.mu.Lock()
 	s.quarantine.endAttempt(sl)
 	now := r.dispatcher.options.Now()
-	s.retries.Succeeded(now)
-	s.hedges.Succeeded(now)
+	s.retryBudget.Succeeded(now)
+	s.hedgeBudget.Succeeded(now)
 	if name := sl.member.target.Name; !s.health.Spotless(name) {
 		s.applyHealthEvent(health.Succeeded{Upstream: name}, now)
 	}
@@ -312,7 +312,7 @@
 	if r.dispatcher.options.Policy == PolicyNaive {
 		options.MaxAttempts, options.MaxNotRun = 2, 2
 	}
-	return retry.Decide(attempt, s.retries, options, r.dispatcher.options.Now())
+	return retry.Decide(attempt, s.retryBudget, options, r.dispatcher.options.Now())
 }
 
 func (r *requestRun) finalError(f fault, cause retry.Cause) *Error {
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -27,11 +27,11 @@
 	polledOnly         []*member // the other members, which are only polled, by name
 	droppedLeaving     []ident.Upstream
 	daemonsPerUpstream int // daemons that use each upstream of a subset, 0: all daemons use the whole group
-	table              *routing.Table
+	routingTable       *routing.Table
 	health             *health.Group
 	admission          admission
-	retries            *retry.Budget
-	hedges             *retry.Budget
+	retryBudget        *retry.Budget
+	hedgeBudget        *retry.Budget
 	quarantine         quarantineTable
 	modelCount         int // different models on the group's engines, by settings or reports
 	roundRobinIndex    int // of the member picked last under the naive policy
@@ -54,16 +54,16 @@
 	ineligibleSince    time.Time // set while it isn't eligible
 	quarantined        bool      // for a suspect of this daemon
 	quarantinedForPeer bool      // for a suspect of a peer
-	weight             float64
-	inFlight           int
-	configuredLimit    int // concurrency limit by settings, 0: the controller finds it
+	weight             float64   // fraction of its normal load that it may get, 0 to 1, set by health
+	inFlight           int       // this daemon's requests in flight
+	configuredLimit    int       // concurrency limit by settings, 0: the controller finds it
 	controller         *limits.Controller
-	limitShare         limits.Sharer // this daemon's share of the concurrency limit
-	bootID             string
-	serving            map[ident.Model]ident.Version
+	limitShare         limits.Sharer                   // this daemon's share of the concurrency limit
+	bootID             string                          // of its process, by the last report
+	serving            map[ident.Model]ident.Version   // version in use by model
 	loaded             map[ident.Model][]ident.Version // versions loaded in memory
 	nextProbe          time.Time
-	probing            bool
+	probing            bool      // a regular probe is running
 	reportedAt         time.Time // time of the last load report
 	prober             prober
 }
@@ -71,15 +71,15 @@
 func newShard(d *Dispatcher, name string) *shard {
 	now := d.options.Now()
 	return &shard{
-		dispatcher: d,
-		name:       name,
-		members:    map[ident.Upstream]*member{},
-		table:      routing.NewTable(routing.Options{Self: d.options.DataCentre, Seed: d.options.Seed}),
-		health:     health.New(d.options.Health),
-		admission:  newAdmission(d.options.Policy),
-		retries:    retry.NewBudget(d.options.RetryBudget, now),
-		hedges:     retry.NewBudget(d.options.HedgeBudget, now),
-		quarantine: newQuarantineTable(),
+		dispatcher:   d,
+		name:         name,
+		members:      map[ident.Upstream]*member{},
+		routingTable: routing.NewTable(routing.Options{Self: d.options.DataCentre, Seed: d.options.Seed}),
+		health:       health.New(d.options.Health),
+		admission:    newAdmission(d.options.Policy),
+		retryBudget:  retry.NewBudget(d.options.RetryBudget, now),
+		hedgeBudget:  retry.NewBudget(d.options.HedgeBudget, now),
+		quarantine:   newQuarantineTable(),
 	}
 }
 
@@ -140,7 +140,7 @@
 	slices.SortFunc(s.polledOnly, compareByName)
 	list := make([]routing.Upstream, 0, len(s.used))
 	for _, m := range s.used {
-		u, _ := s.table.Member(m.target.Name) // its load and reports are kept
+		u, _ := s.routingTable.Member(m.target.Name) // its load and reports are kept
 		u.Name = m.target.Name
 		u.DataCentre = m.dataCentre
 		u.Eligible = m.usable()
@@ -150,7 +150,7 @@
 		u.Serving = newestVersion(m.serving)
 		list = append(list, u)
 	}
-	s.table.SetMembers(list)
+	s.routingTable.SetMembers(list)
 }
 
 func compareByName(a, b *member) int { return cmp.Compare(a.target.Name, b.target.Name) }
@@ -186,7 +186,7 @@
 
 // updateRouting passes a member's current state to the routing table.
 func (s *shard) updateRouting(m *member) {
-	s.table.Update(m.target.Name, func(u *routing.Upstream) {
+	s.routingTable.Update(m.target.Name, func(u *routing.Upstream) {
 		u.Eligible = m.usable()
 		u.Weight = m.weight
 		u.Limit = m.concurrencyLimit()
--- a/internal/dispatch/versions_test.go
+++ b/internal/dispatch/versions_test.go
@@ -16,15 +16,15 @@
 )
 
 // runSamples generates n samples at once and returns how many failed and how long all took.
-func runSamples(d *Dispatcher, name string, n int, minVersion, prefer ident.Version) (failed int, took time.Duration) {
+func runSamples(d *Dispatcher, name string, n int, minVersion, prefer ident.Version) (failed int, elapsed time.Duration) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	started := time.Now()
 	for i := range n {
 		group.Go(func() {
 			id := fmt.Sprintf("%s %d", name, i)
-			g := Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion, Prefer: prefer}
-			if _, err := d.Generate(context.Background(), g, nil); err != nil {
+			request := Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion, Prefer: prefer}
+			if _, err := d.Generate(context.Background(), request, nil); err != nil {
 				mu.Lock()
 				failed++
 				mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // runSample generates one sample and reports whether it ended as expected: with its whole
-// answer or, if gone is set, given up by its client. Some engine always serves version 4 or
+// answer or, if givesUp is set, given up by its client. Some engine always serves version 4 or
 // newer, so no sample is refused.
 func (w *world) runSample(ctx context.Context, d *Dispatcher, i int, minVersion ident.Version, givesUp bool, patience time.Duration) bool {
 	if givesUp {
@@ -61,11 +61,11 @@
 		ctx = short
 	}
 	id := fmt.Sprintf("sample %d", i)
-	got, err := d.Generate(ctx, Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion}, nil)
+	answer, err := d.Generate(ctx, Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion}, nil)
 	if err != nil {
 		return givesUp && ctx.Err() != nil
 	}
-	return got.Text == fullAnswer()
+	return answer.Text == fullAnswer()
 }
 
 // raiseVersion makes an engine switch to its next version.
@@ -110,12 +110,12 @@
 // serves version 1, e1 version 2 and so on.
 func startLimitedDaemon(ctx context.Context, w *world) *Dispatcher {
 	d := w.startDaemon(ctx, "vm1", PolicyFull)
-	t := w.tree()
-	for name, u := range t.Fleet.Groups["g"].Upstreams {
+	tree := w.tree()
+	for name, u := range tree.Fleet.Groups["g"].Upstreams {
 		u.MaxConcurrency = engineLimit
-		t.Fleet.Groups["g"].Upstreams[name] = u
+		tree.Fleet.Groups["g"].Upstreams[name] = u
 	}
-	d.applyTree(t)
+	d.applyTree(tree)
 	return d
 }
 
@@ -145,9 +145,9 @@
 			g.Expect(failed).To(BeZero())
 		})
 		time.Sleep(tokenTime)
-		failed, took := runSamples(d, "any", 10, 0, 0)
+		failed, elapsed := runSamples(d, "any", 10, 0, 0)
 		g.Expect(failed).To(BeZero())
-		g.Expect(took).To(BeNumerically("<=", (answerTokens+1)*tokenTime))
+		g.Expect(elapsed).To(BeNumerically("<=", (answerTokens+1)*tokenTime))
 		group.Wait()
 		g.Expect(w.maxConcurrent("new")).To(BeNumerically("<=", engineLimit))
 	}))
@@ -167,9 +167,9 @@
 				d.Recheck("g", name) // as the code that ordered the switch does
 			}
 		})
-		failed, took := runSamples(d, "new", 100, 4, 0)
+		failed, elapsed := runSamples(d, "new", 100, 4, 0)
 		g.Expect(failed).To(BeZero())
-		g.Expect(took).To(BeNumerically("<", 100/engineLimit*answerTokens*tokenTime*2/3), "more than one engine must have taken part")
+		g.Expect(elapsed).To(BeNumerically("<", 100/engineLimit*answerTokens*tokenTime*2/3), "more than one engine must have taken part")
 		failed, _ = runSamples(d, "newer", 3, 5, 0)
 		g.Expect(failed).To(Equal(3))
 	}))
@@ -230,10 +230,10 @@
 		failed, _ := runSamples(d, "few", 3, 1, 2)
 		g.Expect(failed).To(BeZero())
 		g.Expect(w.maxConcurrent("few")).To(Equal(3), "all on the engine with newer weights")
-		failed, took := runSamples(d, "more", 14, 1, 2)
+		failed, elapsed := runSamples(d, "more", 14, 1, 2)
 		g.Expect(failed).To(BeZero())
 		g.Expect(w.maxConcurrent("more")).To(Equal(engineLimit))
-		g.Expect(took).To(BeNumerically("<=", (answerTokens+1)*tokenTime), "no request may have waited")
+		g.Expect(elapsed).To(BeNumerically("<=", (answerTokens+1)*tokenTime), "no request may have waited")
 		failed, _ = runSamples(d, "none serves", 3, 1, 9)
 		g.Expect(failed).To(BeZero())
 	}))
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -98,12 +98,12 @@
 }
 
 // setExtraTokenTime slows down all engines, or only the idle ones.
-func (w *world) setExtraTokenTime(by time.Duration, idleOnly bool) {
+func (w *world) setExtraTokenTime(extra time.Duration, idleOnly bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.engines {
 		if !idleOnly || e.running == 0 {
-			e.extraTokenTime = by
+			e.extraTokenTime = extra
 		}
 	}
 }
@@ -152,7 +152,7 @@
 }
 
 func (w *world) Generate(ctx context.Context, t upstream.Target, r upstream.GenerateRequest, onChunk func(upstream.Chunk) error) error {
-	e, end, err := w.start(t, r.Prompt)
+	e, exited, err := w.start(t, r.Prompt)
 	if err != nil {
 		return err
 	}
@@ -162,17 +162,17 @@
 			w.kill(e)
 		}
 		select {
-		case <-end:
+		case <-exited:
 			return fakeFault(t, upstream.Reset, outcome.Unknown)
 		case <-ctx.Done():
 			return fakeFault(t, upstream.Cancelled, outcome.Unknown)
 		case <-time.After(tokenTime + w.extraTokenTime(e)):
 		}
-		ch := upstream.Chunk{Text: fmt.Sprintf("t%d ", i), Tokens: 1, Version: w.servingVersion(e), Leaving: e.leaving}
+		chunk := upstream.Chunk{Text: fmt.Sprintf("t%d ", i), Tokens: 1, Version: w.servingVersion(e), Leaving: e.leaving}
 		if i == w.answerTokens-1 {
-			ch.FinishReason = "stop"
+			chunk.FinishReason = "stop"
 		}
-		if err := onChunk(ch); err != nil {
+		if err := onChunk(chunk); err != nil {
 			return err
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 func (w *world) Call(ctx context.Context, t upstream.Target, r upstream.ServiceRequest) (*upstream.ServiceResponse, error) {
-	e, end, err := w.start(t, string(r.Body))
+	e, exited, err := w.start(t, string(r.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 		silent = time.After(r.FirstByteTimeout)
 	}
 	select {
-	case <-end:
+	case <-exited:
 		return nil, fakeFault(t, upstream.Reset, outcome.Unknown)
 	case <-ctx.Done():
 		return nil, fakeFault(t, upstream.Cancelled, outcome.Unknown)
@@ -256,8 +256,8 @@
 
 func generate(d *Dispatcher, prompt string) (Generated, string, error) {
 	var seen strings.Builder
-	g := Generate{ID: ident.RequestID(prompt), Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerTokens}
-	answer, err := d.Generate(context.Background(), g, func(ch upstream.Chunk) error {
+	request := Generate{ID: ident.RequestID(prompt), Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerTokens}
+	answer, err := d.Generate(context.Background(), request, func(ch upstream.Chunk) error {
 		seen.WriteString(ch.Text)
 		return nil
 	})
