--- a/internal/duties/counts.go
+++ b/internal/duties/counts.go
@@ -72,7 +72,7 @@
 	if c.counter.Empty() && isClosed(c.idle) {
 		c.idle = make(chan struct{})
 	}
-	c.counter.Began(customer, c.options.Clock().Add(-ago))
+	c.counter.Add(customer, c.options.Clock().Add(-ago))
 	c.mu.Unlock()
 	select {
 	case c.ready <- struct{}{}:
@@ -91,7 +91,7 @@
 
 // Run appends counts until the context ends.
 func (c *Counts) Run(ctx context.Context) {
-	var pace usage.Pace
+	var pace usage.AppendPacer
 	for failures := 0; ; {
 		if len(c.unconfirmed) == 0 {
 			select {
@@ -100,7 +100,7 @@
 			case <-c.ready:
 			}
 		}
-		wait := pace.Next() - c.options.Now()
+		wait := pace.NextStart() - c.options.Now()
 		pause.For(ctx, max(wait, countsBackoff.Pause(failures, rand.Float64())))
 		if ctx.Err() != nil {
 			return
@@ -108,7 +108,7 @@
 		c.take()
 		began := c.options.Now()
 		ok := c.append(ctx, failures+1)
-		pace.Appended(began, ok)
+		pace.RecordAppend(began, ok)
 		failures++
 		if ok {
 			failures = 0
@@ -140,7 +140,7 @@
 		return
 	}
 	c.number++
-	data, err := entry{Usage: &usage.Record{Counted: &usage.Counted{Writer: c.writer, Number: c.number, Windows: taken}}}.encode(c.options.Clock())
+	data, err := entry{Usage: &usage.Record{Counted: &usage.Counted{Writer: c.writer, Sequence: c.number, Windows: taken}}}.encode(c.options.Clock())
 	if err != nil {
 		c.options.Logger.Error().Err(err).Int64("number", c.number).Msg("counts not encoded, lost")
 		return
@@ -190,14 +190,14 @@
 func (c *Counts) dropOld() {
 	now := c.options.Clock()
 	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r record) bool {
-		old := now.Sub(c.options.Usage.Windows.End(r.newest)) > c.options.Usage.Keep()
+		old := now.Sub(c.options.Usage.Windows.End(r.newest)) > c.options.Usage.Retention()
 		if old {
 			c.options.Logger.Error().Int64("window", r.newest).Msg("counts lost: too late for their report")
 		}
 		return old
 	})
 	c.mu.Lock()
-	dropped := c.counter.Forget(c.options.Usage.Windows.Of(now.Add(-c.options.Usage.Keep())))
+	dropped := c.counter.DropBefore(c.options.Usage.Windows.IndexAt(now.Add(-c.options.Usage.Retention())))
 	c.mu.Unlock()
 	if dropped > 0 {
 		c.options.Logger.Error().Int("windows", dropped).Msg("counts lost: too late for their report")
--- a/internal/duties/log.go
+++ b/internal/duties/log.go
@@ -62,7 +62,7 @@
 	follower *follow.Follower
 
 	mu     sync.Mutex
-	usage  *usage.Fold
+	usage  *usage.State
 	orders map[string]*scaling.Ledger // by service
 	since  time.Duration              // when the store's answers began without an interruption
 	gap    bool                       // records are lost, and none after them was read yet
@@ -80,7 +80,7 @@
 func (v *view) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.usage = usage.NewFold()
+	v.usage = usage.NewState()
 	v.orders = map[string]*scaling.Ledger{}
 	v.since = v.options.Now()
 	v.gap = false
@@ -114,8 +114,8 @@
 		return
 	}
 	v.gap = false
-	first := v.options.Usage.Windows.Of(at.Add(lostMargin))
-	v.usage.Forget(first)
+	first := v.options.Usage.Windows.IndexAt(at.Add(lostMargin))
+	v.usage.DropBefore(first)
 	v.options.Logger.Warn().Int64("first_window", first).Msg("records of the duties are lost, earlier windows are left as they are")
 }
 
--- a/internal/duties/log_test.go
+++ b/internal/duties/log_test.go
@@ -12,7 +12,7 @@
 )
 
 var samples = []entry{
-	{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Number: 1, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}},
+	{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Sequence: 1, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}},
 	{Usage: &usage.Record{Decided: &usage.Decided{Report: usage.WindowCounts{Window: 100, Counts: map[string]int{"a": 1}}}}},
 	{Usage: &usage.Record{Sent: &usage.Sent{Window: 100}}},
 	{Ordered: &ordered{Service: "s", Order: scaling.Order{Key: scaling.Key{DataCentre: "a", Spot: true}, Count: 3}}},
@@ -44,7 +44,7 @@
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		v := newView(Options{Now: func() time.Duration { return time.Second }, Logger: zerolog.Nop()})
 		v.Record(0, data)
-		v.usage.Next(timing, usage.Situation{Now: timing.Windows.End(102), Current: true, InContact: time.Minute})
+		v.usage.NextAction(timing, usage.Conditions{Now: timing.Windows.End(102), UpToDate: true, ContactDuration: time.Minute})
 	})
 }
 
@@ -55,7 +55,7 @@
 	timing := usage.Timing{Windows: usage.Windows{Length: 5 * time.Second}, Due: 10 * time.Second}
 	end := timing.Windows.End(100)
 	late := func(at time.Time) []byte {
-		data, err := entry{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Number: 9, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}}.encode(at)
+		data, err := entry{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Sequence: 9, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}}.encode(at)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,7 +65,7 @@
 		name string
 		gap  bool
 		kept time.Time // when the first record that is kept was written
-		want usage.Step
+		want usage.Action
 	}{
 		{"no gap", false, end.Add(4 * time.Second), usage.Decide{Report: usage.WindowCounts{Window: 100, Counts: map[string]int{"a": 1}}}},
 		{"the window's report may be lost", true, end.Add(4 * time.Second), usage.Wait{}},
@@ -78,7 +78,7 @@
 				v.Gap(7)
 			}
 			v.Record(7, late(c.kept))
-			step := v.usage.Next(timing, usage.Situation{Now: end.Add(4900 * time.Millisecond), Current: true, InContact: time.Minute})
+			step := v.usage.NextAction(timing, usage.Conditions{Now: end.Add(4900 * time.Millisecond), UpToDate: true, ContactDuration: time.Minute})
 			g.Expect(step).To(Equal(c.want))
 		})
 	}
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -46,20 +46,20 @@
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	r.view.startLocked(now) // no record is left behind a gap
-	r.view.usage.Begin(r.options.Usage.Windows.Of(now))
-	r.view.usage.Forget(r.options.Usage.Windows.Of(now.Add(-r.options.Usage.Keep())))
+	r.view.usage.StartAt(r.options.Usage.Windows.IndexAt(now))
+	r.view.usage.DropBefore(r.options.Usage.Windows.IndexAt(now.Add(-r.options.Usage.Retention())))
 }
 
-func (r *reporter) next(rank int, current bool) usage.Step {
+func (r *reporter) next(rank int, current bool) usage.Action {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	return r.view.usage.Next(*r.options.Usage, usage.Situation{
-		Now: r.options.Clock(), Current: current, InContact: r.options.Now() - r.view.since, Rank: rank,
+	return r.view.usage.NextAction(*r.options.Usage, usage.Conditions{
+		Now: r.options.Clock(), UpToDate: current, ContactDuration: r.options.Now() - r.view.since, Rank: rank,
 	})
 }
 
 // do carries a step out and reports whether it succeeded.
-func (r *reporter) do(ctx context.Context, step usage.Step) bool {
+func (r *reporter) do(ctx context.Context, step usage.Action) bool {
 	switch s := step.(type) {
 	case usage.Decide:
 		windowsFixed.Add(1)
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -240,7 +240,7 @@
 		customer, at := fmt.Sprint("c", random.IntN(5)), time.Now()
 		counts.Began(customer, 0)
 		w.mu.Lock()
-		k := timing.Windows.Of(at)
+		k := timing.Windows.IndexAt(at)
 		if w.truth[k] == nil {
 			w.truth[k] = map[string]int{}
 		}
@@ -253,7 +253,7 @@
 // and all of them.
 func (w *world) right(from, to time.Duration) (right, all int) {
 	reports := w.api.Reports()
-	for k := timing.Windows.Of(w.start.Add(from)) + 1; !timing.Windows.End(k).After(w.start.Add(to)); k++ {
+	for k := timing.Windows.IndexAt(w.start.Add(from)) + 1; !timing.Windows.End(k).After(w.start.Add(to)); k++ {
 		all++
 		r, ok := reports[k]
 		if ok && maps.Equal(r.Counts, orEmpty(w.truth[k])) && r.At.Sub(timing.Windows.End(k)) <= timing.Due {
--- a/internal/usage/counter.go
+++ b/internal/usage/counter.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Counter holds what one daemon counted and hasn't written down yet. Not safe for
+// Counter holds the counts of one daemon that aren't in the log yet. It is not safe for
 // concurrent use.
 type Counter struct {
 	windows Windows
@@ -18,20 +18,20 @@
 	return &Counter{windows: w, pending: map[int64]map[string]int{}}
 }
 
-// Began counts a request of a customer that began to run at a time.
-func (c *Counter) Began(customer string, at time.Time) {
-	k := c.windows.Of(at)
+// Add counts a request of a customer that started to run at a time.
+func (c *Counter) Add(customer string, at time.Time) {
+	k := c.windows.IndexAt(at)
 	if c.pending[k] == nil {
 		c.pending[k] = map[string]int{}
 	}
 	c.pending[k][customer]++
 }
 
-// Empty reports whether there is nothing to write down.
+// Empty reports whether there are no counts.
 func (c *Counter) Empty() bool { return len(c.pending) == 0 }
 
-// Forget drops the counts of windows before k and returns how many windows had some.
-func (c *Counter) Forget(k int64) (dropped int) {
+// DropBefore drops the counts of windows before k and returns how many windows had some.
+func (c *Counter) DropBefore(k int64) (dropped int) {
 	for window := range c.pending {
 		if window < k {
 			delete(c.pending, window)
@@ -41,7 +41,7 @@
 	return dropped
 }
 
-// Take returns what is to be written down, by window, and forgets it.
+// Take removes all counts and returns them, ordered by window.
 func (c *Counter) Take() []WindowCounts {
 	var out []WindowCounts
 	for _, k := range slices.Sorted(maps.Keys(c.pending)) {
@@ -51,41 +51,43 @@
 	return out
 }
 
-// Pace spreads a daemon's appends of counts. The first count after a pause is written at
-// once: most daemons of a large fleet count less than one request a second, and each of
-// them then has everything in the log when it is killed. A busy daemon waits between two
-// appends, and the longer the more often the store refuses: what it loses when it is
-// killed is a small part of a window then. The zero Pace has written nothing.
-type Pace struct {
-	last time.Duration // of the last append's begin
-	gap  time.Duration // 0: FirstGap
+// AppendPacer limits the rate at which a daemon appends counts. The first count after a
+// quiet period is appended at once: most daemons of a large fleet count less than one
+// request a second, so they have all of their counts in the log when they are killed. A busy
+// daemon waits between two appends, and longer the more often the store refuses them. The
+// counts that it loses when it is killed are then a small part of a window. The zero value
+// is a pacer before the first append.
+type AppendPacer struct {
+	lastStart time.Duration // start of the last append
+	interval  time.Duration // minimum time between the starts of two appends, 0: MinAppendInterval
 }
 
 const (
-	// FirstGap between the appends of a busy daemon: when all daemons are killed at
-	// once, a window of 5 s lacks half of it, 2.5 in 100.
-	FirstGap = 250 * time.Millisecond
-	// MaxGap bounds what refusals make of it. 690 daemons then take 345 appends a second.
-	MaxGap = 2 * time.Second
-	// gapRecovery is what an append that was taken leaves of the gap: from MaxGap back to
-	// FirstGap in some twenty appends.
-	gapRecovery = 0.9
+	// MinAppendInterval is the time between the appends of a busy daemon. If all daemons are
+	// killed at once, a window of 5 s lacks the counts of half this time, 2.5 in 100.
+	MinAppendInterval = 250 * time.Millisecond
+	// MaxAppendInterval is the longest interval after refused appends. 690 daemons then make
+	// 345 appends a second.
+	MaxAppendInterval = 2 * time.Second
+	// intervalDecay is the factor that a successful append applies to the interval. It takes
+	// some twenty appends from MaxAppendInterval back to MinAppendInterval.
+	intervalDecay = 0.9
 )
 
-// Next is when the next append may begin.
-func (p *Pace) Next() time.Duration {
-	if p.last == 0 {
+// NextStart returns the earliest time at which the next append may start.
+func (p *AppendPacer) NextStart() time.Duration {
+	if p.lastStart == 0 {
 		return 0
 	}
-	return p.last + max(p.gap, FirstGap)
+	return p.lastStart + max(p.interval, MinAppendInterval)
 }
 
-// Appended notes an append and whether the store took it.
-func (p *Pace) Appended(began time.Duration, taken bool) {
-	p.last = began
-	if taken {
-		p.gap = time.Duration(gapRecovery * float64(p.gap))
+// RecordAppend records when an append started and whether it succeeded.
+func (p *AppendPacer) RecordAppend(started time.Duration, ok bool) {
+	p.lastStart = started
+	if ok {
+		p.interval = time.Duration(intervalDecay * float64(p.interval))
 		return
 	}
-	p.gap = min(MaxGap, 2*max(p.gap, FirstGap))
+	p.interval = min(MaxAppendInterval, 2*max(p.interval, MinAppendInterval))
 }
--- a/internal/usage/fold.go
+++ b/internal/usage/fold.go
@@ -5,55 +5,56 @@
 	"slices"
 )
 
-// Fold is what the log says of all windows. Every daemon that has read the same records
-// has the same reports. Not safe for concurrent use.
+// State is the state of all windows, built from the log's records. Daemons that have read
+// the same records have the same reports. It is not safe for concurrent use.
 //
 // Invariants:
-//   - a writer's record counts once, however often it stands in the log;
-//   - a window's report never changes once it is decided, whatever is counted after;
-//   - every window from the first known one on is reported, also one without a count.
-type Fold struct {
-	windows map[int64]*window
-	writers map[string]int64 // number of the last record by writer
-	known   bool             // some window is
-	first   int64            // first window that is reported, if one is known
-	floor   int64            // windows before it are forgotten
+//   - a writer's record counts once, even if the log has several copies of it;
+//   - a window's report doesn't change once it is decided, whatever is counted afterwards;
+//   - from the first window on, every window is reported, also one without counts.
+type State struct {
+	windows    map[int64]*window
+	writers    map[string]int64 // sequence number of the last applied record, by writer
+	started    bool             // first is set
+	first      int64            // first window that is reported
+	oldestKept int64            // windows before it have been dropped
 }
 
+// window is the state of one window.
 type window struct {
 	counts map[string]int
-	report map[string]int // nil until it is decided
-	sent   bool
+	report map[string]int // the decided counts, nil before the decision
+	sent   bool           // the platform accepted the report
 }
 
-// NewFold returns the state before the first record.
-func NewFold() *Fold {
-	return &Fold{windows: map[int64]*window{}, writers: map[string]int64{}}
+// NewState returns the state before the first record.
+func NewState() *State {
+	return &State{windows: map[int64]*window{}, writers: map[string]int64{}}
 }
 
-// Apply takes the next record.
-func (f *Fold) Apply(r Record) {
+// Apply applies the next record of the log.
+func (s *State) Apply(r Record) {
 	switch {
 	case r.Counted != nil:
-		f.counted(*r.Counted)
+		s.applyCounted(*r.Counted)
 	case r.Decided != nil:
-		f.decided(r.Decided.Report)
+		s.applyDecided(r.Decided.Report)
 	case r.Sent != nil:
-		if w := f.at(r.Sent.Window); w != nil {
+		if w := s.ensureWindow(r.Sent.Window); w != nil {
 			w.sent = true
 		}
 	}
 }
 
-func (f *Fold) counted(r Counted) {
-	if r.Number <= f.writers[r.Writer] {
-		return // a second copy
+func (s *State) applyCounted(r Counted) {
+	if r.Sequence <= s.writers[r.Writer] {
+		return // a copy of an applied record
 	}
-	f.writers[r.Writer] = r.Number
+	s.writers[r.Writer] = r.Sequence
 	for _, c := range r.Windows {
-		w := f.at(c.Window)
+		w := s.ensureWindow(c.Window)
 		if w == nil {
-			continue // too late for any report
+			continue // dropped: too late for the report
 		}
 		for customer, n := range c.Counts {
 			w.counts[customer] += n
@@ -61,8 +62,8 @@
 	}
 }
 
-func (f *Fold) decided(r WindowCounts) {
-	w := f.at(r.Window)
+func (s *State) applyDecided(r WindowCounts) {
+	w := s.ensureWindow(r.Window)
 	if w == nil || w.report != nil {
 		return
 	}
@@ -70,55 +71,56 @@
 	maps.Copy(w.report, r.Counts)
 }
 
-// at returns a window, which is known from then on; nil if it is forgotten.
-func (f *Fold) at(k int64) *window {
-	if k < f.floor {
+// ensureWindow returns window k, which it adds if necessary, or nil if it has been dropped.
+func (s *State) ensureWindow(k int64) *window {
+	if k < s.oldestKept {
 		return nil
 	}
-	f.Begin(k)
-	w := f.windows[k]
+	s.StartAt(k)
+	w := s.windows[k]
 	if w == nil {
 		w = &window{counts: map[string]int{}}
-		f.windows[k] = w
+		s.windows[k] = w
 	}
 	return w
 }
 
-// Begin has windows reported from this one on unless an earlier one is known. A fleet that
-// starts for the first time begins with the window of its start.
-func (f *Fold) Begin(k int64) {
-	if !f.known || k < f.first {
-		f.first = max(k, f.floor)
+// StartAt makes k the first window that is reported, unless an earlier one already is. When
+// a fleet starts for the first time, the window of its start is the first.
+func (s *State) StartAt(k int64) {
+	if !s.started || k < s.first {
+		s.first = max(k, s.oldestKept)
 	}
-	f.known = true
+	s.started = true
 }
 
-// Counts returns what was counted in a window so far.
-func (f *Fold) Counts(k int64) map[string]int {
-	if w := f.windows[k]; w != nil {
+// Counts returns the counts of window k so far, by customer.
+func (s *State) Counts(k int64) map[string]int {
+	if w := s.windows[k]; w != nil {
 		return maps.Clone(w.counts)
 	}
 	return map[string]int{}
 }
 
-// Report returns what is reported of a window; it reports false until that is decided.
-func (f *Fold) Report(k int64) (map[string]int, bool) {
-	if w := f.windows[k]; w != nil && w.report != nil {
+// Report returns the decided counts of window k, and false before the decision.
+func (s *State) Report(k int64) (map[string]int, bool) {
+	if w := s.windows[k]; w != nil && w.report != nil {
 		return maps.Clone(w.report), true
 	}
 	return nil, false
 }
 
-// Sent reports whether a window's report was taken.
-func (f *Fold) Sent(k int64) bool {
-	w := f.windows[k]
+// IsSent reports whether the platform accepted the report of window k.
+func (s *State) IsSent(k int64) bool {
+	w := s.windows[k]
 	return w != nil && w.sent
 }
 
-// LastSent returns the newest window whose report was taken, false if none was.
-func (f *Fold) LastSent() (int64, bool) {
+// LastSent returns the newest window whose report the platform accepted, and false if there
+// is none.
+func (s *State) LastSent() (int64, bool) {
 	sent := []int64{}
-	for k, w := range f.windows {
+	for k, w := range s.windows {
 		if w.sent {
 			sent = append(sent, k)
 		}
@@ -129,13 +131,13 @@
 	return slices.Max(sent), true
 }
 
-// Forget drops the windows before k. What is counted in them later doesn't show any more.
-func (f *Fold) Forget(k int64) {
-	for _, old := range slices.Collect(maps.Keys(f.windows)) {
+// DropBefore drops the windows before k. Later records on them are ignored.
+func (s *State) DropBefore(k int64) {
+	for _, old := range slices.Collect(maps.Keys(s.windows)) {
 		if old < k {
-			delete(f.windows, old)
+			delete(s.windows, old)
 		}
 	}
-	f.floor = max(f.floor, k)
-	f.first = max(f.first, f.floor)
+	s.oldestKept = max(s.oldestKept, k)
+	s.first = max(s.first, s.oldestKept)
 }
--- a/internal/usage/record.go
+++ b/internal/usage/record.go
@@ -1,31 +1,33 @@
 package usage
 
-// WindowCounts are requests that began to run in a window, by customer.
+// WindowCounts is the number of requests that started to run in a window, by customer.
 type WindowCounts struct {
 	Window int64          `cbor:"1,keyasint"`
 	Counts map[string]int `cbor:"2,keyasint"`
 }
 
-// Counted adds a daemon's counts.
+// Counted is a log record that adds the counts of one daemon.
 type Counted struct {
-	Writer string `cbor:"1,keyasint"` // unique to one start of a daemon
-	// Number grows with each of a writer's records. One whose append had no answer is
-	// appended again under its number before the next one is, and counts once.
-	Number  int64          `cbor:"2,keyasint"`
-	Windows []WindowCounts `cbor:"3,keyasint"`
+	Writer string `cbor:"1,keyasint"` // unique to one process of a daemon
+	// Sequence increases with each of a writer's records. A record whose append got no answer
+	// is appended again with the same sequence number, before the writer's next record, and
+	// counts once.
+	Sequence int64          `cbor:"2,keyasint"`
+	Windows  []WindowCounts `cbor:"3,keyasint"`
 }
 
-// Decided fixes what is reported of a window. The first one of a window counts.
+// Decided is a log record that fixes the counts that are reported for a window. The first
+// such record of a window is valid, later ones are ignored.
 type Decided struct {
 	Report WindowCounts `cbor:"1,keyasint"`
 }
 
-// Sent says that a window's report was taken.
+// Sent is a log record saying that the platform accepted the report of a window.
 type Sent struct {
 	Window int64 `cbor:"1,keyasint"`
 }
 
-// Record is what the log holds of usage. Exactly one field is set.
+// Record is a log record on usage. Exactly one field is set.
 type Record struct {
 	Counted *Counted `cbor:"1,keyasint,omitempty"`
 	Decided *Decided `cbor:"2,keyasint,omitempty"`
--- a/internal/usage/report.go
+++ b/internal/usage/report.go
@@ -2,102 +2,108 @@
 
 import "time"
 
-// Timing says when windows are reported.
+// Timing defines the windows and when they are reported.
 type Timing struct {
 	Windows Windows
-	// Due is how long after its end a window's report is wanted at the latest.
+	// Due is the longest allowed time from a window's end until its report arrives.
 	Due time.Duration
 }
 
 const (
-	// settleShare of Due is waited after a window's end for the counts that are on their
-	// way: a call ends within a second, and its count is in the log within FirstGap and an
-	// append's time after that, some hundred ms where the store is slow.
-	settleShare = 0.3
-	// lastShare of Due is when a window is decided although counts may still be missing,
-	// as those that daemons couldn't append in an outage. What is left is for the report
-	// and for a holder's loss.
-	lastShare = 0.7
-	// standInShare of Due is when another daemon than the holder begins to act; rankShare
-	// is between one such daemon and the next.
-	standInShare = 0.6
-	rankShare    = 0.03
-	// giveUpShare: a report so late is of no use to anybody.
-	giveUpShare = 3
-	// settleAfterOutage passes from the store's return until a window is decided: every
-	// daemon's counts come then, MaxGap after its last try at the latest.
-	settleAfterOutage = MaxGap + 600*time.Millisecond
+	// settleFraction of Due is the wait after a window's end until all daemons have appended
+	// their counts: a call ends within a second, and its count is in the log after at most
+	// MinAppendInterval and the duration of an append, some hundred ms with a slow store.
+	settleFraction = 0.3
+	// forceFraction of Due is the age at which a window is decided even if counts may be
+	// missing, such as those that daemons couldn't append during an outage of the store. The
+	// rest of Due is for sending the report and for replacing a holder that has failed.
+	forceFraction = 0.7
+	// A daemon of rank n > 0 acts on a window that isn't reported yet at an age of
+	// takeoverFraction + n*rankFraction of Due.
+	takeoverFraction = 0.6
+	rankFraction     = 0.03
+	// giveUpFactor times Due is the age at which a window is no longer reported: its report
+	// would be of no use.
+	giveUpFactor = 3
+	// outageSettleTime is the wait from the end of an outage of the store until a window is
+	// decided. Daemons append the counts of the outage in this time, at most
+	// MaxAppendInterval after their last failed append.
+	outageSettleTime = MaxAppendInterval + 600*time.Millisecond
 )
 
-// Situation is what a daemon knows besides the log when it looks what to do.
-type Situation struct {
+// Conditions are the inputs of NextAction that aren't in the log.
+type Conditions struct {
 	Now time.Time
-	// Current: the log was read to its end just now.
-	Current bool
-	// InContact is for how long the store has answered without an interruption.
-	InContact time.Duration
-	// Rank is the daemon's turn: 0 does the duty, higher ones stand in for the ones before.
+	// UpToDate says that the log has just been read to its end.
+	UpToDate bool
+	// ContactDuration is the time for which the store has answered without an interruption.
+	ContactDuration time.Duration
+	// Rank is the daemon's position among the candidates for the duty. Rank 0 performs it, a
+	// higher rank does so if all lower ones have failed to.
 	Rank int
 }
 
-// Step is what to do next.
-type Step interface{ step() }
+// Action is the next thing to do: a Decide, a Send or a Wait.
+type Action interface{ action() }
 
-// Decide: append a Decided record with these counts.
+// Decide says to append a Decided record with this report.
 type Decide struct{ Report WindowCounts }
 
-// Send this report, and append Sent if it is taken.
+// Send says to send this report, and to append a Sent record if the platform accepts it.
 type Send struct{ Report WindowCounts }
 
-// Wait: nothing is to be done now.
+// Wait says that there is nothing to do now.
 type Wait struct{}
 
-func (Decide) step() {}
-func (Send) step()   {}
-func (Wait) step()   {}
+func (Decide) action() {}
+func (Send) action()   {}
+func (Wait) action()   {}
 
-// Next returns what a daemon does about the oldest window that isn't reported.
-func (f *Fold) Next(t Timing, s Situation) Step {
-	if !f.known || !s.Current {
+// NextAction returns what to do about the oldest window that isn't reported yet.
+func (s *State) NextAction(t Timing, c Conditions) Action {
+	if !s.started || !c.UpToDate {
 		return Wait{}
 	}
-	oldest := max(f.first, t.Windows.Of(s.Now.Add(-t.share(giveUpShare)))-1)
-	for k := oldest; !t.Windows.End(k).After(s.Now); k++ {
-		age := s.Now.Sub(t.Windows.End(k))
-		if f.Sent(k) || age > t.share(giveUpShare) {
+	oldest := max(s.first, t.Windows.IndexAt(c.Now.Add(-t.dueFraction(giveUpFactor)))-1)
+	for k := oldest; !t.Windows.End(k).After(c.Now); k++ {
+		age := c.Now.Sub(t.Windows.End(k))
+		if s.IsSent(k) || age > t.dueFraction(giveUpFactor) {
 			continue
 		}
-		if age < t.turn(s.Rank) {
-			return Wait{} // and so for every younger one
+		if age < t.minAge(c.Rank) {
+			return Wait{} // all later windows are younger still
 		}
-		if report, ok := f.Report(k); ok {
+		if report, ok := s.Report(k); ok {
 			return Send{WindowCounts{Window: k, Counts: report}}
 		}
-		if t.settled(age, s.InContact) {
-			return Decide{WindowCounts{Window: k, Counts: f.Counts(k)}}
+		if t.countsSettled(age, c.ContactDuration) {
+			return Decide{WindowCounts{Window: k, Counts: s.Counts(k)}}
 		}
 		return Wait{}
 	}
 	return Wait{}
 }
 
-func (t Timing) share(of float64) time.Duration { return time.Duration(of * float64(t.Due)) }
+// dueFraction returns a fraction, or multiple, of Due.
+func (t Timing) dueFraction(f float64) time.Duration { return time.Duration(f * float64(t.Due)) }
 
-// turn is the age of a window from which a daemon of a rank acts.
-func (t Timing) turn(rank int) time.Duration {
+// minAge returns the age of an unreported window from which a daemon of a rank acts.
+func (t Timing) minAge(rank int) time.Duration {
 	if rank == 0 {
 		return 0
 	}
-	return t.share(standInShare + rankShare*float64(rank))
+	return t.dueFraction(takeoverFraction + rankFraction*float64(rank))
 }
 
-// settled reports whether a window's counts are in the log, as far as is worth waiting.
-func (t Timing) settled(age, inContact time.Duration) bool {
-	if age >= t.share(lastShare) {
+// countsSettled reports whether the counts of a window of this age are in the log, or are no
+// longer waited for.
+func (t Timing) countsSettled(age, contactDuration time.Duration) bool {
+	if age >= t.dueFraction(forceFraction) {
 		return true
 	}
-	return age >= t.share(settleShare) && inContact >= settleAfterOutage
+	return age >= t.dueFraction(settleFraction) && contactDuration >= outageSettleTime
 }
 
-// Keep is how long windows are kept: until their reports are given up.
-func (t Timing) Keep() time.Duration { return t.share(giveUpShare) + 2*t.Windows.Length }
+// Retention returns the age up to which windows are kept. It is above the age at which they
+// are no longer reported.
+func (t Timing) Retention() time.Duration { return t.dueFraction(giveUpFactor) + 2*t.Windows.Length }
--- a/internal/usage/window.go
+++ b/internal/usage/window.go
@@ -1,24 +1,25 @@
-// Package usage counts how many requests of each customer began to run, by windows of
-// time, and decides when which window is reported with which counts. It is pure: records,
-// views and time go in, counts and reports come out.
+// Package usage counts how many requests of each customer started to run in each time
+// window, and decides when a window is reported and with which counts. It does no I/O:
+// log records, the state and the time are inputs, counts and reports are outputs.
 //
-// # Who holds the truth
+// # Consistency of reports
 //
-// Each daemon counts what it sent and appends its counts to the log in small steps, so that
-// a daemon's loss takes a moment's counts along and not a window's. A window's report is
-// a record too, appended before it is sent for the first time: the first one of a window in
-// the log's order counts, whoever wrote it. So a report that is sent again, by the same
-// daemon or the next one, has the same counts word for word.
+// Each daemon counts the requests that it sent and appends its counts to the log at short
+// intervals, so that a daemon that dies loses a moment's counts and not a window's. The
+// report of a window is also a record, appended before the report is sent for the first
+// time. If the log has several reports of a window, the first in the log's order is valid,
+// whichever daemon appended it. A report that is sent again, by the same daemon or by its
+// successor, therefore has exactly the same counts.
 package usage
 
 import "time"
 
-// Windows divides time into windows of one length: window k begins k lengths after the
-// beginning of 1970.
+// Windows divides time into windows of equal length. Window k starts k lengths after the
+// start of 1970, the Unix epoch.
 type Windows struct{ Length time.Duration }
 
-// Of returns the window of a moment.
-func (w Windows) Of(t time.Time) int64 {
+// IndexAt returns the number of the window that contains t.
+func (w Windows) IndexAt(t time.Time) int64 {
 	n := t.UnixNano()
 	k := n / int64(w.Length)
 	if n%int64(w.Length) < 0 {
@@ -27,5 +28,5 @@
 	return k
 }
 
-// End returns when a window ends.
+// End returns when window k ends.
 func (w Windows) End(k int64) time.Time { return time.Unix(0, (k+1)*int64(w.Length)) }
