--- a/internal/duties/caller.go
+++ b/internal/duties/caller.go
@@ -8,18 +8,19 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// caller makes a duty's calls, each under a claim of its own.
-type caller struct {
-	options    Options
-	unanswered atomic.Bool // the last call was
+// fencedCaller makes the duties' calls to the platform, each under its own claim.
+type fencedCaller struct {
+	options        Options
+	lastUnanswered atomic.Bool // the last call got no answer
 }
 
-// do claims a duty and makes a call under the claim. It reports false if none was made.
-func (c *caller) do(ctx context.Context, duty string, call func(context.Context, Call) (Outcome, error)) (o Outcome, fence int64, made bool) {
+// claimAndCall claims a duty and makes a call under the claim. It returns the call's outcome
+// and the claim's fencing token. made is false if no call was made.
+func (c *fencedCaller) claimAndCall(ctx context.Context, duty string, call func(context.Context, Call) (Outcome, error)) (o Outcome, fence int64, made bool) {
 	log := c.options.Logger
-	if c.unanswered.Load() && !c.options.Platform.Reachable(ctx) {
-		// The way to the platform may be cut for this daemon alone. Its claims would bar
-		// those that could stand in.
+	if c.lastUnanswered.Load() && !c.options.Platform.Reachable(ctx) {
+		// The platform may be unreachable for this daemon alone. Its claims would block the
+		// standbys that could make the call.
 		log.Info().Str("duty", duty).Msg("platform not reached, duty left to others")
 		return Unknown, 0, false
 	}
@@ -29,38 +30,39 @@
 		return Unknown, 0, false
 	}
 	if c.options.Now() >= permit.Until {
-		log.Warn().Str("duty", duty).Int64("fence", permit.Fence).Msg("claim too old for a call")
+		log.Warn().Str("duty", duty).Int64("fence", permit.Fence).Msg("claim expired before the call")
 		return Unknown, 0, false
 	}
 	began := c.options.Now()
 	o, err = call(ctx, Call{Holder: c.options.VM, Fence: permit.Fence})
-	c.unanswered.Store(o == Unknown)
-	line := log.Info()
+	c.lastUnanswered.Store(o == Unknown)
+	event := log.Info()
 	if o != Done {
-		line = log.Warn().Err(err)
+		event = log.Warn().Err(err)
 	}
-	line.Str("duty", duty).Int64("fence", permit.Fence).Str("outcome", o.String()).Dur("took", c.options.Now()-began).Msg("duty's call ended")
+	event.Str("duty", duty).Int64("fence", permit.Fence).Str("outcome", o.String()).Dur("took", c.options.Now()-began).Msg("duty's call ended")
 	return o, permit.Fence, true
 }
 
-// rest waits after a step that failed, until a claim may be written again. All that stand in
-// wait for the same moment; the holder goes first, or it would lose the duty for as long as a
-// claim bars others to whoever happens to look just then.
-func (c *caller) rest(ctx context.Context, duty string, rank int) {
+// waitToRetry waits after a failed action until this daemon may claim the duty again. Another
+// daemon's claim ends at the same time for all candidates. Rank 0 retries first: if a standby
+// claimed the duty first, its claim would block the holder in turn.
+func (c *fencedCaller) waitToRetry(ctx context.Context, duty string, rank int) {
 	wait := c.options.Claims.Barred(duty)
 	if wait > 0 {
-		wait += time.Duration(rank) * rankRest
+		wait += time.Duration(rank) * rankDelay
 	}
-	pause.For(ctx, max(min(wait, maxRest), stepPause))
+	pause.For(ctx, max(min(wait, maxClaimWait), minRetryDelay))
 }
 
-// maxRest bounds a wait: a daemon that can't read the claims' log doesn't know for how long
-// it is barred. It is above what a claim bars others for with the usual lease of 3 s.
-const maxRest = 5 * time.Second
+// maxClaimWait limits the wait for the end of another daemon's claim: a daemon that can't
+// read the claims' log doesn't know when the claim ends. It is above the time for which a
+// claim blocks other daemons with the usual lease of 3 s.
+const maxClaimWait = 5 * time.Second
 
-// rankRest is between the tries of one rank and the next: above turnLook.
-const rankRest = 300 * time.Millisecond
+// rankDelay is the time between the retries of two successive ranks. It is above pollInterval.
+const rankDelay = 300 * time.Millisecond
 
-// stepPause follows a step that failed: a claim that was refused, a call without an
-// answer. Reports have some seconds.
-const stepPause = 400 * time.Millisecond
+// minRetryDelay is the shortest wait after a failed action, such as a refused claim or a call
+// without an answer. Reports have some seconds.
+const minRetryDelay = 400 * time.Millisecond
--- a/internal/duties/counts.go
+++ b/internal/duties/counts.go
@@ -18,8 +18,8 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/usage"
 )
 
-// countsBackoff is the pause after appends of counts that failed.
-var countsBackoff = retry.Backoff{First: 100 * time.Millisecond, Max: 800 * time.Millisecond}
+// appendBackoff is the delay after failed appends of counts.
+var appendBackoff = retry.Backoff{First: 100 * time.Millisecond, Max: 800 * time.Millisecond}
 
 var (
 	requestsCounted = metrics.Counter("usage_requests_counted")
@@ -30,47 +30,48 @@
 // CountsOptions of Counts.
 type CountsOptions struct {
 	Log    store.Log
-	Usage  *usage.Timing        // nil: nothing is counted
-	Now    func() time.Duration // a clock that goes on while the VM is suspended
-	Clock  func() time.Time     // the time of day
+	Usage  *usage.Timing        // the windows and their retention, nil: nothing is counted
+	Now    func() time.Duration // monotonic clock, also advances while the VM is suspended
+	Clock  func() time.Time     // wall clock
 	Logger zerolog.Logger
 }
 
-// Counts counts the requests of customers that this daemon had upstreams begin, and writes
-// the counts down. It is safe for concurrent use.
+// Counts counts the customers' requests that upstreams started to run for this daemon, and
+// appends the counts to the duties' log. It is safe for concurrent use.
 type Counts struct {
 	options CountsOptions
-	writer  string
-	ready   chan struct{}
+	writer  string        // identifies this process in the log
+	ready   chan struct{} // receives a value when there are new counts
 
 	mu      sync.Mutex
 	counter *usage.Counter
-	idle    chan struct{} // closed while everything is written down
+	flushed chan struct{} // closed while all counts are in the log
 
 	// Used by Run alone.
-	number      int64    // of the last record
-	unconfirmed []record // not known to be in the log, oldest first
+	sequence    int64               // of the last record
+	unconfirmed []unconfirmedRecord // oldest first
 }
 
-// NewCounts returns Counts without a count.
+// NewCounts returns a Counts that has counted nothing.
 func NewCounts(o CountsOptions) *Counts {
-	c := &Counts{options: o, writer: uuid.NewString(), ready: make(chan struct{}, 1), idle: make(chan struct{})}
-	close(c.idle)
+	c := &Counts{options: o, writer: uuid.NewString(), ready: make(chan struct{}, 1), flushed: make(chan struct{})}
+	close(c.flushed)
 	if o.Usage != nil {
 		c.counter = usage.NewCounter(o.Usage.Windows)
 	}
 	return c
 }
 
-// Began counts a request of a customer that began to run so long ago. It doesn't wait.
+// Began counts a request of a customer. ago is the time since the request started to run. It
+// doesn't block.
 func (c *Counts) Began(customer string, ago time.Duration) {
 	if c.counter == nil {
 		return
 	}
 	requestsCounted.Add(1)
 	c.mu.Lock()
-	if c.counter.Empty() && isClosed(c.idle) {
-		c.idle = make(chan struct{})
+	if c.counter.Empty() && isClosed(c.flushed) {
+		c.flushed = make(chan struct{})
 	}
 	c.counter.Add(customer, c.options.Clock().Add(-ago))
 	c.mu.Unlock()
@@ -91,7 +92,7 @@
 
 // Run appends counts until the context ends.
 func (c *Counts) Run(ctx context.Context) {
-	var pace usage.AppendPacer
+	var pacer usage.AppendPacer
 	for failures := 0; ; {
 		if len(c.unconfirmed) == 0 {
 			select {
@@ -100,58 +101,59 @@
 			case <-c.ready:
 			}
 		}
-		wait := pace.NextStart() - c.options.Now()
-		pause.For(ctx, max(wait, countsBackoff.Pause(failures, rand.Float64())))
+		wait := pacer.NextStart() - c.options.Now()
+		pause.For(ctx, max(wait, appendBackoff.Pause(failures, rand.Float64())))
 		if ctx.Err() != nil {
 			return
 		}
-		c.take()
+		c.encodePending()
 		began := c.options.Now()
-		ok := c.append(ctx, failures+1)
-		pace.RecordAppend(began, ok)
+		ok := c.appendUnconfirmed(ctx, failures+1)
+		pacer.RecordAppend(began, ok)
 		failures++
 		if ok {
 			failures = 0
 		}
-		c.settle()
+		c.signalFlushed()
 	}
 }
 
-// record is one that may not be in the log yet.
-type record struct {
+// unconfirmedRecord is a record that isn't known to be in the log.
+type unconfirmedRecord struct {
 	data   []byte
-	newest int64 // window
+	newest int64 // newest window with counts in the record
 }
 
-// maxUnconfirmed bounds the records that wait for an answer. What is counted meanwhile goes
-// with the next try, as a record of its own: whether those before are in the log isn't
-// known, and behind one whose answer was lost all others would be late for their report.
+// maxUnconfirmed limits the records that await confirmation. The next append includes the
+// counts since the last one as a record of its own. They can't be added to an earlier record,
+// which may be in the log already, and if they waited until an append whose answer was lost
+// is confirmed, they would be too late for their report.
 const maxUnconfirmed = 16
 
-// take makes a record of what was counted since the last one.
-func (c *Counts) take() {
+// encodePending makes a record of the counts since the last record.
+func (c *Counts) encodePending() {
 	if len(c.unconfirmed) == maxUnconfirmed {
 		return
 	}
 	c.mu.Lock()
-	taken := c.counter.Take()
+	windows := c.counter.Take()
 	c.mu.Unlock()
-	if len(taken) == 0 {
+	if len(windows) == 0 {
 		return
 	}
-	c.number++
-	data, err := entry{Usage: &usage.Record{Counted: &usage.Counted{Writer: c.writer, Sequence: c.number, Windows: taken}}}.encode(c.options.Clock())
+	c.sequence++
+	data, err := logRecord{Usage: &usage.Record{Counted: &usage.Counted{Writer: c.writer, Sequence: c.sequence, Windows: windows}}}.encode(c.options.Clock())
 	if err != nil {
-		c.options.Logger.Error().Err(err).Int64("number", c.number).Msg("counts not encoded, lost")
+		c.options.Logger.Error().Err(err).Int64("number", c.sequence).Msg("counts lost: can't encode them")
 		return
 	}
-	c.unconfirmed = append(c.unconfirmed, record{data, taken[len(taken)-1].Window})
+	c.unconfirmed = append(c.unconfirmed, unconfirmedRecord{data, windows[len(windows)-1].Window})
 }
 
-// append tries once to get the records into the log. It reports false if they are wanted
-// there still.
-func (c *Counts) append(ctx context.Context, try int) bool {
-	c.dropOld()
+// appendUnconfirmed appends the unconfirmed records in one call. attempt counts from 1. It
+// reports false if the append must be repeated.
+func (c *Counts) appendUnconfirmed(ctx context.Context, attempt int) bool {
+	c.dropExpired()
 	if len(c.unconfirmed) == 0 {
 		return true
 	}
@@ -159,42 +161,45 @@
 	for _, r := range c.unconfirmed {
 		data = append(data, r.data)
 	}
-	_, err := store.AppendRepeatable(ctx, c.options.Log, topic, part, data, min(try, maxCountsTry))
+	_, err := store.AppendRepeatable(ctx, c.options.Log, topic, part, data, min(attempt, maxTimeoutAttempt))
 	if err == nil {
 		countsAppended.Add(1)
 		c.unconfirmed = nil
 		return true
 	}
 	countsFailed.Add(1)
-	c.line(err).Err(err).Int64("number", c.number).Int("records", len(data)).Int64("window", c.unconfirmed[0].newest).Int("try", try).Msg("counts not appended")
+	c.logEvent(err).Err(err).Int64("number", c.sequence).Int("records", len(data)).Int64("window", c.unconfirmed[0].newest).Int("try", attempt).Msg("counts not appended")
 	if errors.Is(err, store.ErrRejected) {
-		c.options.Logger.Error().Int64("number", c.number).Int("records", len(data)).Msg("counts lost: the store won't take them")
+		c.options.Logger.Error().Int64("number", c.sequence).Int("records", len(data)).Msg("counts lost: the store won't take them")
 		c.unconfirmed = nil
 		return true
 	}
 	return false
 }
 
-// maxCountsTry keeps the wait for an answer short: the next try takes newer counts along.
-const maxCountsTry = 2
+// maxTimeoutAttempt is the last attempt that doubles the timeout of an append. It keeps the
+// timeout short, because the next attempt also appends the counts made in the meantime.
+const maxTimeoutAttempt = 2
 
-func (c *Counts) line(err error) *zerolog.Event {
+// logEvent returns a log line for a failed append. Its level is info if the store refused the
+// append, and warn otherwise.
+func (c *Counts) logEvent(err error) *zerolog.Event {
 	if errors.Is(err, store.ErrNotDone) {
 		return c.options.Logger.Info()
 	}
 	return c.options.Logger.Warn()
 }
 
-// dropOld forgets what belongs to windows that nobody reports any more: in an outage of hours
-// it would grow without bound.
-func (c *Counts) dropOld() {
+// dropExpired drops the counts of windows that are no longer reported. Without it, counts
+// would accumulate without bound during an outage of hours.
+func (c *Counts) dropExpired() {
 	now := c.options.Clock()
-	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r record) bool {
-		old := now.Sub(c.options.Usage.Windows.End(r.newest)) > c.options.Usage.Retention()
-		if old {
+	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r unconfirmedRecord) bool {
+		expired := now.Sub(c.options.Usage.Windows.End(r.newest)) > c.options.Usage.Retention()
+		if expired {
 			c.options.Logger.Error().Int64("window", r.newest).Msg("counts lost: too late for their report")
 		}
-		return old
+		return expired
 	})
 	c.mu.Lock()
 	dropped := c.counter.DropBefore(c.options.Usage.Windows.IndexAt(now.Add(-c.options.Usage.Retention())))
@@ -204,23 +209,23 @@
 	}
 }
 
-// settle tells those that wait for everything to be written down.
-func (c *Counts) settle() {
+// signalFlushed closes flushed if all counts are in the log.
+func (c *Counts) signalFlushed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.counter.Empty() && len(c.unconfirmed) == 0 && !isClosed(c.idle) {
-		close(c.idle)
+	if c.counter.Empty() && len(c.unconfirmed) == 0 && !isClosed(c.flushed) {
+		close(c.flushed)
 	}
 }
 
-// Drain waits until everything is written down, or the context ends.
+// Drain waits until Run has appended all counts, or the context ends.
 func (c *Counts) Drain(ctx context.Context) {
 	c.mu.Lock()
-	idle := c.idle
+	flushed := c.flushed
 	c.mu.Unlock()
 	select {
-	case <-idle:
+	case <-flushed:
 	case <-ctx.Done():
-		c.options.Logger.Warn().Msg("counts of usage not written down before the end")
+		c.options.Logger.Warn().Msg("usage counts not appended before the shutdown timeout")
 	}
 }
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -1,15 +1,16 @@
-// Package duties does what one daemon at a time has to do for the whole fleet: it reports
-// the customers' usage and orders servers. What is done, packages usage and scaling decide;
-// here are the claims under which calls leave, the log that is read and written, and the
-// calls.
+// Package duties performs the duties, the tasks that one daemon at a time performs for the
+// whole fleet: it reports the customers' usage to the platform and orders servers. Packages
+// usage and scaling decide what to report and to order; this package reads and writes the
+// duties' log, claims a duty before each call, and makes the calls.
 //
 // # One holder at a time
 //
-// A daemon's turn follows from the partitions that it owns: the owner of the last one does
-// the duties, the owners of those before stand in for it when something is overdue. That is
-// an optimisation. What keeps two daemons apart is the claim before each call: its offset in
-// the log is the call's fencing number, and it bars all others until nothing that was sent
-// under it can arrive. Whoever can't write a claim sends nothing.
+// A daemon's rank follows from the partitions that it owns. The owner of the last partition
+// has rank 0 and performs the duties; the owners of the partitions before it are standbys,
+// which act when something is overdue. Ranks are an optimisation: what excludes concurrent
+// calls of two daemons is the claim before each call. The claim's offset in the log is the
+// call's fencing token, and the claim blocks all other daemons until no call made under it
+// can still arrive. A daemon that can't append a claim makes no call.
 package duties
 
 import (
@@ -28,93 +29,95 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/usage"
 )
 
-// Outcome is what became of a call to the platform.
+// Outcome is the result of a call to the platform.
 type Outcome int
 
 // The outcomes.
 const (
-	Unknown     Outcome = iota // no answer: it may be carried out, also later
-	Done                       // carried out
-	Fenced                     // a higher fencing number was seen
-	Refused                    // too many calls at this moment, nothing was done
-	Rejected                   // the call makes no sense to the platform
-	Unavailable                // no server of the kind is to be had there now
+	Unknown     Outcome = iota // no answer: the call may have taken effect, or may still do so
+	Done                       // the call took effect
+	Fenced                     // refused, the platform has seen a higher fencing token
+	Refused                    // refused by the platform's rate limit, without effect
+	Rejected                   // the platform considers the call invalid
+	Unavailable                // no server of this kind is available in the data centre now
 )
 
-// String names the outcome for log lines.
+// String returns the outcome's name for log lines.
 func (o Outcome) String() string {
 	return [...]string{"unknown", "done", "fenced", "refused", "rejected", "unavailable"}[o]
 }
 
-// Call is under which claim a call leaves.
+// Call identifies the claim under which a call is made.
 type Call struct {
 	Holder string // this VM
-	Fence  int64  // fencing number
+	Fence  int64  // fencing token of the claim
 }
 
-// Platform takes the duties' calls.
+// Platform is the API of the platform that the duties call.
 type Platform interface {
-	// ReportUsage reports a window. An exact copy of a report is taken again.
+	// ReportUsage reports the counts of a window. The platform accepts an identical report
+	// more than once.
 	ReportUsage(ctx context.Context, c Call, report usage.WindowCounts) (Outcome, error)
-	// Scale orders servers of a service.
+	// Scale orders servers of a service. The order's count includes the existing servers.
 	Scale(ctx context.Context, c Call, service string, o scaling.Order) (Outcome, error)
-	// Reachable reports whether anything listens at the platform's address.
+	// Reachable reports whether the platform's address accepts connections.
 	Reachable(ctx context.Context) bool
 }
 
-// Claims are written before calls leave.
+// Claims claims duties for this VM, each before a call.
 type Claims interface {
-	// Claim claims a duty for this VM. An error means that nothing may leave.
+	// Claim claims a duty for this VM. After an error no call may be made.
 	Claim(ctx context.Context, duty string) (loads.Permit, error)
-	// Barred is how long another VM's claim still bars this one, 0: it doesn't.
+	// Barred returns how long another VM's claim still blocks this VM, 0 if none does.
 	Barred(duty string) time.Duration
 }
 
-// Turn tells a daemon's rank for the duties: 0 does them, higher ones stand in. It reports
-// false for a daemon that has no turn.
+// Turn returns a daemon's rank. Rank 0 performs the duties, higher ranks are standbys. ok is
+// false for a daemon that isn't a candidate.
 type Turn func() (rank int, ok bool)
 
 // Options of a Service.
 type Options struct {
-	VM       string
+	VM       string // this VM's name
 	Log      store.Log
 	Claims   Claims
-	Turn     Turn
+	Turn     Turn // this daemon's rank
 	Platform Platform
-	// Usage says when windows are reported, nil if that is no duty here.
+	// Usage defines the windows that are reported. nil: usage isn't reported.
 	Usage *usage.Timing
-	// Scaled returns the services whose servers may be ordered, nil if that is no duty here.
+	// Scaled returns the services whose servers may be ordered. nil: none are.
 	Scaled func() []Scaled
-	// Hold keeps every upstream known while it may be this daemon's turn, nil: they are.
+	// Hold, if set, makes the daemon follow the platform's list of upstreams until release is
+	// called. It is held while the daemon is a candidate. nil: the list is always followed.
 	Hold   func() (release func())
-	Now    func() time.Duration // a clock that goes on while the VM is suspended
-	Clock  func() time.Time     // the time of day
+	Now    func() time.Duration // monotonic clock, also advances while the VM is suspended
+	Clock  func() time.Time     // wall clock
 	Logger zerolog.Logger
 }
 
 // task is one duty.
 type task interface {
-	// act does what is due now for a daemon of this rank.
-	act(ctx context.Context, rank int)
+	// runDue does what is due now for a daemon of this rank.
+	runDue(ctx context.Context, rank int)
 }
 
-// Service does the duties of a daemon. It is safe for concurrent use.
+// Service performs the duties in one daemon. It is safe for concurrent use.
 type Service struct {
 	options Options
 	view    *view
 	tasks   []task
 
 	mu   sync.Mutex
-	rank int // noCandidate: it isn't this daemon's turn
+	rank int // this daemon's rank, or notCandidate
 }
 
-// noCandidate is the rank of a daemon that isn't one.
-const noCandidate = -1
+// notCandidate is the rank of a daemon that isn't a candidate.
+const notCandidate = -1
 
 // New returns a Service.
 func New(o Options) *Service {
-	s := &Service{options: o, view: newView(o), rank: noCandidate}
-	calls := &caller{options: o}
+	s := &Service{options: o, view: newView(o), rank: notCandidate}
+	calls := &fencedCaller{options: o}
 	if o.Usage != nil {
 		s.tasks = append(s.tasks, &reporter{options: o, view: s.view, caller: calls})
 	}
@@ -124,25 +127,26 @@
 	return s
 }
 
-// turnLook is between two looks whose turn it is and what is due. Windows last seconds.
-const turnLook = 250 * time.Millisecond
+// pollInterval is the time between two checks of the rank and of what is due. Windows last
+// seconds.
+const pollInterval = 250 * time.Millisecond
 
-// Run does the duties whenever it is this daemon's turn, until the context ends.
+// Run performs the duties whenever this daemon is a candidate, until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	for ctx.Err() == nil && len(s.tasks) > 0 {
-		if !s.candidate() {
-			pause.For(ctx, turnLook)
+		if !s.updateRank() {
+			pause.For(ctx, pollInterval)
 			continue
 		}
-		s.session(ctx)
+		s.runWhileCandidate(ctx)
 	}
 }
 
-// candidate renews the rank and reports whether there is one.
-func (s *Service) candidate() bool {
+// updateRank updates the rank and reports whether this daemon is a candidate.
+func (s *Service) updateRank() bool {
 	rank, ok := s.options.Turn()
 	if !ok {
-		rank = noCandidate
+		rank = notCandidate
 	}
 	s.mu.Lock()
 	changed := s.rank != rank
@@ -160,10 +164,10 @@
 	return s.rank
 }
 
-// session follows the log and does what is due until this daemon is no candidate any more.
-// Each duty has its own loop: a platform that is slow to take a report doesn't hold an order
-// up.
-func (s *Service) session(ctx context.Context) {
+// runWhileCandidate follows the log and does what is due until this daemon is no longer a
+// candidate. Each duty has its own loop, so that a platform that is slow to answer a report
+// doesn't delay an order.
+func (s *Service) runWhileCandidate(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	if s.options.Hold != nil && s.options.Scaled != nil {
 		defer s.options.Hold()()
@@ -172,27 +176,29 @@
 	work.Go(func() { s.view.follow(ctx) })
 	for _, t := range s.tasks {
 		work.Go(func() {
-			pause.Every(ctx, turnLook, func() {
-				if rank := s.currentRank(); rank != noCandidate && s.view.follower.Loaded() {
-					t.act(ctx, rank)
+			pause.Every(ctx, pollInterval, func() {
+				if rank := s.currentRank(); rank != notCandidate && s.view.follower.Loaded() {
+					t.runDue(ctx, rank)
 				}
 			})
 		})
 	}
-	for ctx.Err() == nil && s.candidate() {
-		pause.For(ctx, turnLook)
+	for ctx.Err() == nil && s.updateRank() {
+		pause.For(ctx, pollInterval)
 	}
 	cancel()
 	work.Wait()
 }
 
-// Candidates is how many daemons read what a duty needs, so that they can stand in at once:
-// the owners of so many partitions.
+// Candidates is the number of partitions whose owners are candidates. A candidate follows
+// what the duties need, so that it can take over at once.
 const Candidates = 6
 
-// ByPartition is a daemon's turn by the partitions that it owns: 0 for the owner of the last
-// one, and none beyond so many candidates. Models get the first partitions, so that the
-// duties are mostly done by a daemon without samples to run.
+// ByPartition returns a Turn that ranks daemons by the partitions that they own. The owner of
+// the last of parts partitions has rank 0, the owner of the one before it rank 1, and so on.
+// The owners of the last candidates partitions are the candidates. Ranks start at the last
+// partition because models are assigned the first ones, so that mostly a daemon without
+// samples to run performs the duties.
 func ByPartition(owns func() []int, parts, candidates int) Turn {
 	return func() (rank int, ok bool) {
 		rank = parts
@@ -203,23 +209,24 @@
 	}
 }
 
-// State is what operators see of the duties.
+// State is the state of the duties that operators see.
 type State struct {
-	Rank int // -1: this daemon has no turn
-	// LastWindow is the newest window whose report was taken, by this daemon's view; 0: none.
+	Rank int // this daemon's rank, -1 if it isn't a candidate
+	// LastWindow is the newest window whose report the platform accepted, as far as this
+	// daemon has read the log. 0: none.
 	LastWindow int64
-	Names      []string // of the duties in claims
+	Names      []string // the duties' names in claims
 	Servers    []ServersState
 }
 
-// ServersState is a service's servers in one data centre.
+// ServersState describes a service's servers in one data centre.
 type ServersState struct {
 	Service, DataCentre string
 	There               scaling.Servers
-	Ordered             int // spot servers, by the last order that is known here; -1: none is
+	Ordered             int // count of the last order of spot servers known here, -1 if none is
 }
 
-// State tells how this daemon stands to the duties.
+// State returns the state of the duties as this daemon knows it.
 func (s *Service) State() State {
 	out := State{Rank: s.currentRank()}
 	s.view.mu.Lock()
@@ -233,11 +240,11 @@
 	if s.options.Scaled == nil {
 		return out
 	}
-	for _, x := range s.options.Scaled() {
-		for _, dc := range slices.Sorted(maps.Keys(x.Market.Prices)) {
-			out.Names = append(out.Names, scalingDuty(x.Service, dc))
-			state := ServersState{Service: x.Service, DataCentre: dc, There: x.There[dc], Ordered: -1}
-			if count, ok := s.view.ledgerLocked(x.Service).Last(scaling.Key{DataCentre: dc, Spot: true}); ok {
+	for _, service := range s.options.Scaled() {
+		for _, dc := range slices.Sorted(maps.Keys(service.Market.Prices)) {
+			out.Names = append(out.Names, scalingDuty(service.Service, dc))
+			state := ServersState{Service: service.Service, DataCentre: dc, There: service.There[dc], Ordered: -1}
+			if count, ok := s.view.plannerLocked(service.Service).Last(scaling.Key{DataCentre: dc, Spot: true}); ok {
 				state.Ordered = count
 			}
 			out.Servers = append(out.Servers, state)
--- a/internal/duties/duties_test.go
+++ b/internal/duties/duties_test.go
@@ -35,169 +35,175 @@
 	NewWithT(t).Expect([]any{rank, ok}).To(Equal([]any{0, true}), "a store with one partition")
 }
 
-// play runs a fleet for 60 s with some calls a second, does what the trouble does, and
-// returns the windows that are right among those that ended between 10 s and 45 s.
-func play(t *testing.T, o dutyapi.Options, every time.Duration, trouble func(*world)) (right, all int) {
+// runWithFault runs a fleet for 60 s with calls at random intervals of this mean, injects a
+// fault at 12 s, and returns how many of the windows that ended between 10 s and 45 s were
+// reported correctly.
+func runWithFault(t *testing.T, o dutyapi.Options, meanInterval time.Duration, fault func(*testCluster)) (correct, all int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6, o)
-		w.bootAll()
+		cluster := newTestCluster(t, 6, o)
+		cluster.startAllDaemons()
 		var work sync.WaitGroup
-		work.Go(func() { w.calls(1, every, 45*time.Second) })
+		work.Go(func() { cluster.generateCalls(1, meanInterval, 45*time.Second) })
 		time.Sleep(12 * time.Second)
-		trouble(w)
+		fault(cluster)
 		work.Wait()
-		time.Sleep(60*time.Second - w.now())
-		w.promises()
-		right, all = w.right(10*time.Second, 45*time.Second)
-		w.killAll()
-		time.Sleep(time.Minute) // until all that is under way has ended
+		time.Sleep(60*time.Second - cluster.now())
+		cluster.expectNoViolations()
+		correct, all = cluster.correctReports(10*time.Second, 45*time.Second)
+		cluster.killAllDaemons()
+		time.Sleep(time.Minute) // until all goroutines have ended
 	})
-	return right, all
+	return correct, all
 }
 
-const usual = 60 * time.Millisecond
+const callInterval = 60 * time.Millisecond
 
-// One daemon reports each window once, complete and in time, whoever counted.
-func TestEachWindowIsReported(t *testing.T) {
-	right, all := play(t, dutyapi.Options{RequireFence: true}, usual, func(*world) {})
-	NewWithT(t).Expect(right).To(Equal(all))
+// Each window is reported once, complete and in time, although all daemons count.
+func TestAllWindowsAreReported(t *testing.T) {
+	correct, all := runWithFault(t, dutyapi.Options{RequireFence: true}, callInterval, func(*testCluster) {})
+	NewWithT(t).Expect(correct).To(Equal(all))
 }
 
-// Nobody calls at all. The windows are reported as empty.
-func TestWindowsWithoutCalls(t *testing.T) {
-	right, all := play(t, dutyapi.Options{RequireFence: true}, time.Hour, func(*world) {})
-	NewWithT(t).Expect(right).To(Equal(all))
+// There are no calls at all. The windows are reported as empty.
+func TestWindowsWithoutCallsAreReported(t *testing.T) {
+	correct, all := runWithFault(t, dutyapi.Options{RequireFence: true}, time.Hour, func(*testCluster) {})
+	NewWithT(t).Expect(correct).To(Equal(all))
 }
 
-// What may happen to the daemon that reports. Whatever it is, no window has two reports, no
-// two daemons use one number or take turns within the lease, and each window is in time and
-// complete, but for those that the story excuses.
-func TestHolderInTrouble(t *testing.T) {
+// Failures of the daemon that reports, of the store and of the platform. During each of them,
+// no window may have two different reports, no two daemons may use the same fencing token or
+// act in alternation within the lease, and each window must be complete and in time, but for
+// a number of windows that the failure may affect.
+func TestReportsDuringFailures(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		excused int // windows that may be missing or wrong
-		trouble func(*world)
+		name         string
+		maxIncorrect int // windows that may be missing or wrong
+		inject       func(*testCluster)
 	}{
-		// The next owner of the partition reports what the log holds. A killed daemon's
-		// counts of the last moment may be lost with it.
-		{"killed", 1, func(w *world) { w.kill(w.holder()) }},
-		{"killed and back", 1, func(w *world) {
-			v := w.holder()
-			w.kill(v)
+		// The next owner of the partition reports what is in the log. The counts of the last
+		// moment may be lost with the killed daemon.
+		{"holder killed", 1, func(c *testCluster) { c.killDaemon(c.holder()) }},
+		{"holder killed and restarted", 1, func(c *testCluster) {
+			v := c.holder()
+			c.killDaemon(v)
 			time.Sleep(500 * time.Millisecond)
-			w.boot(v)
+			c.startDaemon(v)
 		}},
-		{"killed three times running", 3, func(w *world) {
+		{"holder killed three times in a row", 3, func(c *testCluster) {
 			for range 3 {
-				v := w.holder()
-				w.kill(v)
+				v := c.holder()
+				c.killDaemon(v)
 				time.Sleep(4 * time.Second)
-				w.boot(v)
+				c.startDaemon(v)
 			}
 		}},
-		// The store refuses the holder alone. Another daemon owns its partition after the
-		// member's timeout; the holder can't write a claim, so it sends nothing. What it
-		// counts meanwhile comes too late for one window.
-		{"refused by the store", 2, func(w *world) { storeFaults([]*vm{w.holder()}, refusing, 8*time.Second) }},
-		{"cut off from the store", 2, func(w *world) { storeFaults([]*vm{w.holder()}, metastore.Faults{Cut: true}, 8*time.Second) }},
-		// The platform doesn't answer the holder, the store does: it stays the owner. Its
-		// stand-ins report.
-		{"cut off from the platform", 0, func(w *world) {
-			platformFaults([]*vm{w.holder()}, dutyapi.Faults{Cut: true}, 20*time.Second)
+		// The store refuses calls of the holder only. Another daemon owns the holder's
+		// partition after the membership timeout. The holder can't append a claim, so it sends
+		// nothing. What it counts in the meantime is too late for one window.
+		{"holder refused by the store", 2, func(c *testCluster) { injectStoreFaults([]*testVM{c.holder()}, storeRefuses, 8*time.Second) }},
+		{"holder cut off from the store", 2, func(c *testCluster) {
+			injectStoreFaults([]*testVM{c.holder()}, metastore.Faults{Cut: true}, 8*time.Second)
 		}},
-		// The holder stands still between the look at its claim and the call, for longer
-		// than the claim bars others, and goes on.
-		{"standing still before a call", 0, func(w *world) {
+		// The holder reaches the store but not the platform, so it keeps its partition. The
+		// standbys report.
+		{"holder cut off from the platform", 0, func(c *testCluster) {
+			injectPlatformFaults([]*testVM{c.holder()}, dutyapi.Faults{Cut: true}, 20*time.Second)
+		}},
+		// The holder is suspended between the check of its claim and the call, for longer than
+		// the claim blocks other daemons, and then continues.
+		{"holder suspended before a call", 0, func(c *testCluster) {
 			var once sync.Once
-			w.holder().platform.SetFaults(dutyapi.Faults{Hold: func() { once.Do(func() { time.Sleep(6 * time.Second) }) }})
+			c.holder().platform.SetFaults(dutyapi.Faults{Hold: func() { once.Do(func() { time.Sleep(6 * time.Second) }) }})
 		}},
-		// Calls aren't answered and are carried out seconds later, when others act.
-		{"calls carried out late", 0, func(w *world) {
-			throw := dice(1)
-			platformFaults(w.vms, dutyapi.Faults{Late: func() time.Duration {
-				if throw(2) == 0 {
+		// Calls get no answer and are carried out seconds later, when other daemons act.
+		{"calls carried out late", 0, func(c *testCluster) {
+			random := newRandom(1)
+			injectPlatformFaults(c.vms, dutyapi.Faults{Late: func() time.Duration {
+				if random(2) == 0 {
 					return 0
 				}
-				return time.Duration(2+throw(5)) * time.Second
+				return time.Duration(2+random(5)) * time.Second
 			}}, 30*time.Second)
 		}},
-		{"the platform refuses for a while", 0, func(w *world) { platformFaults(w.vms, dutyapi.Faults{Refuse: true}, 4*time.Second) }},
-		{"the platform is slow", 0, func(w *world) { platformFaults(w.vms, dutyapi.Faults{Latency: 600 * time.Millisecond}, 30*time.Second) }},
-		// The platform is away for all. Reports come late for the windows that were due
-		// meanwhile, and never twice.
-		{"the platform is away", 2, func(w *world) { platformFaults(w.vms, dutyapi.Faults{Cut: true}, 15*time.Second) }},
-		// The store is away for everybody. Counts wait in the daemons.
-		{"the store is away", 0, func(w *world) { storeFaults(w.vms, refusing, 5*time.Second) }},
-		{"the store's answers are lost", 0, func(w *world) {
-			throw := dice(5)
-			storeFaults(w.vms, metastore.Faults{Latency: storeAnswer, LoseAnswer: func() bool { return throw(3) == 0 }}, 8*time.Second)
+		{"platform refuses calls", 0, func(c *testCluster) { injectPlatformFaults(c.vms, dutyapi.Faults{Refuse: true}, 4*time.Second) }},
+		{"platform slow", 0, func(c *testCluster) {
+			injectPlatformFaults(c.vms, dutyapi.Faults{Latency: 600 * time.Millisecond}, 30*time.Second)
+		}},
+		// No daemon reaches the platform. The windows that were due meanwhile are reported
+		// late, and none is reported twice with different counts.
+		{"platform unreachable", 2, func(c *testCluster) { injectPlatformFaults(c.vms, dutyapi.Faults{Cut: true}, 15*time.Second) }},
+		// The store refuses all daemons. They keep their counts until it accepts them.
+		{"store refuses calls", 0, func(c *testCluster) { injectStoreFaults(c.vms, storeRefuses, 5*time.Second) }},
+		{"store's answers lost", 0, func(c *testCluster) {
+			random := newRandom(5)
+			injectStoreFaults(c.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return random(3) == 0 }}, 8*time.Second)
 		}},
-		// The log forgets its history: the next holder finds no counts of the window under
-		// way and can't make them up.
-		{"the store forgets and the holder is killed", 2, func(w *world) {
-			w.store.Trim("duties", 0, w.store.End("duties", 0))
-			w.kill(w.holder())
+		// The log is truncated: the next holder finds no counts of the current window and
+		// can't restore them.
+		{"log truncated and holder killed", 2, func(c *testCluster) {
+			c.store.Trim("duties", 0, c.store.End("duties", 0))
+			c.killDaemon(c.holder())
 		}},
-		// All partitions are dealt anew at one moment, without notice.
-		{"owners are dealt anew", 0, func(w *world) {
+		// All partitions get other owners at once, without notice.
+		{"partitions reassigned", 0, func(c *testCluster) {
 			for range 5 {
-				w.store.Redeal("batch-owners")
+				c.store.Redeal("batch-owners")
 				time.Sleep(2 * time.Second)
 			}
 		}},
-		// Every daemon is killed and back. The window's counts are in the log but for the
-		// last moment's.
-		{"all killed", 2, func(w *world) {
-			w.killAll()
+		// All daemons are killed and started again. The counts of the current window are in
+		// the log, except those of the last moment.
+		{"all daemons killed", 2, func(c *testCluster) {
+			c.killAllDaemons()
 			time.Sleep(time.Second)
-			w.bootAll()
+			c.startAllDaemons()
 		}},
 	} {
 		for _, fenced := range []bool{true, false} {
-			name := c.name + ", the platform checks fencing numbers"
+			name := c.name + ", the platform checks fencing tokens"
 			if !fenced {
-				name = c.name + ", it doesn't"
+				name = c.name + ", the platform doesn't check fencing tokens"
 			}
-			if !fenced && c.name == "standing still before a call" {
-				continue // a call that a process held back itself can't be stopped by us
+			if !fenced && c.name == "holder suspended before a call" {
+				continue // only the platform can reject a call that a suspended process sends later
 			}
 			if !fenced && c.name == "calls carried out late" {
-				continue // the platform's own delay, which its number would show
+				continue // the platform delays the calls itself, and only tokens show it their order
 			}
 			t.Run(name, func(t *testing.T) {
-				right, all := play(t, dutyapi.Options{RequireFence: fenced}, usual, c.trouble)
-				NewWithT(t).Expect(right).To(BeNumerically(">=", all-c.excused))
+				correct, all := runWithFault(t, dutyapi.Options{RequireFence: fenced}, callInterval, c.inject)
+				NewWithT(t).Expect(correct).To(BeNumerically(">=", all-c.maxIncorrect))
 			})
 		}
 	}
 }
 
-// A VM goes away in order while calls run. What it counted is written down before it ends:
-// every window stays complete.
-func TestLeavingDaemonWritesItsCountsDown(t *testing.T) {
+// A daemon is shut down while calls run. It appends its counts before it ends, so that every
+// window is complete.
+func TestDrainAppendsAllCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, dutyapi.Options{RequireFence: true})
-		w.bootAll()
+		cluster := newTestCluster(t, 4, dutyapi.Options{RequireFence: true})
+		cluster.startAllDaemons()
 		var work sync.WaitGroup
-		work.Go(func() { w.calls(2, 5*time.Millisecond, 40*time.Second) })
+		work.Go(func() { cluster.generateCalls(2, 5*time.Millisecond, 40*time.Second) })
 		time.Sleep(12 * time.Second)
-		for _, v := range w.vms {
+		for _, v := range cluster.vms {
 			v.mu.Lock()
 			counts := v.counts
-			v.counts = nil
+			v.counts = nil // no more calls
 			v.mu.Unlock()
 			counts.Drain(t.Context())
-			w.kill(v)
+			cluster.killDaemon(v)
 			time.Sleep(300 * time.Millisecond)
-			w.boot(v)
+			cluster.startDaemon(v)
 			time.Sleep(3 * time.Second)
 		}
 		work.Wait()
 		time.Sleep(15 * time.Second)
-		w.promises()
-		right, all := w.right(10*time.Second, 40*time.Second)
-		w.g.Expect(right).To(Equal(all))
-		w.killAll()
+		cluster.expectNoViolations()
+		correct, all := cluster.correctReports(10*time.Second, 40*time.Second)
+		cluster.g.Expect(correct).To(Equal(all))
+		cluster.killAllDaemons()
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/duties/log.go
+++ b/internal/duties/log.go
@@ -15,24 +15,25 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/usage"
 )
 
-// The duties' records lie in one partition: what is decided follows from what stands before
-// it.
+// All records of the duties are in one partition, because decisions depend on the order of
+// the records.
 const (
 	topic = "duties"
 	part  = 0
 )
 
-// entry is a record of the duties' log. One of Usage and Ordered is set.
-type entry struct {
+// logRecord is a record of the duties' log. One of Usage and Ordered is set.
+type logRecord struct {
 	Usage   *usage.Record `cbor:"1,keyasint,omitempty"`
-	Ordered *ordered      `cbor:"2,keyasint,omitempty"`
-	// AtMS is the time of day of the append in Unix ms, by its writer.
+	Ordered *orderRecord  `cbor:"2,keyasint,omitempty"`
+	// AtMS is the time of the append in Unix ms, by the writer's clock.
 	AtMS int64 `cbor:"3,keyasint"`
 }
 
-// ordered says that servers of a service were ordered, or may have been; or that none was to
-// be had, so that those that stand in don't ask again at once.
-type ordered struct {
+// orderRecord is a log record of an order of servers that was placed, or may have been. If
+// Unavailable is set, no servers were available; the record keeps the standbys from ordering
+// again at once.
+type orderRecord struct {
 	Service     string        `cbor:"1,keyasint"`
 	Order       scaling.Order `cbor:"2,keyasint"`
 	Unavailable bool          `cbor:"3,keyasint,omitempty"`
@@ -40,130 +41,139 @@
 
 var errMalformed = errors.New("duties: malformed record")
 
-func decodeEntry(data []byte) (entry, error) {
-	var e entry
-	if err := cbor.Unmarshal(data, &e); err != nil {
-		return entry{}, fmt.Errorf("%w: %w", errMalformed, err)
+// decodeRecord decodes a log record. Error: errMalformed.
+func decodeRecord(data []byte) (logRecord, error) {
+	var r logRecord
+	if err := cbor.Unmarshal(data, &r); err != nil {
+		return logRecord{}, fmt.Errorf("%w: %w", errMalformed, err)
 	}
-	return e, nil
+	return r, nil
 }
 
-func (e entry) encode(now time.Time) ([]byte, error) {
-	e.AtMS = now.UnixMilli()
-	return cbor.Marshal(e)
+// encode sets the record's time and encodes it.
+func (r logRecord) encode(now time.Time) ([]byte, error) {
+	r.AtMS = now.UnixMilli()
+	return cbor.Marshal(r)
 }
 
-// readTimeout bounds a read that brings the view up to date before a step.
-const readTimeout = 800 * time.Millisecond
+// catchUpTimeout bounds the reads that bring the view up to date before an action.
+const catchUpTimeout = 800 * time.Millisecond
 
-// view follows the duties' log.
+// view is the state of the duties, read from their log.
 type view struct {
 	options  Options
 	follower *follow.Follower
 
-	mu     sync.Mutex
-	usage  *usage.State
-	orders map[string]*scaling.Ledger // by service
-	since  time.Duration              // when the store's answers began without an interruption
-	gap    bool                       // records are lost, and none after them was read yet
+	mu             sync.Mutex
+	usage          *usage.State
+	planners       map[string]*scaling.Ledger // by service
+	inContactSince time.Duration              // since when the store has answered without an interruption
+	recordsLost    bool                       // log records are missing, and none after them has been read yet
 }
 
 func newView(o Options) *view {
 	v := &view{options: o}
 	v.reset()
-	always := func() bool { return true } // it is brought up to date before each step
-	v.follower = follow.New(follow.Options{Log: o.Log, Topic: topic, Part: part, Sink: v, OnContact: v.contact, Relaxed: always, Now: o.Now, Logger: o.Logger})
+	always := func() bool { return true } // catchUp brings the view up to date before each action
+	v.follower = follow.New(follow.Options{Log: o.Log, Topic: topic, Part: part, Sink: v, OnContact: v.onContact, Relaxed: always, Now: o.Now, Logger: o.Logger})
 	return v
 }
 
-// reset forgets what was read.
+// reset makes the view empty.
 func (v *view) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.usage = usage.NewState()
-	v.orders = map[string]*scaling.Ledger{}
-	v.since = v.options.Now()
-	v.gap = false
+	v.planners = map[string]*scaling.Ledger{}
+	v.inContactSince = v.options.Now()
+	v.recordsLost = false
 }
 
-// follow reads the log from its oldest record until the context ends.
+// follow reads the log, from its oldest record on, until the context ends.
 func (v *view) follow(ctx context.Context) {
 	v.reset()
 	v.follower.Restart()
 	v.follower.Run(ctx)
 }
 
-// Reset is never called: the topic has no keys.
+// Reset implements follow.Sink. It is never called, since the topic has no keys.
 func (v *view) Reset([]store.Entry) {}
 
-// Gap says that records are lost: they expired, or the store forgot its history.
+// Gap implements follow.Sink. It is called when records are missing because they have expired
+// or the store has lost its data.
 func (v *view) Gap(int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.gap = true
+	v.recordsLost = true
 }
 
-// lostMargin covers what clocks of VMs and an append under way make of a record's time.
-const lostMargin = 3 * time.Second
+// clockMargin is an upper bound on the error of a record's time, due to differing clocks of
+// VMs and to the duration of the append.
+const clockMargin = 3 * time.Second
 
-// startLocked ends a gap at the time of the first record that is kept. The windows that had
-// ended by then may have been reported, and the record that says with which counts is lost.
-// Reported again, with what late counts are left, such a window would have two reports.
-func (v *view) startLocked(at time.Time) {
-	if !v.gap || v.options.Usage == nil {
+// endGapLocked is called after missing records, with the time of the next record. Windows
+// that ended before this time are dropped: they may have been reported, but the record of
+// their counts is missing. Reporting such a window again, with the late counts that are still
+// in the log, would give it two different reports.
+func (v *view) endGapLocked(at time.Time) {
+	if !v.recordsLost || v.options.Usage == nil {
 		return
 	}
-	v.gap = false
-	first := v.options.Usage.Windows.IndexAt(at.Add(lostMargin))
+	v.recordsLost = false
+	first := v.options.Usage.Windows.IndexAt(at.Add(clockMargin))
 	v.usage.DropBefore(first)
-	v.options.Logger.Warn().Int64("first_window", first).Msg("records of the duties are lost, earlier windows are left as they are")
+	v.options.Logger.Warn().Int64("first_window", first).Msg("records of the duties are missing from the log, earlier windows are no longer reported")
 }
 
-// Record applies a record of the log.
+// Record implements follow.Sink. It applies a record of the log.
 func (v *view) Record(offset int64, data []byte) {
-	e, err := decodeEntry(data)
+	r, err := decodeRecord(data)
 	if err != nil {
-		v.options.Logger.Error().Err(err).Int64("offset", offset).Msg("record of the duties skipped")
+		v.options.Logger.Error().Err(err).Int64("offset", offset).Msg("skipped a malformed record of the duties")
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.startLocked(time.UnixMilli(e.AtMS))
+	v.endGapLocked(time.UnixMilli(r.AtMS))
 	switch {
-	case e.Usage != nil:
-		v.usage.Apply(*e.Usage)
-	case e.Ordered != nil:
-		v.orderedLocked(*e.Ordered)
+	case r.Usage != nil:
+		v.usage.Apply(*r.Usage)
+	case r.Ordered != nil:
+		v.applyOrderLocked(*r.Ordered)
 	}
 }
 
-func (v *view) orderedLocked(o ordered) {
-	l, now := v.ledgerLocked(o.Service), v.options.Now()
+// applyOrderLocked updates the planner of an order's service.
+func (v *view) applyOrderLocked(o orderRecord) {
+	planner, now := v.plannerLocked(o.Service), v.options.Now()
 	if o.Unavailable {
-		l.Refused(o.Order.Key, now)
+		planner.Refused(o.Order.Key, now)
 		return
 	}
-	l.Ordered(o.Order, now)
+	planner.Ordered(o.Order, now)
 }
 
-func (v *view) ledgerLocked(service string) *scaling.Ledger {
-	l := v.orders[service]
-	if l == nil {
-		l = scaling.NewLedger()
-		v.orders[service] = l
+// plannerLocked returns the planner of a service, which it adds if necessary.
+func (v *view) plannerLocked(service string) *scaling.Ledger {
+	planner := v.planners[service]
+	if planner == nil {
+		planner = scaling.NewLedger()
+		v.planners[service] = planner
 	}
-	return l
+	return planner
 }
 
-func (v *view) contact(bool) {
+// onContact is called when the contact with the store is lost or regained.
+func (v *view) onContact(bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.since = v.options.Now()
+	v.inContactSince = v.options.Now()
 }
 
-// catchUp brings the view up to date: what another daemon did has to be known.
+// catchUp reads the log to its end, so that the view includes what other daemons have done.
+// It reports whether it succeeded.
 func (v *view) catchUp(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	err := v.follower.CatchUp(ctx)
 	if err != nil {
@@ -172,9 +182,10 @@
 	return err == nil
 }
 
-// append writes a record, which may stand twice.
-func (v *view) append(ctx context.Context, e entry) bool {
-	data, err := e.encode(v.options.Clock())
+// append appends a record and reports whether it succeeded. After a failure the record may
+// be in the log nevertheless. Appending it again is harmless.
+func (v *view) append(ctx context.Context, r logRecord) bool {
+	data, err := r.encode(v.options.Clock())
 	if err == nil {
 		_, err = store.AppendRepeatable(ctx, v.options.Log, topic, part, [][]byte{data}, 1)
 	}
--- a/internal/duties/log_test.go
+++ b/internal/duties/log_test.go
@@ -11,30 +11,30 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/usage"
 )
 
-var samples = []entry{
+var testRecords = []logRecord{
 	{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Sequence: 1, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}},
 	{Usage: &usage.Record{Decided: &usage.Decided{Report: usage.WindowCounts{Window: 100, Counts: map[string]int{"a": 1}}}}},
 	{Usage: &usage.Record{Sent: &usage.Sent{Window: 100}}},
-	{Ordered: &ordered{Service: "s", Order: scaling.Order{Key: scaling.Key{DataCentre: "a", Spot: true}, Count: 3}}},
+	{Ordered: &orderRecord{Service: "s", Order: scaling.Order{Key: scaling.Key{DataCentre: "a", Spot: true}, Count: 3}}},
 }
 
-func TestEntriesComeBackAsWritten(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	for _, e := range samples {
-		data, err := e.encode(time.UnixMilli(1234))
+	for _, r := range testRecords {
+		data, err := r.encode(time.UnixMilli(1234))
 		g.Expect(err).NotTo(HaveOccurred())
-		e.AtMS = 1234
-		g.Expect(decodeEntry(data)).To(Equal(e))
+		r.AtMS = 1234
+		g.Expect(decodeRecord(data)).To(Equal(r))
 	}
-	_, err := decodeEntry([]byte("no record"))
+	_, err := decodeRecord([]byte("no record"))
 	g.Expect(err).To(MatchError(errMalformed))
 }
 
-// Another writer's bytes stand in the log, or a record was damaged. Every daemon skips it
-// and goes on.
+// The log contains a damaged record, or bytes of another writer. A daemon must skip it and
+// continue.
 func FuzzRecord(f *testing.F) {
-	for _, e := range samples {
-		data, err := e.encode(time.UnixMilli(1234))
+	for _, r := range testRecords {
+		data, err := r.encode(time.UnixMilli(1234))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -48,14 +48,14 @@
 	})
 }
 
-// The store forgets its history after a window was reported, and its holder dies. A count of
-// that window that comes late stands alone in the log that is left. The next holder must not
-// report the window again by it: the platform would have two reports with other counts.
+// The store loses the log's records after a window was reported, and the holder dies. All that
+// the log contains of the window afterwards is a late count. The next holder must not report
+// the window again with this count only, or the platform would have two different reports.
 func TestWindowIsNotReportedAgainAfterAGap(t *testing.T) {
 	timing := usage.Timing{Windows: usage.Windows{Length: 5 * time.Second}, Due: 10 * time.Second}
 	end := timing.Windows.End(100)
 	late := func(at time.Time) []byte {
-		data, err := entry{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Sequence: 9, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}}.encode(at)
+		data, err := logRecord{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Sequence: 9, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}}.encode(at)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,12 +64,12 @@
 	for _, c := range []struct {
 		name string
 		gap  bool
-		kept time.Time // when the first record that is kept was written
+		kept time.Time // time of the first record after the gap
 		want usage.Action
 	}{
 		{"no gap", false, end.Add(4 * time.Second), usage.Decide{Report: usage.WindowCounts{Window: 100, Counts: map[string]int{"a": 1}}}},
-		{"the window's report may be lost", true, end.Add(4 * time.Second), usage.Wait{}},
-		{"the records kept begin before any report of it", true, end.Add(-10 * time.Second), usage.Decide{Report: usage.WindowCounts{Window: 100, Counts: map[string]int{"a": 1}}}},
+		{"the gap may include the window's report", true, end.Add(4 * time.Second), usage.Wait{}},
+		{"the gap ends before the window could be reported", true, end.Add(-10 * time.Second), usage.Decide{Report: usage.WindowCounts{Window: 100, Counts: map[string]int{"a": 1}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -78,8 +78,8 @@
 				v.Gap(7)
 			}
 			v.Record(7, late(c.kept))
-			step := v.usage.NextAction(timing, usage.Conditions{Now: end.Add(4900 * time.Millisecond), UpToDate: true, ContactDuration: time.Minute})
-			g.Expect(step).To(Equal(c.want))
+			action := v.usage.NextAction(timing, usage.Conditions{Now: end.Add(4900 * time.Millisecond), UpToDate: true, ContactDuration: time.Minute})
+			g.Expect(action).To(Equal(c.want))
 		})
 	}
 }
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -7,75 +7,79 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/usage"
 )
 
-// UsageDuty names the duty in claims.
+// UsageDuty is the name in claims of the duty to report usage.
 const UsageDuty = "duty/usage"
 
 var (
-	reportsSent   = metrics.Counter("usage_reports_sent")
-	reportsFailed = metrics.Counter("usage_reports_failed")
-	windowsFixed  = metrics.Counter("usage_windows_decided")
+	reportsSent    = metrics.Counter("usage_reports_sent")
+	reportsFailed  = metrics.Counter("usage_reports_failed")
+	windowsDecided = metrics.Counter("usage_windows_decided")
 )
 
-// reporter reports usage.
+// reporter performs the duty of reporting usage.
 type reporter struct {
 	options Options
 	view    *view
-	caller  *caller
+	caller  *fencedCaller
 }
 
-// act does what is due now.
-func (r *reporter) act(ctx context.Context, rank int) {
-	r.begin()
+// runDue decides and sends the reports that are due now.
+func (r *reporter) runDue(ctx context.Context, rank int) {
+	r.updateWindows()
 	for ctx.Err() == nil {
-		if _, idle := r.next(rank, true).(usage.Wait); idle {
+		if _, wait := r.nextAction(rank, true).(usage.Wait); wait {
 			return
 		}
 		if !r.view.catchUp(ctx) {
 			return
 		}
-		if !r.do(ctx, r.next(rank, r.view.follower.InContact())) {
-			r.caller.rest(ctx, UsageDuty, rank)
+		if !r.perform(ctx, r.nextAction(rank, r.view.follower.InContact())) {
+			r.caller.waitToRetry(ctx, UsageDuty, rank)
 			return
 		}
 	}
 }
 
-// begin has a fleet that starts for the first time report from the present window on.
-func (r *reporter) begin() {
+// updateWindows drops old windows. In a fleet that starts for the first time, it makes the
+// current window the first one that is reported.
+func (r *reporter) updateWindows() {
 	now := r.options.Clock()
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
-	r.view.startLocked(now) // no record is left behind a gap
+	r.view.endGapLocked(now) // needed if the log has no records after the missing ones
 	r.view.usage.StartAt(r.options.Usage.Windows.IndexAt(now))
 	r.view.usage.DropBefore(r.options.Usage.Windows.IndexAt(now.Add(-r.options.Usage.Retention())))
 }
 
-func (r *reporter) next(rank int, current bool) usage.Action {
+// nextAction returns what to do next. upToDate says that the log has been read to its end.
+func (r *reporter) nextAction(rank int, upToDate bool) usage.Action {
 	r.view.mu.Lock()
 	defer r.view.mu.Unlock()
 	return r.view.usage.NextAction(*r.options.Usage, usage.Conditions{
-		Now: r.options.Clock(), UpToDate: current, ContactDuration: r.options.Now() - r.view.since, Rank: rank,
+		Now: r.options.Clock(), UpToDate: upToDate, ContactDuration: r.options.Now() - r.view.inContactSince, Rank: rank,
 	})
 }
 
-// do carries a step out and reports whether it succeeded.
-func (r *reporter) do(ctx context.Context, step usage.Action) bool {
-	switch s := step.(type) {
+// perform performs an action and reports whether it succeeded.
+func (r *reporter) perform(ctx context.Context, action usage.Action) bool {
+	switch a := action.(type) {
 	case usage.Decide:
-		windowsFixed.Add(1)
-		return r.record(ctx, usage.Record{Decided: &usage.Decided{Report: s.Report}})
+		windowsDecided.Add(1)
+		return r.appendRecord(ctx, usage.Record{Decided: &usage.Decided{Report: a.Report}})
 	case usage.Send:
-		return r.send(ctx, s.Report) && r.record(ctx, usage.Record{Sent: &usage.Sent{Window: s.Report.Window}})
+		return r.sendReport(ctx, a.Report) && r.appendRecord(ctx, usage.Record{Sent: &usage.Sent{Window: a.Report.Window}})
 	}
-	return true // done by another daemon meanwhile
+	return true // another daemon has done it in the meantime
 }
 
-func (r *reporter) record(ctx context.Context, record usage.Record) bool {
-	return r.view.append(ctx, entry{Usage: &record}) && r.view.catchUp(ctx)
+// appendRecord appends a record and reads it back.
+func (r *reporter) appendRecord(ctx context.Context, record usage.Record) bool {
+	return r.view.append(ctx, logRecord{Usage: &record}) && r.view.catchUp(ctx)
 }
 
-func (r *reporter) send(ctx context.Context, report usage.WindowCounts) bool {
-	outcome, fence, made := r.caller.do(ctx, UsageDuty, func(ctx context.Context, c Call) (Outcome, error) {
+// sendReport sends a report and reports whether the platform accepted it.
+func (r *reporter) sendReport(ctx context.Context, report usage.WindowCounts) bool {
+	outcome, fence, made := r.caller.claimAndCall(ctx, UsageDuty, func(ctx context.Context, c Call) (Outcome, error) {
 		return r.options.Platform.ReportUsage(ctx, c, report)
 	})
 	if !made {
@@ -86,15 +90,16 @@
 	} else {
 		reportsFailed.Add(1)
 	}
-	r.options.Logger.Info().Str("duty", UsageDuty).Int64("window", report.Window).Int("customers", len(report.Counts)).Int("requests", total(report.Counts)).
+	r.options.Logger.Info().Str("duty", UsageDuty).Int64("window", report.Window).Int("customers", len(report.Counts)).Int("requests", totalRequests(report.Counts)).
 		Int64("fence", fence).Str("outcome", outcome.String()).Dur("after_end", r.options.Clock().Sub(r.options.Usage.Windows.End(report.Window))).Msg("usage reported")
 	return outcome == Done
 }
 
-func total(counts map[string]int) int {
-	n := 0
-	for _, c := range counts {
-		n += c
+// totalRequests returns the sum of the counts.
+func totalRequests(counts map[string]int) int {
+	total := 0
+	for _, n := range counts {
+		total += n
 	}
-	return n
+	return total
 }
--- a/internal/duties/scaler.go
+++ b/internal/duties/scaler.go
@@ -8,101 +8,104 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/scaling"
 )
 
-// scalingDuty names the duty for a service in a data centre in claims.
+// scalingDuty returns the name in claims of the duty to order a service's servers in a data
+// centre.
 func scalingDuty(service, dataCentre string) string {
 	return "duty/scaling/" + service + "/" + dataCentre
 }
 
-// standIn is how long an order is wanted, for each rank, before a daemon that stands in
-// gives it: the holder gives it within a second.
-const standIn = 3 * time.Second
+// takeoverDelay times its rank is the time for which an order must have been needed before a
+// standby places it. Rank 0 places it within a second.
+const takeoverDelay = 3 * time.Second
 
 var (
-	scalingOrders  = metrics.Counter("scaling_orders_given")
-	scalingRefused = metrics.Counter("scaling_orders_unavailable")
+	ordersPlaced      = metrics.Counter("scaling_orders_given")
+	ordersUnavailable = metrics.Counter("scaling_orders_unavailable")
 )
 
-// Scaled is a service whose servers may be ordered, as it is now.
+// Scaled describes a service whose servers may be ordered, and its servers now.
 type Scaled struct {
 	Service string
-	Market  scaling.Market
-	There   map[string]scaling.Servers // by data centre
-	Samples int                        // of one batch of each of its models together
+	Market  scaling.Market             // what may be ordered
+	There   map[string]scaling.Servers // existing servers by data centre
+	Samples int                        // total of one batch of each of the service's models
 }
 
-// scaler orders servers.
+// scaler performs the duty of ordering servers.
 type scaler struct {
-	options Options
-	view    *view
-	caller  *caller
-	wished  map[wish]time.Duration // since when an order is wanted
+	options     Options
+	view        *view
+	caller      *fencedCaller
+	neededSince map[neededOrder]time.Duration // orders needed at the last run, and since when
 }
 
-// wish is an order for a service.
-type wish struct {
+// neededOrder is an order for a service.
+type neededOrder struct {
 	service string
 	order   scaling.Order
 }
 
-func newScaler(o Options, v *view, c *caller) *scaler {
-	return &scaler{options: o, view: v, caller: c, wished: map[wish]time.Duration{}}
+func newScaler(o Options, v *view, c *fencedCaller) *scaler {
+	return &scaler{options: o, view: v, caller: c, neededSince: map[neededOrder]time.Duration{}}
 }
 
-// act gives the orders that are due now.
-func (s *scaler) act(ctx context.Context, rank int) {
+// runDue places the orders that are due now.
+func (s *scaler) runDue(ctx context.Context, rank int) {
 	now := s.options.Now()
-	still := map[wish]time.Duration{}
-	for _, x := range s.options.Scaled() {
-		for _, o := range s.decide(x, now) {
-			w := wish{x.Service, o}
-			since, known := s.wished[w]
+	stillNeeded := map[neededOrder]time.Duration{}
+	for _, service := range s.options.Scaled() {
+		for _, o := range s.decide(service, now) {
+			key := neededOrder{service.Service, o}
+			since, known := s.neededSince[key]
 			if !known {
 				since = now
 			}
-			still[w] = since
-			if now-since < time.Duration(rank)*standIn || ctx.Err() != nil {
+			stillNeeded[key] = since
+			if now-since < time.Duration(rank)*takeoverDelay || ctx.Err() != nil {
 				continue
 			}
-			delete(still, w) // whatever comes of it, others get their turn before the next try
+			delete(stillNeeded, key) // after any outcome this daemon waits again, so that others go first
 			if s.view.catchUp(ctx) {
-				s.order(ctx, x, o)
+				s.placeOrder(ctx, service, o)
 			}
 		}
 	}
-	s.wished = still
+	s.neededSince = stillNeeded
 }
 
-func (s *scaler) decide(x Scaled, now time.Duration) []scaling.Order {
+// decide returns the orders that a service needs now.
+func (s *scaler) decide(service Scaled, now time.Duration) []scaling.Order {
 	s.view.mu.Lock()
 	defer s.view.mu.Unlock()
-	return s.view.ledgerLocked(x.Service).Decide(x.Market, scaling.View{Now: now, There: x.There, Samples: x.Samples})
+	return s.view.plannerLocked(service.Service).Decide(service.Market, scaling.View{Now: now, There: service.There, Samples: service.Samples})
 }
 
-// order gives an order and notes the outcome for everybody.
-func (s *scaler) order(ctx context.Context, x Scaled, o scaling.Order) {
-	outcome, fence, made := s.caller.do(ctx, scalingDuty(x.Service, o.DataCentre), func(ctx context.Context, c Call) (Outcome, error) {
-		return s.options.Platform.Scale(ctx, c, x.Service, o)
+// placeOrder places an order and records the outcome.
+func (s *scaler) placeOrder(ctx context.Context, service Scaled, o scaling.Order) {
+	outcome, fence, made := s.caller.claimAndCall(ctx, scalingDuty(service.Service, o.DataCentre), func(ctx context.Context, c Call) (Outcome, error) {
+		return s.options.Platform.Scale(ctx, c, service.Service, o)
 	})
 	if !made {
 		return
 	}
-	s.options.Logger.Info().Str("service", x.Service).Str("data_centre", o.DataCentre).Bool("spot", o.Spot).Int("count", o.Count).
-		Int("regular_there", x.There[o.DataCentre].Regular).Int("spot_there", x.There[o.DataCentre].Spot).Int("samples", x.Samples).
+	s.options.Logger.Info().Str("service", service.Service).Str("data_centre", o.DataCentre).Bool("spot", o.Spot).Int("count", o.Count).
+		Int("regular_there", service.There[o.DataCentre].Regular).Int("spot_there", service.There[o.DataCentre].Spot).Int("samples", service.Samples).
 		Int64("fence", fence).Str("outcome", outcome.String()).Msg("servers ordered")
 	switch outcome {
-	case Done, Unknown: // what got no answer may be carried out
-		scalingOrders.Add(1)
-		s.note(ctx, ordered{Service: x.Service, Order: o})
-	default: // there are none, or the order isn't taken for another reason: not again at once
-		scalingRefused.Add(1)
-		s.note(ctx, ordered{Service: x.Service, Order: o, Unavailable: true})
+	case Done, Unknown: // an order without an answer may be carried out
+		ordersPlaced.Add(1)
+		s.recordOrder(ctx, orderRecord{Service: service.Service, Order: o})
+	default: // no servers available, or refused for another reason: don't order again at once
+		ordersUnavailable.Add(1)
+		s.recordOrder(ctx, orderRecord{Service: service.Service, Order: o, Unavailable: true})
 	}
 }
 
-// note has this daemon know of an order at once, and the others by the log.
-func (s *scaler) note(ctx context.Context, o ordered) {
+// recordOrder applies an order to this daemon's view at once, and appends it to the log for
+// the other daemons.
+func (s *scaler) recordOrder(ctx context.Context, o orderRecord) {
 	s.view.mu.Lock()
-	s.view.orderedLocked(o)
+	s.view.applyOrderLocked(o)
 	s.view.mu.Unlock()
-	s.view.append(ctx, entry{Ordered: &o}) // it logs a failure; the others then see the servers
+	s.view.append(ctx, logRecord{Ordered: &o}) // logs a failure; the others see the servers when they register
 }
--- a/internal/duties/scaler_test.go
+++ b/internal/duties/scaler_test.go
@@ -10,81 +10,82 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/dutyapi"
 )
 
-// order runs a fleet whose steps have 360 samples, which want 15 spot servers beside the 30
-// regular ones, and does what the trouble does after 20 s.
-func order(t *testing.T, trouble func(*world), after func(*world)) {
+// runScaling runs a fleet whose batches have 360 samples. They need 15 spot servers in addition
+// to the 30 regular ones. It calls change after 20 s, and then check.
+func runScaling(t *testing.T, change func(*testCluster), check func(*testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6, dutyapi.Options{RequireFence: true})
-		w.demand(360)
-		w.bootAll()
+		cluster := newTestCluster(t, 6, dutyapi.Options{RequireFence: true})
+		cluster.setStepSamples(360)
+		cluster.startAllDaemons()
 		time.Sleep(20 * time.Second)
-		w.g.Expect(w.spot()).To(Equal(map[string]int{"a": 5, "b": 5, "c": 5}))
-		w.g.Expect(w.api.Orders(service)).To(Equal(3), "one order a data centre")
-		trouble(w)
-		after(w)
-		w.promises()
-		w.killAll()
+		cluster.g.Expect(cluster.spotServers()).To(Equal(map[string]int{"a": 5, "b": 5, "c": 5}))
+		cluster.g.Expect(cluster.api.Orders(service)).To(Equal(3), "one order for each data centre")
+		change(cluster)
+		check(cluster)
+		cluster.expectNoViolations()
+		cluster.killAllDaemons()
 		time.Sleep(time.Minute)
 	})
 }
 
-// Orders are given once, whoever is asked and however often it is looked.
-func TestOrdersAreGivenOnce(t *testing.T) {
-	order(t, func(*world) { time.Sleep(30 * time.Second) }, func(w *world) {
-		w.g.Expect(w.api.Orders(service)).To(Equal(3))
+// All candidates compute the orders again and again. Each order must be placed once only.
+func TestOrdersArePlacedOnce(t *testing.T) {
+	runScaling(t, func(*testCluster) { time.Sleep(30 * time.Second) }, func(c *testCluster) {
+		c.g.Expect(c.api.Orders(service)).To(Equal(3))
 	})
 }
 
-// The holder is killed. The next one starts from the servers that are there and orders
-// nothing again.
-func TestNextHolderStartsFromWhatIsThere(t *testing.T) {
-	order(t, func(w *world) {
-		w.kill(w.holder())
+// The holder is killed. The next holder counts the existing servers and doesn't order them
+// again.
+func TestNextHolderKeepsExistingServers(t *testing.T) {
+	runScaling(t, func(c *testCluster) {
+		c.killDaemon(c.holder())
 		time.Sleep(15 * time.Second)
-	}, func(w *world) {
-		w.g.Expect(w.api.Orders(service)).To(Equal(3))
-		w.demand(480)
+	}, func(c *testCluster) {
+		c.g.Expect(c.api.Orders(service)).To(Equal(3))
+		c.setStepSamples(480)
 		time.Sleep(10 * time.Second)
-		w.g.Expect(w.spot()).To(Equal(map[string]int{"a": 10, "b": 10, "c": 10}))
+		c.g.Expect(c.spotServers()).To(Equal(map[string]int{"a": 10, "b": 10, "c": 10}))
 	})
 }
 
-// All spot servers of a data centre are taken away, and none is to be had there for a while.
-// The others get the missing ones at once; when there are some again, nothing moves back.
+// All spot servers of a data centre are reclaimed, and no more are available there for a
+// while. They must be replaced at once in the other data centres, and must stay there when
+// spot servers are available in the first one again.
 func TestSpotServersTakenAway(t *testing.T) {
-	order(t, func(w *world) {
-		w.api.Reclaim(service, "b")
+	runScaling(t, func(c *testCluster) {
+		c.api.Reclaim(service, "b")
 		time.Sleep(12 * time.Second)
-	}, func(w *world) {
-		w.g.Expect(w.spot()).To(Equal(map[string]int{"a": 8, "b": 0, "c": 7}))
-		before := w.api.Orders(service)
-		w.api.Reopen("b")
+	}, func(c *testCluster) {
+		c.g.Expect(c.spotServers()).To(Equal(map[string]int{"a": 8, "b": 0, "c": 7}))
+		before := c.api.Orders(service)
+		c.api.Reopen("b")
 		time.Sleep(20 * time.Second)
-		w.g.Expect(w.api.Orders(service)).To(Equal(before))
+		c.g.Expect(c.api.Orders(service)).To(Equal(before))
 	})
 }
 
-// Steps grow while the holder can't reach the platform, but the store. Another daemon
-// orders the servers, some seconds later.
-func TestStandInOrdersServers(t *testing.T) {
-	order(t, func(w *world) {
-		w.holder().platform.SetFaults(dutyapi.Faults{Cut: true})
-		w.demand(480)
+// The batches grow while the holder reaches the store, but not the platform. A standby must
+// order the servers, some seconds later.
+func TestStandbyOrdersServers(t *testing.T) {
+	runScaling(t, func(c *testCluster) {
+		c.holder().platform.SetFaults(dutyapi.Faults{Cut: true})
+		c.setStepSamples(480)
 		time.Sleep(20 * time.Second)
-	}, func(w *world) {
-		w.g.Expect(w.spot()).To(Equal(map[string]int{"a": 10, "b": 10, "c": 10}))
+	}, func(c *testCluster) {
+		c.g.Expect(c.spotServers()).To(Equal(map[string]int{"a": 10, "b": 10, "c": 10}))
 	})
 }
 
-// The store refuses the holder alone, which goes on seeing what is missing. It can't write a
-// claim, so it orders nothing; its successor does.
+// The store refuses calls of the holder only, which still sees that servers are missing. It
+// can't append a claim, so it must order nothing; its successor must order the servers.
 func TestHolderWithoutTheStoreOrdersNothing(t *testing.T) {
-	order(t, func(w *world) {
-		w.holder().store.SetFaults(refusing)
-		w.demand(480)
+	runScaling(t, func(c *testCluster) {
+		c.holder().store.SetFaults(storeRefuses)
+		c.setStepSamples(480)
 		time.Sleep(12 * time.Second)
-	}, func(w *world) {
-		w.g.Expect(w.spot()).To(Equal(map[string]int{"a": 10, "b": 10, "c": 10}))
-		w.g.Expect(w.api.Orders(service)).To(Equal(6))
+	}, func(c *testCluster) {
+		c.g.Expect(c.spotServers()).To(Equal(map[string]int{"a": 10, "b": 10, "c": 10}))
+		c.g.Expect(c.api.Orders(service)).To(Equal(6))
 	})
 }
--- a/internal/duties/ways_test.go
+++ b/internal/duties/ways_test.go
@@ -14,42 +14,44 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// The other way to choose who does a duty, beside ownership of a partition: whoever claimed
-// it last keeps it and renews the claim; when the claim isn't renewed, the others claim it
-// after pauses by chance.
+// An alternative to electing the holder of a duty by partition: the VM that claimed the duty
+// last keeps it and renews its claim; when the claim isn't renewed any more, the other VMs
+// claim the duty after random delays.
 const (
-	renewEvery  = 1500 * time.Millisecond
-	claimLapses = 4500 * time.Millisecond // above what a claim bars others for
-	maxJitter   = time.Second
+	renewInterval = 1500 * time.Millisecond
+	claimTimeout  = 4500 * time.Millisecond // above the time for which a claim blocks other VMs
+	maxJitter     = time.Second
 )
 
-// claimTurn does the duty whoever holds its claim.
-type claimTurn struct {
+// claimElection elects the VM that claimed the duty last.
+type claimElection struct {
 	batches *batchrun.Service
 	vm      string
 
 	mu      sync.Mutex
-	renewed time.Time // own claim
+	renewed time.Time // when this VM claimed the duty last
 }
 
-func (c *claimTurn) rank() (int, bool) {
+// rank implements duties.Turn.
+func (c *claimElection) rank() (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return 0, time.Since(c.renewed) < claimLapses
+	return 0, time.Since(c.renewed) < claimTimeout
 }
 
-func (c *claimTurn) run(ctx context.Context) {
+// run claims the duty, and renews the claim, until the context ends.
+func (c *claimElection) run(ctx context.Context) {
 	var fence int64
 	changed := time.Now()
 	jitter := time.Duration(rand.Float64() * float64(maxJitter))
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
-		holder, now, _ := c.batches.HolderOf(duties.UsageDuty)
-		if now != 0 && now != fence {
-			fence, changed = now, time.Now()
+		holder, newest, _ := c.batches.HolderOf(duties.UsageDuty)
+		if newest != 0 && newest != fence {
+			fence, changed = newest, time.Now()
 		}
 		mine := holder == c.vm
-		if mine && time.Since(changed) < renewEvery || !mine && time.Since(changed) < claimLapses+jitter {
+		if mine && time.Since(changed) < renewInterval || !mine && time.Since(changed) < claimTimeout+jitter {
 			continue
 		}
 		jitter = time.Duration(rand.Float64() * float64(maxJitter))
@@ -62,87 +64,93 @@
 	}
 }
 
-func claimTurns(ctx context.Context, v *vm, b *batchrun.Service) duties.Turn {
-	c := &claimTurn{batches: b, vm: v.name}
+// rankByClaim ranks daemons by a claimElection.
+func rankByClaim(ctx context.Context, v *testVM, b *batchrun.Service) duties.Turn {
+	c := &claimElection{batches: b, vm: v.name}
 	go c.run(ctx)
 	return c.rank
 }
 
-// Both ways of choosing who reports, under what may happen to the one that does. The table
-// (go test -v -run Ways) has the windows that are right, when the latest report came after
-// its window's end, and the calls to the store of six daemons in 60 s, those for batches and
-// membership included. Neither may break a promise.
-func TestWaysOfChoosingTheHolder(t *testing.T) {
-	troubles := []struct {
-		name string
-		do   func(w *world, v *vm)
+// Compares the two elections during failures of the daemon that reports. Neither may lead to
+// calls that the platform must not get. go test -v -run CompareElections prints a table of the
+// correct windows, the longest time from a window's end to its report, and the calls of six
+// daemons to the store in 60 s, including those for batches and membership.
+func TestCompareElections(t *testing.T) {
+	faults := []struct {
+		name   string
+		inject func(c *testCluster, v *testVM)
 	}{
-		{"none", func(*world, *vm) {}},
-		{"killed", func(w *world, v *vm) { w.kill(v) }},
-		{"out of the store's reach for 8 s", func(_ *world, v *vm) { storeFaults([]*vm{v}, metastore.Faults{Cut: true}, 8*time.Second) }},
-		{"out of the platform's reach for 20 s", func(_ *world, v *vm) { platformFaults([]*vm{v}, dutyapi.Faults{Cut: true}, 20*time.Second) }},
-		{"standing still for 8 s", func(_ *world, v *vm) {
+		{"none", func(*testCluster, *testVM) {}},
+		{"killed", func(c *testCluster, v *testVM) { c.killDaemon(v) }},
+		{"cut off from the store for 8 s", func(_ *testCluster, v *testVM) {
+			injectStoreFaults([]*testVM{v}, metastore.Faults{Cut: true}, 8*time.Second)
+		}},
+		{"cut off from the platform for 20 s", func(_ *testCluster, v *testVM) {
+			injectPlatformFaults([]*testVM{v}, dutyapi.Faults{Cut: true}, 20*time.Second)
+		}},
+		{"cut off from the store and the platform for 8 s", func(_ *testCluster, v *testVM) {
 			v.store.SetFaults(metastore.Faults{Cut: true})
-			platformFaults([]*vm{v}, dutyapi.Faults{Cut: true}, 8*time.Second)
-			v.store.SetFaults(metastore.Faults{Latency: storeAnswer})
+			injectPlatformFaults([]*testVM{v}, dutyapi.Faults{Cut: true}, 8*time.Second)
+			v.store.SetFaults(metastore.Faults{Latency: storeLatency})
 		}},
-		{"the store away for 5 s", func(w *world, _ *vm) { storeFaults(w.vms, refusing, 5*time.Second) }},
-		{"all killed", func(w *world, _ *vm) {
-			w.killAll()
+		{"calls refused by the store for 5 s", func(c *testCluster, _ *testVM) { injectStoreFaults(c.vms, storeRefuses, 5*time.Second) }},
+		{"all daemons killed", func(c *testCluster, _ *testVM) {
+			c.killAllDaemons()
 			time.Sleep(time.Second)
-			w.bootAll()
+			c.startAllDaemons()
 		}},
 	}
-	for _, way := range []string{"partition", "claim"} {
-		for _, trouble := range troubles {
+	for _, election := range []string{"partition", "claim"} {
+		for _, fault := range faults {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 6, dutyapi.Options{RequireFence: true})
-				if way == "claim" {
-					w.turns = claimTurns
+				cluster := newTestCluster(t, 6, dutyapi.Options{RequireFence: true})
+				if election == "claim" {
+					cluster.newRank = rankByClaim
 				}
-				w.bootAll()
+				cluster.startAllDaemons()
 				var work sync.WaitGroup
-				work.Go(func() { w.calls(1, usual, 45*time.Second) })
+				work.Go(func() { cluster.generateCalls(1, callInterval, 45*time.Second) })
 				time.Sleep(12 * time.Second)
-				trouble.do(w, w.reporter())
+				fault.inject(cluster, cluster.lastReporter())
 				work.Wait()
-				time.Sleep(60*time.Second - w.now())
-				w.promises()
-				right, all := w.right(10*time.Second, 45*time.Second)
+				time.Sleep(60*time.Second - cluster.now())
+				cluster.expectNoViolations()
+				correct, all := cluster.correctReports(10*time.Second, 45*time.Second)
 				calls := 0
-				for _, v := range w.vms {
-					c := v.store.Calls()
-					calls += c.Reads + c.Writes + c.Joins
+				for _, v := range cluster.vms {
+					n := v.store.Calls()
+					calls += n.Reads + n.Writes + n.Joins
 				}
-				t.Logf("%-10s %-40s right %d of %d, latest %6v after its window, %d calls", way, trouble.name, right, all, w.latest().Round(100*time.Millisecond), calls)
-				w.killAll()
+				t.Logf("%-10s %-40s correct %d of %d, latest %6v after its window, %d calls", election, fault.name, correct, all, cluster.maxReportDelay().Round(100*time.Millisecond), calls)
+				cluster.killAllDaemons()
 				time.Sleep(time.Minute)
 			})
 		}
 	}
 }
 
-// reporter is the VM that sent the last report.
-func (w *world) reporter() *vm {
+// lastReporter returns the VM that sent the last report.
+func (c *testCluster) lastReporter() *testVM {
 	var last dutyapi.Report
-	for _, r := range w.api.Reports() {
+	for _, r := range c.api.Reports() {
 		if r.At.After(last.At) {
 			last = r
 		}
 	}
-	for _, v := range w.vms {
+	for _, v := range c.vms {
 		if v.name == last.Holder {
 			return v
 		}
 	}
-	return w.vms[0]
+	return c.vms[0]
 }
 
-// latest is the longest time from a window's end to its report, among those after 10 s.
-func (w *world) latest() time.Duration {
+// maxReportDelay returns the longest time from a window's end to its report, of windows that
+// ended after 10 s.
+func (c *testCluster) maxReportDelay() time.Duration {
 	longest := time.Duration(0)
-	for k, r := range w.api.Reports() {
-		if end := timing.Windows.End(k); end.Sub(w.start) > 10*time.Second {
+	for k, r := range c.api.Reports() {
+		if end := timing.Windows.End(k); end.Sub(c.start) > 10*time.Second {
 			longest = max(longest, r.At.Sub(end))
 		}
 	}
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -25,20 +25,19 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/usage"
 )
 
-// The tests of this package run several daemons' duties over the stand-in store, with real
-// claims and ownership of partitions, against the stand-in of the platform, on
-// testing/synctest's clock.
+// The tests of this package run the duties of several daemons with real claims and real
+// ownership of partitions, a fake store and a fake platform, on testing/synctest's clock.
 
 const (
-	parts       = 8
-	lease       = 3 * time.Second
-	storeAnswer = 4 * time.Millisecond
-	callTimeout = 1200 * time.Millisecond
+	parts        = 8 // of each topic
+	lease        = 3 * time.Second
+	storeLatency = 4 * time.Millisecond
+	callTimeout  = 1200 * time.Millisecond // of calls to the platform
 )
 
 var timing = usage.Timing{Windows: usage.Windows{Length: 5 * time.Second}, Due: 10 * time.Second}
 
-// noEngines are asked for nothing: no batches come.
+// noEngines implements batchrun.Engines. It is never called, since there are no batches.
 type noEngines struct{}
 
 func (noEngines) Run(context.Context, registry.Upstream, batchrun.SampleRun, func(batch.Event)) error {
@@ -53,104 +52,105 @@
 	return batchrun.LoadRejected, nil
 }
 
-// vm is one VM: its ways to the store and to the platform, and its daemon while it runs.
-type vm struct {
+// testVM is a VM: its clients of the store and of the platform, and its daemon.
+type testVM struct {
 	name     string
 	store    *metastore.Client
 	platform *dutyapi.Client
 
 	mu     sync.Mutex
-	cancel context.CancelFunc
-	counts *duties.Counts
-	owns   func() []int
+	cancel context.CancelFunc // kills the daemon
+	counts *duties.Counts     // nil: the daemon gets no calls
+	owns   func() []int       // partitions that the daemon owns
 }
 
-// world is a fleet and the calls that its daemons count.
-type world struct {
-	t     *testing.T
-	g     *WithT
-	start time.Time
-	store *metastore.Store
-	api   *dutyapi.API
-	vms   []*vm
-	turns func(context.Context, *vm, *batchrun.Service) duties.Turn
-
-	mu      sync.Mutex
-	samples int                      // of a step
-	truth   map[int64]map[string]int // what upstreams began, by window and customer
+// testCluster is a fleet, and the true counts of the calls that its daemons get.
+type testCluster struct {
+	t       *testing.T
+	g       *WithT
+	start   time.Time
+	store   *metastore.Store
+	api     *dutyapi.API
+	vms     []*testVM
+	newRank func(context.Context, *testVM, *batchrun.Service) duties.Turn
+
+	mu          sync.Mutex
+	stepSamples int                      // samples of one batch
+	truth       map[int64]map[string]int // requests that started to run, by window and customer
 }
 
-// ownersTurn is the rule in force.
-func ownersTurn(_ context.Context, _ *vm, b *batchrun.Service) duties.Turn {
+// rankByPartition ranks daemons as production does.
+func rankByPartition(_ context.Context, _ *testVM, b *batchrun.Service) duties.Turn {
 	return duties.ByPartition(b.Owns, parts, duties.Candidates)
 }
 
-func newWorld(t *testing.T, vms int, o dutyapi.Options) *world {
+func newTestCluster(t *testing.T, vms int, o dutyapi.Options) *testCluster {
 	o.Lease = lease
-	w := &world{t: t, g: NewWithT(t), start: time.Now(), store: metastore.New(parts), api: dutyapi.New(o), truth: map[int64]map[string]int{}, turns: ownersTurn}
+	c := &testCluster{t: t, g: NewWithT(t), start: time.Now(), store: metastore.New(parts), api: dutyapi.New(o), truth: map[int64]map[string]int{}, newRank: rankByPartition}
 	for i := range vms {
-		v := &vm{name: fmt.Sprint("vm", i), store: metastore.NewClient(w.store, 1500*time.Millisecond), platform: dutyapi.NewClient(w.api, callTimeout)}
-		v.store.SetFaults(metastore.Faults{Latency: storeAnswer})
+		v := &testVM{name: fmt.Sprint("vm", i), store: metastore.NewClient(c.store, 1500*time.Millisecond), platform: dutyapi.NewClient(c.api, callTimeout)}
+		v.store.SetFaults(metastore.Faults{Latency: storeLatency})
 		v.platform.SetFaults(dutyapi.Faults{Latency: 10 * time.Millisecond})
-		w.vms = append(w.vms, v)
+		c.vms = append(c.vms, v)
 	}
-	return w
+	return c
 }
 
-func (w *world) now() time.Duration { return time.Since(w.start) }
+func (c *testCluster) now() time.Duration { return time.Since(c.start) }
 
-// market and service are those of the servers that may be ordered. Each data centre has ten
-// regular ones, with places for 240 samples together.
+// market describes the servers of service that may be ordered. Each data centre has ten
+// regular servers, so that together they run up to 240 samples at once.
 var market = scaling.Market{Min: 1, Max: 20, Boot: 4 * time.Second, SpotPrice: 0.22, Prices: map[string]float64{"a": 1, "b": 1, "c": 1}, Slots: 8}
 
 const service = "engines"
 
-// scaled is what every daemon sees of the servers.
-func (w *world) scaled() []duties.Scaled {
-	there := w.api.Servers(service, market.Boot)
+// scaledServices returns the servers as every daemon sees them.
+func (c *testCluster) scaledServices() []duties.Scaled {
+	there := c.api.Servers(service, market.Boot)
 	for dc := range market.Prices {
 		s := there[dc]
 		s.Regular = 10
 		there[dc] = s
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return []duties.Scaled{{Service: service, Market: market, There: there, Samples: w.samples}}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return []duties.Scaled{{Service: service, Market: market, There: there, Samples: c.stepSamples}}
 }
 
-// demand changes the samples of a step.
-func (w *world) demand(samples int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.samples = samples
+// setStepSamples sets the number of samples of one batch.
+func (c *testCluster) setStepSamples(samples int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.stepSamples = samples
 }
 
-// spot returns the spot servers that serve, by data centre.
-func (w *world) spot() map[string]int {
+// spotServers returns the number of spot servers that have booted, by data centre.
+func (c *testCluster) spotServers() map[string]int {
 	out := map[string]int{}
-	for dc, s := range w.api.Servers(service, market.Boot) {
+	for dc, s := range c.api.Servers(service, market.Boot) {
 		out[dc] = s.Spot
 	}
 	return out
 }
 
-func (w *world) bootAll() {
-	for _, v := range w.vms {
-		w.boot(v)
+// startAllDaemons starts the daemon of every VM.
+func (c *testCluster) startAllDaemons() {
+	for _, v := range c.vms {
+		c.startDaemon(v)
 	}
 }
 
-// boot starts a VM's daemon.
-func (w *world) boot(v *vm) {
+// startDaemon starts a VM's daemon.
+func (c *testCluster) startDaemon(v *testVM) {
 	ctx, cancel := context.WithCancel(context.Background())
 	log := zerolog.Nop()
 	batches := batchrun.New(batchrun.Options{
-		VM: v.name, Policy: batchrun.Ours(policy.Set{}), Log: v.store, Membership: v.store, Engines: noEngines{}, View: fleet.New(w.now), Suspects: health.NewSuspects(),
-		Parts: parts, RecordBytes: 1 << 18, CallBytes: 1 << 21, MemberTTL: 1500 * time.Millisecond, OrderLease: lease, Now: w.now, Logger: log,
+		VM: v.name, Policy: batchrun.Ours(policy.Set{}), Log: v.store, Membership: v.store, Engines: noEngines{}, View: fleet.New(c.now), Suspects: health.NewSuspects(),
+		Parts: parts, RecordBytes: 1 << 18, CallBytes: 1 << 21, MemberTTL: 1500 * time.Millisecond, OrderLease: lease, Now: c.now, Logger: log,
 	})
-	counts := duties.NewCounts(duties.CountsOptions{Log: v.store, Usage: &timing, Now: w.now, Clock: time.Now, Logger: log})
+	counts := duties.NewCounts(duties.CountsOptions{Log: v.store, Usage: &timing, Now: c.now, Clock: time.Now, Logger: log})
 	service := duties.New(duties.Options{
-		VM: v.name, Log: v.store, Claims: batches, Turn: w.turns(ctx, v, batches), Platform: v.platform, Usage: &timing, Scaled: w.scaled, Now: w.now, Clock: time.Now, Logger: log,
+		VM: v.name, Log: v.store, Claims: batches, Turn: c.newRank(ctx, v, batches), Platform: v.platform, Usage: &timing, Scaled: c.scaledServices, Now: c.now, Clock: time.Now, Logger: log,
 	})
 	v.mu.Lock()
 	v.cancel, v.counts, v.owns = cancel, counts, batches.Owns
@@ -160,33 +160,33 @@
 	go service.Run(ctx)
 }
 
-// storeFaults has VMs suffer faults of the store for a time.
-func storeFaults(vms []*vm, f metastore.Faults, span time.Duration) {
+// injectStoreFaults injects faults into the store clients of VMs for a time.
+func injectStoreFaults(vms []*testVM, f metastore.Faults, duration time.Duration) {
 	for _, v := range vms {
 		v.store.SetFaults(f)
 	}
-	time.Sleep(span)
+	time.Sleep(duration)
 	for _, v := range vms {
-		v.store.SetFaults(metastore.Faults{Latency: storeAnswer})
+		v.store.SetFaults(metastore.Faults{Latency: storeLatency})
 	}
 }
 
-// platformFaults is the same for faults of the platform.
-func platformFaults(vms []*vm, f dutyapi.Faults, span time.Duration) {
+// injectPlatformFaults injects faults into the platform clients of VMs for a time.
+func injectPlatformFaults(vms []*testVM, f dutyapi.Faults, duration time.Duration) {
 	for _, v := range vms {
 		v.platform.SetFaults(f)
 	}
-	time.Sleep(span)
+	time.Sleep(duration)
 	for _, v := range vms {
 		v.platform.SetFaults(dutyapi.Faults{Latency: 10 * time.Millisecond})
 	}
 }
 
-// refusing is a store that refuses every call.
-var refusing = metastore.Faults{Latency: storeAnswer, Refuse: true}
+// storeRefuses makes the store refuse every call.
+var storeRefuses = metastore.Faults{Latency: storeLatency, Refuse: true}
 
-// dice returns throws of a seed, safe for concurrent use.
-func dice(seed uint64) func(n int) int {
+// newRandom returns a seeded source of random numbers below n. It is safe for concurrent use.
+func newRandom(seed uint64) func(n int) int {
 	random := rand.New(rand.NewPCG(seed, 2))
 	var mu sync.Mutex
 	return func(n int) int {
@@ -196,8 +196,8 @@
 	}
 }
 
-// kill ends a VM's daemon at once.
-func (w *world) kill(v *vm) {
+// killDaemon stops a VM's daemon without a shutdown.
+func (c *testCluster) killDaemon(v *testVM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.cancel()
@@ -205,16 +205,16 @@
 	v.owns = func() []int { return nil }
 }
 
-// killAll ends every daemon.
-func (w *world) killAll() {
-	for _, v := range w.vms {
-		w.kill(v)
+// killAllDaemons kills the daemon of every VM.
+func (c *testCluster) killAllDaemons() {
+	for _, v := range c.vms {
+		c.killDaemon(v)
 	}
 }
 
-// holder is the VM whose turn it is, nil if none owns the last partition.
-func (w *world) holder() *vm {
-	for _, v := range w.vms {
+// holder returns the VM of rank 0, or nil if no VM owns the last partition.
+func (c *testCluster) holder() *testVM {
+	for _, v := range c.vms {
 		v.mu.Lock()
 		owns := v.owns
 		v.mu.Unlock()
@@ -225,44 +225,45 @@
 	return nil
 }
 
-// calls has callers of some customers ask at the VMs that live, until the time is up.
-func (w *world) calls(seed uint64, every, until time.Duration) {
+// generateCalls makes calls of several customers to random live VMs until a time, at random
+// intervals with this mean.
+func (c *testCluster) generateCalls(seed uint64, meanInterval, until time.Duration) {
 	random := rand.New(rand.NewPCG(seed, 3))
-	for w.now() < until {
-		time.Sleep(time.Duration(float64(every) * 2 * random.Float64()))
-		v := w.vms[random.IntN(len(w.vms))]
+	for c.now() < until {
+		time.Sleep(time.Duration(float64(meanInterval) * 2 * random.Float64()))
+		v := c.vms[random.IntN(len(c.vms))]
 		v.mu.Lock()
 		counts := v.counts
 		v.mu.Unlock()
 		if counts == nil {
-			continue // the balancer sends nobody there
+			continue // the load balancer sends no calls to a daemon that is down
 		}
 		customer, at := fmt.Sprint("c", random.IntN(5)), time.Now()
 		counts.Began(customer, 0)
-		w.mu.Lock()
+		c.mu.Lock()
 		k := timing.Windows.IndexAt(at)
-		if w.truth[k] == nil {
-			w.truth[k] = map[string]int{}
+		if c.truth[k] == nil {
+			c.truth[k] = map[string]int{}
 		}
-		w.truth[k][customer]++
-		w.mu.Unlock()
+		c.truth[k][customer]++
+		c.mu.Unlock()
 	}
 }
 
-// right counts the windows that ended between two times whose reports are right and in time,
-// and all of them.
-func (w *world) right(from, to time.Duration) (right, all int) {
-	reports := w.api.Reports()
-	for k := timing.Windows.IndexAt(w.start.Add(from)) + 1; !timing.Windows.End(k).After(w.start.Add(to)); k++ {
+// correctReports returns the number of windows that ended between two times, and how many of
+// them have a report with the true counts that arrived in time.
+func (c *testCluster) correctReports(from, to time.Duration) (correct, all int) {
+	reports := c.api.Reports()
+	for k := timing.Windows.IndexAt(c.start.Add(from)) + 1; !timing.Windows.End(k).After(c.start.Add(to)); k++ {
 		all++
 		r, ok := reports[k]
-		if ok && maps.Equal(r.Counts, orEmpty(w.truth[k])) && r.At.Sub(timing.Windows.End(k)) <= timing.Due {
-			right++
+		if ok && maps.Equal(r.Counts, orEmpty(c.truth[k])) && r.At.Sub(timing.Windows.End(k)) <= timing.Due {
+			correct++
 			continue
 		}
-		w.t.Logf("window %d, ended at %v: reported %v, known %v, counted %v, %v after its end", k, timing.Windows.End(k).Sub(w.start), ok, r.Counts, w.truth[k], r.At.Sub(timing.Windows.End(k)))
+		c.t.Logf("window %d, ended at %v: reported %v, with counts %v, true counts %v, %v after its end", k, timing.Windows.End(k).Sub(c.start), ok, r.Counts, c.truth[k], r.At.Sub(timing.Windows.End(k)))
 	}
-	return right, all
+	return correct, all
 }
 
 func orEmpty(m map[string]int) map[string]int {
@@ -272,5 +273,5 @@
 	return m
 }
 
-// promises fails the test if the platform saw a promise broken.
-func (w *world) promises() { w.g.Expect(w.api.Violations()).To(BeEmpty()) }
+// expectNoViolations fails the test if the platform saw calls that the duties must not make.
+func (c *testCluster) expectNoViolations() { c.g.Expect(c.api.Violations()).To(BeEmpty()) }
