--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -1,5 +1,5 @@
-// Package routes holds the callers' configuration on the platform: which requests
-// go to which service, under which bounds. It is pure.
+// Package routes holds the platform's configuration for callers' requests: the service that
+// each request is sent to, and the limits that apply. It does no I/O.
 package routes
 
 import (
@@ -11,85 +11,85 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/customers"
 )
 
-// Kind says how often a request may run and what its answer looks like.
+// Kind says how the requests of a route are run, and how often they may run.
 type Kind int
 
 // The kinds of route.
 const (
-	Unsafe Kind = iota // at most once for each attempt of the caller
-	Safe               // may run again
-	Batch              // a trainer's batch of samples, run later
+	Unsafe Kind = iota // runs at most once for each attempt of the caller
+	Safe               // may run more than once
+	Batch              // a trainer's batch of samples, which run after its submission
 )
 
 // Route sends the requests of one host and path prefix to services.
 type Route struct {
 	Name        string
-	Host        string
-	PathPrefix  string // begins and ends with a slash
+	Host        string // not case-sensitive
+	PathPrefix  string // starts and ends with a slash
 	Kind        Kind
-	Streaming   bool          // the answer is a series of events
-	Resumable   bool          // a stream may go on elsewhere behind the last event
-	Timeout     time.Duration // longest wait of a caller, 0: none
+	Streaming   bool          // the answer is a stream of events
+	Resumable   bool          // another upstream may continue a stream after its last event
+	Timeout     time.Duration // longest time that a caller waits, 0: no limit
 	Target      time.Duration // latency objective
 	Priority    int           // 0 is the highest
 	Public      bool          // callers need no key
 	Services    []Share
-	MaxAttempts int // upstreams to which one attempt of a caller may be sent
+	MaxAttempts int // number of upstreams to which one attempt of a caller may be sent
 
-	Retention     time.Duration // batches: a sample may be given up this long after submission
-	BatchTarget   time.Duration // batches: all results are due this long after submission
-	SingleVersion bool          // batches: a sample may have only one weight version
+	Retention     time.Duration // of batches: time from submission after which a sample may be dropped
+	BatchTarget   time.Duration // of batches: time from submission within which all results are due
+	SingleVersion bool          // of batches: a sample may have tokens of one weight version only
 }
 
-// Share is a service's part of a route's requests.
+// Share is a service that gets a share of a route's requests.
 type Share struct {
-	Service string
-	Weight  int
+	Service string // name
+	Weight  int    // relative to the weights of the route's other services
 }
 
 // Service is a set of upstreams that serve the same requests.
 type Service struct {
 	Name           string
-	MaxConnections int // an upstream resets connections beyond these, from all daemons together
-	Engine         *Engine
-	Scaling        *Scaling // nil: its upstreams aren't ours to order
+	MaxConnections int      // an upstream resets connections beyond this number, of all daemons together
+	Engine         *Engine  // nil: the upstreams aren't model engines
+	Scaling        *Scaling // nil: upstreams can't be ordered
 }
 
-// Scaling is how many upstreams of a service may be ordered, and at which price.
+// Scaling limits how many upstreams of a service may be ordered, and says at which price.
 type Scaling struct {
-	Min, Max  int           // upstreams of a data centre
-	Boot      time.Duration // from an order until its upstreams serve
-	SpotPrice float64       // of one that may be taken away, as a part of another's; 0: none
-	Prices    map[string]float64
+	Min, Max  int                // number of upstreams in one data centre
+	Boot      time.Duration      // time from an order until its upstreams serve
+	SpotPrice float64            // price of a spot upstream relative to a regular one, 0: there are none
+	Prices    map[string]float64 // price of a regular upstream, by data centre
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots  int // samples run at once
-	Models []string
+	Slots  int      // number of samples that an engine runs at once
+	Models []string // names of the models that the service serves
 	Moves  bool
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on callers' requests and connections, 0: no limit.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
+	HeaderTimeout  time.Duration // from the first byte of a request's header to its end
+	IdleTimeout    time.Duration // between two requests on a connection
 }
 
-// Config is one accepted configuration. It isn't changed after New.
+// Config is a version of the configuration. It isn't changed after New.
 type Config struct {
 	Version  int64
-	Services map[string]Service
+	Services map[string]Service // by name
 	Limits   Limits
-	// Customers are those whose keys are in force, nil where callers need none.
+	// Customers are the customers with their keys. nil: callers need no key.
 	Customers *customers.Directory
-	byHost    map[string][]Route // longest prefix first
+	byHost    map[string][]Route // by lower-case host, longest prefix first
 	routes    []Route
 }
 
-// New returns a configuration of the given parts.
+// New returns a configuration.
 func New(version int64, routes []Route, services []Service, limits Limits, directory *customers.Directory) *Config {
 	c := &Config{Version: version, Services: map[string]Service{}, Limits: limits, Customers: directory, byHost: map[string][]Route{}, routes: routes}
 	for _, s := range services {
@@ -107,7 +107,8 @@
 	return c
 }
 
-// Match returns the route with the longest prefix of the path.
+// Match returns the host's route with the longest prefix of the path. It returns false if
+// there is none.
 func (c *Config) Match(host, path string) (Route, bool) {
 	for _, r := range c.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -117,26 +118,27 @@
 	return Route{}, false
 }
 
-// HasBatches reports whether any route of the host takes batches.
+// HasBatches reports whether the host has a route for batches.
 func (c *Config) HasBatches(host string) bool {
 	return slices.ContainsFunc(c.byHost[strings.ToLower(host)], func(r Route) bool { return r.Kind == Batch })
 }
 
-// Routes returns all routes in the order of the document.
+// Routes returns all routes in the order of the configuration document.
 func (c *Config) Routes() []Route { return c.routes }
 
-// Pick returns the service for a request, by weight. roll is uniform in [0, 1).
-func (r Route) Pick(roll float64) string {
+// Pick selects the service for a request with a probability proportional to its weight.
+// random is a number from the uniform distribution over [0, 1).
+func (r Route) Pick(random float64) string {
 	total := 0
 	for _, s := range r.Services {
 		total += s.Weight
 	}
-	at := int(roll * float64(total))
+	offset := int(random * float64(total))
 	for _, s := range r.Services {
-		if at < s.Weight {
+		if offset < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		offset -= s.Weight
 	}
 	return r.Services[len(r.Services)-1].Service
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -6,24 +6,24 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestMatch(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	route := func(host, prefix string, kind Kind) Route {
 		return Route{Name: host + prefix, Host: host, PathPrefix: prefix, Kind: kind}
 	}
-	c := New(3, []Route{route("A.example", "/", Safe), route("a.example", "/x/", Unsafe), route("a.example", "/x/y/", Batch), route("b.example", "/x/", Safe)}, nil, Limits{}, nil)
-	for _, each := range []struct{ host, path, want string }{
+	config := New(3, []Route{route("A.example", "/", Safe), route("a.example", "/x/", Unsafe), route("a.example", "/x/y/", Batch), route("b.example", "/x/", Safe)}, nil, Limits{}, nil)
+	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "a.example/x/y/"},
 		{"a.example", "/x/z", "a.example/x/"},
 		{"A.EXAMPLE", "/x", "A.example/"},
 		{"b.example", "/y", ""},
 		{"c.example", "/", ""},
 	} {
-		r, ok := c.Match(each.host, each.path)
-		NewWithT(t).Expect(r.Name).To(Equal(each.want), each.host+each.path)
-		NewWithT(t).Expect(ok).To(Equal(each.want != ""))
+		r, ok := config.Match(c.host, c.path)
+		NewWithT(t).Expect(r.Name).To(Equal(c.want), c.host+c.path)
+		NewWithT(t).Expect(ok).To(Equal(c.want != ""))
 	}
-	NewWithT(t).Expect(c.HasBatches("a.example")).To(BeTrue())
-	NewWithT(t).Expect(c.HasBatches("b.example")).To(BeFalse())
+	NewWithT(t).Expect(config.HasBatches("a.example")).To(BeTrue())
+	NewWithT(t).Expect(config.HasBatches("b.example")).To(BeFalse())
 }
 
 func TestPickByWeight(t *testing.T) {
