--- a/internal/customers/customers.go
+++ b/internal/customers/customers.go
@@ -1,8 +1,9 @@
-// Package customers tells by a request's key which customer asks. A key is an identity
-// at the edge and goes no further: upstreams, records and other daemons get the customer's
-// name. Keys come and go with configurations; a customer's work outlives them.
+// Package customers identifies the customer that made a request by the request's API key. A
+// key isn't passed on from the daemon that receives it: upstreams, log records and other
+// daemons get the customer's name. Each configuration may add and remove keys; requests and
+// batches that were accepted with a key go on when it is removed.
 //
-// It is pure. A Directory isn't changed after New and is safe for concurrent use.
+// The package does no I/O. A Directory isn't changed after New and is safe for concurrent use.
 package customers
 
 import (
@@ -14,46 +15,49 @@
 	"slices"
 )
 
-// Customer is who asks.
+// Customer is a customer of the platform.
 type Customer struct {
 	Name string
-	// Priority goes before that of the route, 0 is the highest. nil: the route's holds.
+	// Priority overrides the route's priority, 0 is the highest. nil: the route's applies.
 	Priority *int
 }
 
-// Entry is a customer and its keys, as an operator gives them.
+// Entry is a customer and its keys, as configured by an operator.
 type Entry struct {
 	Customer
 	Keys []string
 }
 
 var (
-	// ErrUnknownKey: no customer of this configuration has the key, or none was given.
+	// ErrUnknownKey is returned for a key that no customer has, and for a missing key.
 	ErrUnknownKey = errors.New("customers: unknown key")
-	// ErrNoName: a customer without a name would be nobody to upstreams.
-	ErrNoName = errors.New("customers: a customer has no name")
-	// ErrSameName: two customers of one name would be one to upstreams.
-	ErrSameName = errors.New("customers: two customers of one name")
-	// ErrEmptyKey would let requests without a key in.
-	ErrEmptyKey = errors.New("customers: an empty key")
-	// ErrSameKey: who asks with a key of two customers can't be told.
-	ErrSameKey = errors.New("customers: two customers have one key")
+	// ErrMissingName is returned for a customer without a name. Upstreams could not identify it.
+	ErrMissingName = errors.New("customers: customer has no name")
+	// ErrDuplicateName is returned for a name that another customer has. Upstreams could not
+	// distinguish the two.
+	ErrDuplicateName = errors.New("customers: another customer has the same name")
+	// ErrEmptyKey is returned for an empty key. It would admit requests without a key.
+	ErrEmptyKey = errors.New("customers: empty key")
+	// ErrDuplicateKey is returned for a key that another customer has. It would not identify
+	// the customer.
+	ErrDuplicateKey = errors.New("customers: another customer has the same key")
 )
 
-// digest stands for a key: no key is kept, so none shows in a dump or a log.
-type digest [sha256.Size]byte
+// keyHash is the hash of a key. Keys themselves aren't stored, so that they can't appear in a
+// memory dump or a log.
+type keyHash [sha256.Size]byte
 
-// Directory names the customers of one configuration by their keys. The nil Directory is
-// that of a deployment whose callers need no key.
+// Directory finds the customers of one configuration by their keys. The nil Directory is for
+// deployments whose callers need no key.
 type Directory struct {
-	byKey map[digest]Customer
+	byKey map[keyHash]Customer
 	names map[string]bool
 }
 
-// New returns a directory. The error names the first bad entry by its position and name,
-// never a key.
+// New returns a directory. The error contains the position and the name of the first invalid
+// entry, but no key.
 func New(entries []Entry) (*Directory, error) {
-	d := &Directory{byKey: map[digest]Customer{}, names: map[string]bool{}}
+	d := &Directory{byKey: map[keyHash]Customer{}, names: map[string]bool{}}
 	for i, e := range entries {
 		if err := d.add(e); err != nil {
 			return nil, fmt.Errorf("customer %d %q: %w", i, e.Name, err)
@@ -65,54 +69,55 @@
 func (d *Directory) add(e Entry) error {
 	switch {
 	case e.Name == "":
-		return ErrNoName
+		return ErrMissingName
 	case d.names[e.Name]:
-		return ErrSameName
+		return ErrDuplicateName
 	}
 	d.names[e.Name] = true
 	for _, key := range e.Keys {
 		if key == "" {
 			return ErrEmptyKey
 		}
-		sum := digest(sha256.Sum256([]byte(key)))
-		if other, known := d.byKey[sum]; known && other.Name != e.Name {
-			return fmt.Errorf("%w, the other is %q", ErrSameKey, other.Name)
+		hash := keyHash(sha256.Sum256([]byte(key)))
+		if other, known := d.byKey[hash]; known && other.Name != e.Name {
+			return fmt.Errorf("%w: %q", ErrDuplicateKey, other.Name)
 		}
-		d.byKey[sum] = e.Customer
+		d.byKey[hash] = e.Customer
 	}
 	return nil
 }
 
-// Identify returns who asks with a key. A public request needs none; a known one names its
-// customer all the same. Error: ErrUnknownKey.
+// Identify returns the customer that has a key. A request to a public route needs no key and
+// gets the zero Customer without a known one. Error: ErrUnknownKey.
 func (d *Directory) Identify(key string, public bool) (Customer, error) {
 	if d == nil {
 		return Customer{}, nil
 	}
-	c, known := d.byKey[digest(sha256.Sum256([]byte(key)))]
+	c, known := d.byKey[keyHash(sha256.Sum256([]byte(key)))]
 	if !known && !public {
 		return Customer{}, ErrUnknownKey
 	}
 	return c, nil
 }
 
-// KeyInForce is a key as operators see it.
+// KeyInForce describes a key of the current configuration to operators.
 type KeyInForce struct {
-	Customer string `json:"customer"`
-	SHA256   string `json:"sha256"` // the first digits, enough to tell keys apart
+	Customer string `json:"customer"` // name
+	SHA256   string `json:"sha256"`   // the first hexadecimal digits of the key's hash
 }
 
-// shownDigits of a key's hash tell a few hundred keys apart and say nothing of a key.
-const shownDigits = 12
+// shownHashDigits is the number of digits of a key's hash that operators see. They are enough
+// to distinguish a few hundred keys, and don't reveal a key.
+const shownHashDigits = 12
 
-// InForce lists the keys by customer.
+// InForce returns all keys, sorted by customer.
 func (d *Directory) InForce() []KeyInForce {
 	out := []KeyInForce{}
 	if d == nil {
 		return out
 	}
-	for sum, c := range d.byKey {
-		out = append(out, KeyInForce{Customer: c.Name, SHA256: hex.EncodeToString(sum[:])[:shownDigits]})
+	for hash, c := range d.byKey {
+		out = append(out, KeyInForce{Customer: c.Name, SHA256: hex.EncodeToString(hash[:])[:shownHashDigits]})
 	}
 	slices.SortFunc(out, func(a, b KeyInForce) int {
 		return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(a.SHA256, b.SHA256))
--- a/internal/customers/customers_test.go
+++ b/internal/customers/customers_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// A deployment without customers lets everybody in, with or without a key.
-func TestNoCustomersNeedNoKey(t *testing.T) {
+// A deployment without a list of customers accepts all requests, with or without a key.
+func TestNilDirectoryNeedsNoKey(t *testing.T) {
 	g := NewWithT(t)
 	var d *Directory
 	got, err := d.Identify("anything", false)
@@ -58,23 +58,24 @@
 	g.Expect(d.InForce()).To(BeEmpty())
 }
 
-// The last customer was removed. Its callers must not be let in as if keys weren't needed.
-func TestEmptyDirectoryLetsNobodyIn(t *testing.T) {
+// The last customer was removed. Its callers must be refused, and not accepted as if no keys
+// were needed.
+func TestEmptyDirectoryRefusesAllKeys(t *testing.T) {
 	_, err := directory(t).Identify("k", false)
 	NewWithT(t).Expect(err).To(MatchError(ErrUnknownKey))
 }
 
-// An operator's mistake is refused with the customer's name, and the message, which is
-// logged, holds no key.
-func TestBadEntriesAreRefused(t *testing.T) {
+// A list of customers with an operator's mistake is refused. The error is logged, so it must
+// not contain a key.
+func TestNewRefusesInvalidEntries(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		entries []Entry
 		want    error
 	}{
-		{"no name", []Entry{entry("a", "secret-1"), entry("", "secret-2")}, ErrNoName},
-		{"one name twice", []Entry{entry("a", "secret-1"), entry("a", "secret-2")}, ErrSameName},
-		{"one key of two customers", []Entry{entry("a", "secret-1"), entry("b", "secret-1")}, ErrSameKey},
+		{"no name", []Entry{entry("a", "secret-1"), entry("", "secret-2")}, ErrMissingName},
+		{"one name twice", []Entry{entry("a", "secret-1"), entry("a", "secret-2")}, ErrDuplicateName},
+		{"one key of two customers", []Entry{entry("a", "secret-1"), entry("b", "secret-1")}, ErrDuplicateKey},
 		{"an empty key", []Entry{entry("a", "secret-1", "")}, ErrEmptyKey},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -85,11 +86,11 @@
 			g.Expect(err.Error()).NotTo(ContainSubstring("secret"))
 		})
 	}
-	directory(t, entry("a", "k", "k")) // the same key twice of one customer is clear
+	directory(t, entry("a", "k", "k")) // a customer may have the same key twice
 }
 
-// Against a naive version: a scan over all entries.
-func TestAgreesWithAScan(t *testing.T) {
+// Compares Identify with a linear search through all entries, with random entries and keys.
+func TestIdentifyAgreesWithLinearSearch(t *testing.T) {
 	g := NewWithT(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	var entries []Entry
@@ -117,8 +118,8 @@
 	}
 }
 
-// What operators are shown tells keys apart and holds none of them.
-func TestKeysAreShownByHash(t *testing.T) {
+// The list of keys that operators see must distinguish the keys without containing one.
+func TestInForceShowsOnlyHashes(t *testing.T) {
 	g := NewWithT(t)
 	shown := directory(t, entry("b", "secret-3"), entry("a", "secret-1", "secret-2")).InForce()
 	g.Expect(shown).To(HaveLen(3))
