--- a/internal/keys/doc.go
+++ b/internal/keys/doc.go
@@ -1,4 +1,4 @@
-// Package keys makes the authority and the certificates that the daemons of a
-// small fleet prove themselves with to each other. A fleet with an authority of
-// its own needs none of it.
+// Package keys creates the certificate authority and the certificates with which the daemons
+// of a small fleet authenticate to each other, and hashes secrets. A fleet that has its own
+// certificate authority doesn't need the certificates.
 package keys
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -17,47 +17,48 @@
 	"time"
 )
 
-// Types of the PEM blocks.
+// PEM block types.
 const (
 	certificateBlock = "CERTIFICATE"
 	keyBlock         = "PRIVATE KEY" // PKCS #8
 )
 
-// backdate lets a VM whose clock is behind the issuer's take a new certificate.
-const backdate = 5 * time.Minute
+// clockTolerance is how long before its issue a certificate starts to be valid, so that VMs
+// whose clocks are behind the issuer's accept it at once.
+const clockTolerance = 5 * time.Minute
 
 var (
-	// ErrNoName says that a certificate would prove nobody.
-	ErrNoName = errors.New("keys: a certificate needs a name or an IP number")
-	// ErrNoAuthority says that a pair can't issue certificates.
-	ErrNoAuthority = errors.New("keys: not an authority's certificate and key")
-	// ErrEmptySecret says that there is nothing to hash.
+	// ErrMissingName is returned for a certificate without a DNS name or IP address.
+	ErrMissingName = errors.New("keys: a certificate needs a DNS name or an IP address")
+	// ErrInvalidAuthority is returned for a pair that can't issue certificates.
+	ErrInvalidAuthority = errors.New("keys: not the certificate and key of a certificate authority")
+	// ErrEmptySecret is returned for an empty secret.
 	ErrEmptySecret = errors.New("keys: the secret is empty")
 )
 
-// Pair is a certificate and its private key, both as PEM.
+// Pair is a certificate and its private key, both PEM-encoded.
 type Pair struct{ Certificate, Key []byte }
 
-// Validity is when a certificate begins to be good and for how long.
+// Validity is the period of validity of a certificate.
 type Validity struct {
-	From time.Time
+	From time.Time // time of issue
 	For  time.Duration
 }
 
-// NewAuthority makes a certificate authority.
+// NewAuthority creates a certificate authority. The name is for people only.
 func NewAuthority(name string, v Validity) (Pair, error) {
 	template := v.template(name)
 	template.IsCA, template.BasicConstraintsValid = true, true
-	template.MaxPathLenZero = true // it signs VMs, no further authorities
+	template.MaxPathLenZero = true // it signs certificates of VMs, not of other authorities
 	template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 	return sign(template, nil, nil)
 }
 
-// Issue makes a VM's certificate for names and IP numbers, good for both ends of
-// a connection. It ends with its authority at the latest.
+// Issue creates a VM's certificate for DNS names and IP addresses. It is valid for servers and
+// clients, and expires no later than the authority's certificate.
 func Issue(authority Pair, names []string, v Validity) (Pair, error) {
 	if len(names) == 0 {
-		return Pair{}, ErrNoName
+		return Pair{}, ErrMissingName
 	}
 	parent, key, err := authority.parse()
 	if err != nil {
@@ -79,8 +80,8 @@
 	return sign(template, parent, key)
 }
 
-// Hash returns the form in which the settings tree holds a secret. The line end
-// that a terminal or an editor leaves behind it isn't part of it.
+// Hash returns the hexadecimal SHA-256 of a secret, the form in which the settings tree
+// contains it. A line end after the secret, as terminals and editors add it, is ignored.
 func Hash(secret []byte) (string, error) {
 	secret = trimLineEnd(secret)
 	if len(secret) == 0 {
@@ -90,6 +91,7 @@
 	return hex.EncodeToString(sum[:]), nil
 }
 
+// trimLineEnd removes one line end, LF, CR or CRLF, from the end of b.
 func trimLineEnd(b []byte) []byte {
 	if n := len(b); n > 0 && b[n-1] == '\n' {
 		b = b[:n-1]
@@ -100,38 +102,41 @@
 	return b
 }
 
+// template returns a certificate template with the subject and the period of validity.
 func (v Validity) template(name string) *x509.Certificate {
 	return &x509.Certificate{
 		Subject:   pkix.Name{CommonName: name},
-		NotBefore: v.From.Add(-backdate),
+		NotBefore: v.From.Add(-clockTolerance),
 		NotAfter:  v.From.Add(v.For),
 	}
 }
 
-// sign makes a key and a certificate of it; without a parent it signs itself.
+// sign generates a key and signs a certificate for it. If parent is nil, the certificate is
+// self-signed.
 func sign(template, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fmt.Errorf("keys: make key: %w", err)
+		return Pair{}, fmt.Errorf("keys: generate key: %w", err)
 	}
 	if parent == nil {
 		parent, parentKey = template, key
 	}
 	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
 	if err != nil {
-		return Pair{}, fmt.Errorf("keys: make serial number: %w", err)
+		return Pair{}, fmt.Errorf("keys: generate serial number: %w", err)
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
 	if err != nil {
-		return Pair{}, fmt.Errorf("keys: make certificate: %w", err)
+		return Pair{}, fmt.Errorf("keys: create certificate: %w", err)
 	}
-	made, err := x509.ParseCertificate(der)
-	if err != nil || !slices.Equal(made.DNSNames, template.DNSNames) {
-		return Pair{}, fmt.Errorf("keys: %v can't all stand in a certificate: %w", template.DNSNames, err)
+	created, err := x509.ParseCertificate(der)
+	if err != nil || !slices.Equal(created.DNSNames, template.DNSNames) {
+		return Pair{}, fmt.Errorf("keys: not all of the names %v are valid in a certificate: %w", template.DNSNames, err)
 	}
 	return encode(der, key)
 }
 
+// encode returns a DER-encoded certificate and its key as PEM.
 func encode(der []byte, key *ecdsa.PrivateKey) (Pair, error) {
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -143,7 +148,7 @@
 	}, nil
 }
 
-// parse reads an authority's pair. Error: ErrNoAuthority.
+// parse parses an authority's pair. Error: ErrInvalidAuthority.
 func (p Pair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	certificate, err := parseBlock(p.Certificate, x509.ParseCertificate)
 	if err != nil {
@@ -155,19 +160,21 @@
 	}
 	key, ok := private.(*ecdsa.PrivateKey)
 	if !ok || !certificate.IsCA || !key.PublicKey.Equal(certificate.PublicKey) {
-		return nil, nil, ErrNoAuthority
+		return nil, nil, ErrInvalidAuthority
 	}
 	return certificate, key, nil
 }
 
+// parseBlock decodes the first PEM block of data and parses its contents. Error:
+// ErrInvalidAuthority.
 func parseBlock[T any](data []byte, parse func([]byte) (T, error)) (out T, _ error) {
 	block, _ := pem.Decode(data)
 	if block == nil {
-		return out, fmt.Errorf("%w: no PEM block", ErrNoAuthority)
+		return out, fmt.Errorf("%w: no PEM block", ErrInvalidAuthority)
 	}
 	out, err := parse(block.Bytes)
 	if err != nil {
-		return out, fmt.Errorf("%w: %w", ErrNoAuthority, err)
+		return out, fmt.Errorf("%w: %w", ErrInvalidAuthority, err)
 	}
 	return out, nil
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -28,12 +28,12 @@
 	ca, err := keys.NewAuthority("fleet", v)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = keys.Issue(ca, nil, v)
-	g.Expect(err).To(MatchError(keys.ErrNoName))
+	g.Expect(err).To(MatchError(keys.ErrMissingName))
 	vm, err := keys.Issue(ca, []string{"entry-1", "10.0.0.1"}, v)
 	g.Expect(err).NotTo(HaveOccurred())
-	// A VM's certificate can't make further ones.
+	// A VM's certificate can't issue other certificates.
 	_, err = keys.Issue(vm, []string{"entry-2"}, v)
-	g.Expect(err).To(MatchError(keys.ErrNoAuthority))
+	g.Expect(err).To(MatchError(keys.ErrInvalidAuthority))
 	_, err = keys.Issue(keys.Pair{Certificate: ca.Certificate, Key: vm.Key}, []string{"entry-2"}, v)
-	g.Expect(err).To(MatchError(keys.ErrNoAuthority))
+	g.Expect(err).To(MatchError(keys.ErrInvalidAuthority))
 }
