--- a/internal/duties/counts.go
+++ b/internal/duties/counts.go
@@ -27,7 +27,7 @@
 	countsFailed    = metrics.Counter("usage_appends_failed")
 )
 
-// CountsOptions of Counts.
+// CountsOptions configures the counting of usage.
 type CountsOptions struct {
 	Log    store.Log
 	Usage  *usage.Timing        // the windows and their retention, nil: nothing is counted
@@ -45,14 +45,14 @@
 
 	mu      sync.Mutex
 	counter *usage.Counter
-	flushed chan struct{} // closed while all counts are in the log
+	flushed chan struct{} // closed while no counts await their append
 
 	// Used by Run alone.
 	sequence    int64               // of the last record
 	unconfirmed []unconfirmedRecord // oldest first
 }
 
-// NewCounts returns a Counts that has counted nothing.
+// NewCounts returns an instance without counts.
 func NewCounts(o CountsOptions) *Counts {
 	c := &Counts{options: o, writer: uuid.NewString(), ready: make(chan struct{}, 1), flushed: make(chan struct{})}
 	close(c.flushed)
@@ -209,7 +209,7 @@
 	}
 }
 
-// signalFlushed closes flushed if all counts are in the log.
+// signalFlushed closes flushed if no counts await their append.
 func (c *Counts) signalFlushed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,7 +218,7 @@
 	}
 }
 
-// Drain waits until Run has appended all counts, or the context ends.
+// Drain waits until Run has appended all counts, or dropped them, or the context ends.
 func (c *Counts) Drain(ctx context.Context) {
 	c.mu.Lock()
 	flushed := c.flushed
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -194,7 +194,7 @@
 // what the duties need, so that it can take over at once.
 const Candidates = 6
 
-// ByPartition returns a Turn that ranks daemons by the partitions that they own. The owner of
+// ByPartition ranks daemons by the partitions that they own, which owns returns. The owner of
 // the last of parts partitions has rank 0, the owner of the one before it rank 1, and so on.
 // The owners of the last candidates partitions are the candidates. Ranks start at the last
 // partition because models are assigned the first ones, so that mostly a daemon without
--- a/internal/duties/ways_test.go
+++ b/internal/duties/ways_test.go
@@ -32,7 +32,7 @@
 	renewed time.Time // when this VM claimed the duty last
 }
 
-// rank implements duties.Turn.
+// rank returns rank 0 while this VM holds the claim, and false otherwise.
 func (c *claimElection) rank() (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
