--- a/internal/batchrun/answer.go
+++ b/internal/batchrun/answer.go
@@ -14,56 +14,58 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// ErrUnreachable: another daemon didn't answer. A call that was passed to it may take effect.
-var ErrUnreachable = errors.New("batchrun: daemon not reached")
+// ErrUnreachable means that another daemon didn't answer. A call that was forwarded to it may
+// still take effect.
+var ErrUnreachable = errors.New("batchrun: daemon unreachable")
 
-// Peers passes calls on to Here of other daemons. Beside the errors of Here, a call may
-// fail with ErrUnreachable.
+// Peers forwards calls to Here of other daemons, given by their address. id is a batch's ID.
+// Besides the errors of Here, a call may fail with ErrUnreachable.
 type Peers interface {
 	Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error)
 	List(ctx context.Context, address, id string, after int, wait time.Duration) (Listing, error)
 	End(ctx context.Context, address, id string) error
-	Body(ctx context.Context, address, id, item string) (BodyAt, error)
+	Body(ctx context.Context, address, id, sampleID string) (BodyAt, error)
 }
 
-// answerer answers for a batch that was located: Here, or a remote daemon.
-type answerer interface {
+// batchHandler handles the calls about a batch that was located: Here, or a remote daemon.
+type batchHandler interface {
 	List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error)
 	End(ctx context.Context, id string) error
-	Body(ctx context.Context, id, item string) (BodyAt, error)
+	Body(ctx context.Context, id, sampleID string) (BodyAt, error)
 }
 
 const (
-	// locateWait bounds the search for a batch.
-	locateWait = 1500 * time.Millisecond
-	// askWait bounds one question to a daemon: a way there and back of some ms, and the
-	// turns of a small VM's processor. After it the daemon counts as unreachable.
-	askWait = 250 * time.Millisecond
-	// callWait bounds a call beyond the wait that it asks for: its view may have to be
-	// brought up to date.
-	callWait = 700 * time.Millisecond
-	// passedWait bounds how long one passed call waits for results. A daemon that falls
-	// silent under it costs the reader this and callWait, within the 1.5 s that readers
-	// wait beyond what they ask for.
-	passedWait = 500 * time.Millisecond
-	// answerTries bounds the daemons that one call is passed to.
-	answerTries = 2
+	// locateTimeout bounds the search for a batch.
+	locateTimeout = 1500 * time.Millisecond
+	// askTimeout bounds the call that asks a daemon for a batch: a round trip of some ms, and
+	// scheduling delays on a small VM. A daemon that doesn't answer within it counts as
+	// unreachable.
+	askTimeout = 250 * time.Millisecond
+	// forwardTimeout bounds a forwarded call, in addition to the wait that it requests: the
+	// other daemon may have to bring its view up to date.
+	forwardTimeout = 700 * time.Millisecond
+	// maxForwardedWait bounds the wait for results that one forwarded call requests. A daemon
+	// that stops answering during the call delays the reader by this and forwardTimeout,
+	// which is within the 1.5 s that readers wait beyond the wait that they request.
+	maxForwardedWait = 500 * time.Millisecond
+	// maxHandlerAttempts bounds how often a call is made if daemons don't answer.
+	maxHandlerAttempts = 2
 )
 
 var (
-	callsPassed    = metrics.Counter("batch_calls_passed_on")
-	callsLostPeer  = metrics.Counter("batch_calls_peer_unreachable")
-	callsFollowing = metrics.Counter("batch_calls_followed_here")
+	callsForwarded       = metrics.Counter("batch_calls_passed_on")
+	callsPeerUnreachable = metrics.Counter("batch_calls_peer_unreachable")
+	callsFollowedLocally = metrics.Counter("batch_calls_followed_here")
 )
 
-// Results returns the results from a position on. Without any it waits for the
-// first. Errors: ErrNotFound, ErrUnsure.
+// Results returns a batch's results from position after on. If there are none it waits for the
+// first one. Errors: ErrNotFound, ErrUnsure.
 func (s *Service) Results(ctx context.Context, id string, after int, wait time.Duration) (Page, error) {
 	var listing Listing
 	until := s.options.Now() + wait
-	err := s.answer(ctx, id, func(a answerer) error {
+	err := s.callHandler(ctx, id, func(h batchHandler) error {
 		var err error
-		listing, err = a.List(ctx, id, after, max(0, until-s.options.Now()))
+		listing, err = h.List(ctx, id, after, max(0, until-s.options.Now()))
 		return err
 	})
 	if errors.Is(err, ErrUnreachable) {
@@ -72,15 +74,16 @@
 	if err != nil {
 		return Page{}, err
 	}
-	return s.page(ctx, listing, after)
+	return s.readPage(ctx, listing, after)
 }
 
-// Body returns the body of a sample. Errors: ErrNotFound, ErrUnsure.
-func (s *Service) Body(ctx context.Context, id, item string) ([]byte, error) {
-	var at BodyAt
-	err := s.answer(ctx, id, func(a answerer) error {
+// Body returns the request body of a sample. id is the batch's ID. Errors: ErrNotFound,
+// ErrUnsure.
+func (s *Service) Body(ctx context.Context, id, sampleID string) ([]byte, error) {
+	var location BodyAt
+	err := s.callHandler(ctx, id, func(h batchHandler) error {
 		var err error
-		at, err = a.Body(ctx, id, item)
+		location, err = h.Body(ctx, id, sampleID)
 		return err
 	})
 	if errors.Is(err, ErrUnreachable) {
@@ -89,30 +92,30 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.readBody(ctx, at)
+	return s.readBody(ctx, location)
 }
 
-// End ends a batch; ending it again changes nothing. Errors: ErrNotFound,
-// ErrUnsure, ErrNotRun, ErrUnknown.
+// End ends a batch; ending it again has no effect. Errors: ErrNotFound, ErrUnsure, ErrNotRun,
+// ErrUnknown.
 func (s *Service) End(ctx context.Context, id string) error {
-	err := s.answer(ctx, id, func(a answerer) error { return a.End(ctx, id) })
+	err := s.callHandler(ctx, id, func(h batchHandler) error { return h.End(ctx, id) })
 	if errors.Is(err, ErrUnreachable) {
 		err = errors.Join(ErrUnknown, err)
 	}
 	return err
 }
 
-// answer has a call answered where its batch is held. A call that met a daemon which
-// doesn't answer is made once more elsewhere: each of them may be repeated.
-func (s *Service) answer(ctx context.Context, id string, call func(answerer) error) error {
+// callHandler locates a batch and makes a call to its handler. If the daemon there doesn't
+// answer, the batch is located again and the call repeated, which is safe for each of them.
+func (s *Service) callHandler(ctx context.Context, id string, call func(batchHandler) error) error {
 	var err error
-	for range answerTries {
-		var at answerer
+	for range maxHandlerAttempts {
+		var handler batchHandler
 		var release func()
-		if at, release, err = s.locate(ctx, id); err != nil {
+		if handler, release, err = s.locate(ctx, id); err != nil {
 			return err
 		}
-		err = call(at)
+		err = call(handler)
 		release()
 		if !errors.Is(err, ErrUnreachable) {
 			return err
@@ -121,33 +124,33 @@
 	return err
 }
 
-// locate finds who answers for a batch. It looks first where models have their partitions.
-// That there is no such batch is said only when every other partition was brought up to
-// date too, by its owner or here: a model's partition may have been written down after this
-// daemon's last look, or the log may have lost that record. The caller calls release when
-// it has its answer.
-func (s *Service) locate(ctx context.Context, id string) (at answerer, release func(), err error) {
+// locate finds the handler of a batch. It first searches the partitions that models are
+// assigned to. It returns ErrNotFound only after all other partitions were searched too, each
+// of them brought up to date by its owner or here: a model's assignment may have been recorded
+// after this daemon last read the topic, or the store may have lost the record. The caller
+// calls release after its call to the handler.
+func (s *Service) locate(ctx context.Context, id string) (handler batchHandler, release func(), err error) {
 	if p := s.partitionForBatch(id); p != nil {
 		return s.Here(), p.follower.Hold(), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, locateWait)
+	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
-	homes := s.modelPartitions.partitions()
-	at, release, err = s.search(ctx, id, homes)
+	assigned := s.modelPartitions.partitions()
+	handler, release, err = s.search(ctx, id, assigned)
 	if !errors.Is(err, ErrNotFound) {
-		return at, release, err
+		return handler, release, err
 	}
 	var others []int
 	for _, p := range s.partitions {
-		if !slices.Contains(homes, p.number) {
+		if !slices.Contains(assigned, p.number) {
 			others = append(others, p.number)
 		}
 	}
 	return s.search(ctx, id, others)
 }
 
-// search looks for a batch in some partitions.
-func (s *Service) search(ctx context.Context, id string, parts []int) (at answerer, release func(), err error) {
+// search searches some partitions for a batch.
+func (s *Service) search(ctx context.Context, id string, parts []int) (handler batchHandler, release func(), err error) {
 	search := locate.New(parts, s.directory.cached(s.options.Now()), s.options.Now())
 	release = func() {}
 	for ctx.Err() == nil {
@@ -155,14 +158,14 @@
 		case locate.ReadOwners:
 			s.readOwners(ctx, search)
 		case locate.Ask:
-			s.ask(ctx, id, a, search)
+			s.askOwners(ctx, id, a, search)
 		case locate.Pause:
 			pause.For(ctx, a.For)
 		case locate.Follow:
-			release = s.follow(ctx, id, a.Parts, search)
+			release = s.searchLocally(ctx, id, a.Parts, search)
 		case locate.Found:
-			callsPassed.Add(1)
-			return remote{s, a.Address}, release, nil
+			callsForwarded.Add(1)
+			return remoteHandler{s, a.Address}, release, nil
 		case locate.FoundHere:
 			return s.Here(), release, nil
 		case locate.Nowhere:
@@ -177,31 +180,32 @@
 	return nil, nil, errors.Join(ErrUnsure, ctx.Err())
 }
 
+// readOwners gives a search the current owners of the partitions.
 func (s *Service) readOwners(ctx context.Context, search *locate.Search) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	owners, err := s.directory.refresh(ctx, s.options.Now())
 	if err != nil {
-		// In an outage of the store nobody gets another's partition: whoever owned one
-		// still answers for what it has.
+		// No partition changes its owner during an outage of the store, so the former
+		// owners still answer from their views.
 		owners = s.directory.lastKnown()
-		s.options.Logger.Warn().Err(err).Int("known", len(owners)).Msg("owners of the partitions not read, those known before are asked")
+		s.options.Logger.Warn().Err(err).Int("known", len(owners)).Msg("failed to read the partition owners; using the last known ones")
 	}
 	search.Owners(owners)
 }
 
-// ask asks daemons at once whether they hold a batch.
-func (s *Service) ask(ctx context.Context, id string, a locate.Ask, search *locate.Search) {
+// askOwners asks several owners concurrently whether they hold a batch.
+func (s *Service) askOwners(ctx context.Context, id string, a locate.Ask, search *locate.Search) {
 	answers := make([]locate.Answer, len(a.Addresses))
 	errs := make([]error, len(a.Addresses))
-	var work errgroup.Group
+	var g errgroup.Group
 	for i, address := range a.Addresses {
-		work.Go(func() error {
-			answers[i], errs[i] = s.askOne(ctx, address, id, a.Confirm)
+		g.Go(func() error {
+			answers[i], errs[i] = s.askOwner(ctx, address, id, a.Confirm)
 			return nil
 		})
 	}
-	_ = work.Wait() // none of them returns an error
+	_ = g.Wait() // none of them returns an error
 	for i, address := range a.Addresses {
 		if errs[i] != nil {
 			search.Unreachable(address)
@@ -211,18 +215,19 @@
 	}
 }
 
-func (s *Service) askOne(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
+// askOwner asks one owner, which may be this daemon, whether it holds a batch.
+func (s *Service) askOwner(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
 	if address == s.options.Address {
 		return s.Here().Locate(ctx, id, confirm), nil
 	}
-	limit := askWait
+	timeout := askTimeout
 	if confirm {
-		limit += confirmWait / 2
+		timeout += confirmTimeout / 2
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var answer locate.Answer
-	err := remote{s, address}.do(ctx, func() error {
+	err := remoteHandler{s, address}.do(ctx, func() error {
 		var err error
 		answer, err = s.options.Peers.Locate(ctx, address, id, confirm)
 		return err
@@ -230,33 +235,35 @@
 	return answer, err
 }
 
-// follow reads partitions here and looks for a batch there. They stay held until release.
-func (s *Service) follow(ctx context.Context, id string, parts []int, search *locate.Search) (release func()) {
-	callsFollowing.Add(1)
-	s.options.Logger.Info().Str("batch", id).Ints("parts", parts).Msg("owners not reached, partitions followed here")
-	var held []func()
+// searchLocally follows partitions on this daemon and searches their views for a batch. The
+// views are held until release is called.
+func (s *Service) searchLocally(ctx context.Context, id string, parts []int, search *locate.Search) (release func()) {
+	callsFollowedLocally.Add(1)
+	s.options.Logger.Info().Str("batch", id).Ints("parts", parts).Msg("partition owners unreachable; following the partitions on this daemon")
+	var releases []func()
 	var list []*partition
 	for _, n := range parts {
 		list = append(list, s.partitions[n])
-		held = append(held, s.partitions[n].follower.Hold())
+		releases = append(releases, s.partitions[n].follower.Hold())
 	}
-	confirmed := s.Here().confirm(ctx, list)
+	confirmed := s.Here().catchUp(ctx, list)
 	search.Followed(s.partitionForBatch(id) != nil, confirmed)
 	return func() {
-		for _, release := range held {
+		for _, release := range releases {
 			release()
 		}
 	}
 }
 
-// remote answers by another daemon.
-type remote struct {
+// remoteHandler forwards calls to another daemon.
+type remoteHandler struct {
 	s       *Service
 	address string
 }
 
-// do makes a call to the daemon unless it didn't answer a moment ago.
-func (r remote) do(ctx context.Context, call func() error) error {
+// do makes a call to the daemon. If the daemon recently failed to answer, it returns
+// ErrUnreachable at once.
+func (r remoteHandler) do(ctx context.Context, call func() error) error {
 	now, suspects := r.s.options.Now(), r.s.options.Suspects
 	if r.s.options.Peers == nil || suspects.Holds(r.address, now) {
 		return ErrUnreachable
@@ -266,29 +273,31 @@
 	case !errors.Is(err, ErrUnreachable):
 		suspects.Worked(r.address)
 	case ctx.Err() != nil && errors.Is(context.Cause(ctx), context.Canceled):
-		// The caller left: that says nothing of the daemon.
+		// The caller cancelled the call, so the daemon isn't suspect.
 	default:
-		callsLostPeer.Add(1)
+		callsPeerUnreachable.Add(1)
 		suspects.Failed(r.address, r.s.options.Now())
-		r.s.options.Logger.Warn().Str("daemon", r.address).Err(err).Msg("daemon not reached")
+		r.s.options.Logger.Warn().Str("daemon", r.address).Err(err).Msg("daemon did not answer")
 	}
 	return err
 }
 
-// List waits in pieces, so that a daemon that falls silent is noticed in time.
-func (r remote) List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error) {
+// List waits in several calls of at most maxForwardedWait each, so that it is noticed in time
+// if the daemon stops answering.
+func (r remoteHandler) List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error) {
 	until := r.s.options.Now() + wait
 	for {
-		left := max(0, until-r.s.options.Now())
-		l, err := r.list(ctx, id, after, min(left, passedWait))
-		if err != nil || len(l.Listed) > 0 || left <= passedWait || after >= l.Total {
+		remaining := max(0, until-r.s.options.Now())
+		l, err := r.listOnce(ctx, id, after, min(remaining, maxForwardedWait))
+		if err != nil || len(l.Listed) > 0 || remaining <= maxForwardedWait || after >= l.Total {
 			return l, err
 		}
 	}
 }
 
-func (r remote) list(ctx context.Context, id string, after int, wait time.Duration) (l Listing, err error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+callWait)
+// listOnce makes one List call to the daemon.
+func (r remoteHandler) listOnce(ctx context.Context, id string, after int, wait time.Duration) (l Listing, err error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+forwardTimeout)
 	defer cancel()
 	err = r.do(ctx, func() error {
 		l, err = r.s.options.Peers.List(ctx, r.address, id, after, wait)
@@ -297,20 +306,20 @@
 	return l, err
 }
 
-// End ends the batch there.
-func (r remote) End(ctx context.Context, id string) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitWait)
+// End ends the batch on the daemon, even if the caller leaves meanwhile.
+func (r remoteHandler) End(ctx context.Context, id string) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitTimeout)
 	defer cancel()
 	return r.do(ctx, func() error { return r.s.options.Peers.End(ctx, r.address, id) })
 }
 
-// Body asks where a sample's body lies.
-func (r remote) Body(ctx context.Context, id, item string) (at BodyAt, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callWait)
+// Body asks the daemon for the location of a sample's body.
+func (r remoteHandler) Body(ctx context.Context, id, sampleID string) (location BodyAt, err error) {
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	err = r.do(ctx, func() error {
-		at, err = r.s.options.Peers.Body(ctx, r.address, id, item)
+		location, err = r.s.options.Peers.Body(ctx, r.address, id, sampleID)
 		return err
 	})
-	return at, err
+	return location, err
 }
--- a/internal/batchrun/answer_test.go
+++ b/internal/batchrun/answer_test.go
@@ -17,8 +17,8 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// worldPeers carries calls between the daemons of a world. An address is a VM's name.
-type worldPeers struct {
+// clusterPeers carries calls between the daemons of a world. An address is a VM's name.
+type clusterPeers struct {
 	w *testCluster
 
 	mu     sync.Mutex
@@ -26,16 +26,16 @@
 	calls  int
 }
 
-const peerAnswer = 2 * time.Millisecond
+const peerLatency = 2 * time.Millisecond
 
-func (p *worldPeers) setSilent(address string, silent bool) {
+func (p *clusterPeers) setSilent(address string, silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silent[address] = silent
 }
 
-// reach suffers the way to a daemon.
-func (p *worldPeers) reach(ctx context.Context, address string) (Here, error) {
+// dial suffers the way to a daemon.
+func (p *clusterPeers) dial(ctx context.Context, address string) (Here, error) {
 	p.mu.Lock()
 	p.calls++
 	silent := p.silent[address]
@@ -44,7 +44,7 @@
 		<-ctx.Done()
 		return Here{}, ErrUnreachable
 	}
-	pause.For(ctx, peerAnswer)
+	pause.For(ctx, peerLatency)
 	for _, v := range p.w.vms {
 		if s := v.daemon(); v.name == address && s != nil {
 			return s.Here(), nil
@@ -53,47 +53,47 @@
 	return Here{}, ErrUnreachable // the connection is refused
 }
 
-func (p *worldPeers) Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
-	h, err := p.reach(ctx, address)
+func (p *clusterPeers) Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
+	h, err := p.dial(ctx, address)
 	if err != nil {
 		return locate.Answer{}, err
 	}
 	return h.Locate(ctx, id, confirm), nil
 }
 
-func (p *worldPeers) List(ctx context.Context, address, id string, after int, wait time.Duration) (Listing, error) {
-	h, err := p.reach(ctx, address)
+func (p *clusterPeers) List(ctx context.Context, address, id string, after int, wait time.Duration) (Listing, error) {
+	h, err := p.dial(ctx, address)
 	if err != nil {
 		return Listing{}, err
 	}
 	return h.List(ctx, id, after, wait)
 }
 
-func (p *worldPeers) End(ctx context.Context, address, id string) error {
-	h, err := p.reach(ctx, address)
+func (p *clusterPeers) End(ctx context.Context, address, id string) error {
+	h, err := p.dial(ctx, address)
 	if err != nil {
 		return err
 	}
 	return h.End(ctx, id)
 }
 
-func (p *worldPeers) Body(ctx context.Context, address, id, item string) (BodyAt, error) {
-	h, err := p.reach(ctx, address)
+func (p *clusterPeers) Body(ctx context.Context, address, id, item string) (BodyAt, error) {
+	h, err := p.dial(ctx, address)
 	if err != nil {
 		return BodyAt{}, err
 	}
 	return h.Body(ctx, id, item)
 }
 
-// newPeerWorld is a world whose daemons reach each other.
-func newPeerWorld(t *testing.T, vms int) (*testCluster, *worldPeers) {
-	peers := &worldPeers{silent: map[string]bool{}}
+// newPeerCluster is a world whose daemons reach each other.
+func newPeerCluster(t *testing.T, vms int) (*testCluster, *clusterPeers) {
+	peers := &clusterPeers{silent: map[string]bool{}}
 	w := newTestClusterWithOptions(t, clusterOptions{seed: 1, parts: 4, vms: vms, engines: 2, models: []string{"m0"}, peers: peers})
 	return w, peers
 }
 
-// submitSteady lets the daemons join and hands a batch "b" of model m0 in at the first VM.
-func submitSteady(g *WithT, w *testCluster, name string, groups int) []batch.Item {
+// joinAndSubmit lets the daemons join and hands a batch "b" of model m0 in at the first VM.
+func joinAndSubmit(g *WithT, w *testCluster, name string, groups int) []batch.Item {
 	time.Sleep(2 * time.Second)
 	items := w.submitBatch(g, "m0", name, groups, 2, 1)
 	return items
@@ -102,7 +102,7 @@
 // ownerAndOther returns the VM that runs the model's batches, and another one.
 func ownerAndOther(w *testCluster, model string) (owner, other *testVM) {
 	for _, v := range w.vms {
-		if v.daemon() != nil && v.ownsHomeOf(model) {
+		if v.daemon() != nil && v.ownsPartitionOf(model) {
 			owner = v
 		} else {
 			other = v
@@ -114,13 +114,13 @@
 // A trainer's calls reach daemons that don't follow its batch. Each answers by the owner:
 // the results, a body, the end, and that a batch doesn't exist, without reading the
 // partition itself.
-func TestCallsArePassedToTheOwner(t *testing.T) {
+func TestCallsAreForwardedToTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, _ := newPeerWorld(t, 3)
+		w, _ := newPeerCluster(t, 3)
 		defer w.stop()
 		ctx := context.Background()
-		items := submitSteady(g, w, "passed", 2)
+		items := joinAndSubmit(g, w, "passed", 2)
 		time.Sleep(time.Second)
 		_, other := ownerAndOther(w, "m0")
 		s := other.daemon()
@@ -151,9 +151,9 @@
 func TestResentBatchIsNotWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, _ := newPeerWorld(t, 2)
+		w, _ := newPeerCluster(t, 2)
 		defer w.stop()
-		submitSteady(g, w, "resent", 2)
+		joinAndSubmit(g, w, "resent", 2)
 		head, items, requests := newBatch("m0", "resent", 2, 2, 1)
 		time.Sleep(100 * time.Millisecond)
 		_, other := ownerAndOther(w, "m0")
@@ -167,13 +167,13 @@
 // off from it alone. The trainer's read must come back within the 1.5 s that it waits
 // beyond what it asked for, with what the log has, and must never say that there is no
 // such batch.
-func TestSilentOwnerIsReadAroundInTime(t *testing.T) {
+func TestSilentOwnerIsBypassedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, peers := newPeerWorld(t, 2)
+		w, peers := newPeerCluster(t, 2)
 		defer w.stop()
 		ctx := context.Background()
-		items := submitSteady(g, w, "silent", 2)
+		items := joinAndSubmit(g, w, "silent", 2)
 		owner, other := ownerAndOther(w, "m0")
 		for _, silentAfter := range []time.Duration{0, 20 * time.Millisecond} { // before the call, and under it
 			peers.setSilent(owner.name, silentAfter == 0)
@@ -192,13 +192,13 @@
 
 // The owner is killed, and a daemon that reaches neither an owner nor the store is asked.
 // It can't know; "no such batch" would make the trainer drop its step.
-func TestUnreachableOwnerAndStoreAreNoAbsence(t *testing.T) {
+func TestUnreachableOwnerAndStoreAreNotReportedAsNotFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, _ := newPeerWorld(t, 2)
+		w, _ := newPeerCluster(t, 2)
 		defer w.stop()
 		ctx := context.Background()
-		submitSteady(g, w, "away", 1)
+		joinAndSubmit(g, w, "away", 1)
 		owner, other := ownerAndOther(w, "m0")
 		w.kill(owner)
 		other.client.SetFaults(metastore.Faults{Cut: true})
@@ -210,10 +210,10 @@
 
 // All VMs are killed right after a batch was accepted, in a deployment with many
 // partitions and few daemons that follow each. The batch must be there when they are back.
-func TestAcceptedBatchOutlivesAllVMs(t *testing.T) {
+func TestAcceptedBatchSurvivesLossOfAllVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		peers := &worldPeers{silent: map[string]bool{}}
+		peers := &clusterPeers{silent: map[string]bool{}}
 		w := newTestClusterWithOptions(t, clusterOptions{seed: 2, parts: scaleParts, vms: 30, engines: 6, models: []string{"m0", "m1", "m2"}, peers: peers})
 		defer w.stop()
 		time.Sleep(3 * time.Second)
@@ -240,10 +240,10 @@
 func TestReadyResultsAreGivenWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, _ := newPeerWorld(t, 2)
+		w, _ := newPeerCluster(t, 2)
 		defer w.stop()
 		ctx := context.Background()
-		items := submitSteady(g, w, "ready", 2)
+		items := joinAndSubmit(g, w, "ready", 2)
 		_, other := ownerAndOther(w, "m0")
 		for listed := 0; listed < len(items); {
 			page, err := other.daemon().Results(ctx, "b", listed, time.Second)
@@ -269,10 +269,10 @@
 func TestOwnersDoNotReadTextsForOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, _ := newPeerWorld(t, 2)
+		w, _ := newPeerCluster(t, 2)
 		defer w.stop()
 		ctx := context.Background()
-		items := submitSteady(g, w, "late", 2)
+		items := joinAndSubmit(g, w, "late", 2)
 		time.Sleep(10 * time.Second)
 		w.killAll(w.vms, 0) // nobody has a text at hand any more
 		time.Sleep(4 * time.Second)
@@ -289,13 +289,13 @@
 // Daemons that reach neither the store nor an owner try to read partitions here. None of
 // them may go on with it when the store is back: dozens that read everything at that moment
 // took a second of the rate that all share.
-func TestViewsThatAreNotWholeAreDropped(t *testing.T) {
+func TestPartialViewsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, peers := newPeerWorld(t, 2)
+		w, peers := newPeerCluster(t, 2)
 		defer w.stop()
 		ctx := context.Background()
-		submitSteady(g, w, "dropped", 2)
+		joinAndSubmit(g, w, "dropped", 2)
 		owner, other := ownerAndOther(w, "m0")
 		peers.setSilent(owner.name, true)
 		other.client.SetFaults(metastore.Faults{Cut: true})
@@ -314,10 +314,10 @@
 func TestBatchIsFoundWithoutTheRecordOfItsPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w, _ := newPeerWorld(t, 3)
+		w, _ := newPeerCluster(t, 3)
 		defer w.stop()
 		ctx := context.Background()
-		items := submitSteady(g, w, "homeless", 1)
+		items := joinAndSubmit(g, w, "homeless", 1)
 		time.Sleep(time.Second)
 		g.Expect(w.store.Put(modelPartitionsTopic, "m0", nil)).To(Succeed())
 		_, other := ownerAndOther(w, "m0")
--- a/internal/batchrun/blobs.go
+++ b/internal/batchrun/blobs.go
@@ -13,139 +13,146 @@
 )
 
 const (
-	// cacheBytes bounds the blobs that a daemon keeps: the texts of the last seconds, which
-	// is what trainers read. Each MB more is one at the process's peak, on every VM, and
-	// what is read again later costs one call to the store.
-	cacheBytes = 2 << 20
-	// fetchTimeout bounds one read of blobs from the log.
+	// maxCacheBytes bounds the size of the cached blobs. It is enough for the texts of the last
+	// seconds, which are what trainers read. Each further MB would add to the peak memory of
+	// the process on every VM, while a blob that is no longer cached costs one call to the
+	// store.
+	maxCacheBytes = 2 << 20
+	// fetchTimeout bounds the time in which missing blobs are read from the log.
 	fetchTimeout = 1200 * time.Millisecond
-	// fewBlobs and fewBytes: a read for few blobs asks for little, since it brings
-	// all that lies behind the first one.
-	fewBlobs  = 4
-	fewBytes  = 256 << 10
-	manyBytes = 1 << 20
+	// A read for at most smallFetchBlobs blobs requests smallFetchBytes, one for more of them
+	// largeFetchBytes: a read returns everything after the first blob, up to its limit.
+	smallFetchBlobs = 4
+	smallFetchBytes = 256 << 10
+	largeFetchBytes = 1 << 20
 )
 
 var (
-	blobsFetched = metrics.Counter("blob_reads")
-	blobBytes    = metrics.Counter("blob_bytes_read")
+	blobReads     = metrics.Counter("blob_reads")
+	blobBytesRead = metrics.Counter("blob_bytes_read")
 )
 
+// blobKey identifies a blob by its partition and its offset there.
 type blobKey struct {
-	part int
-	at   int64
+	part   int
+	offset int64
 }
 
-// blobs reads requests and texts from the log, and keeps what was read or written
-// last. It is safe for concurrent use.
-type blobs struct {
-	log     store.Log
-	fetches []chan struct{} // one read of a partition at a time: it serves the others too
+// blobCache reads blobs of requests and texts from the log, and caches those that were read or
+// written last. It is safe for concurrent use.
+type blobCache struct {
+	log store.Log
+	// fetchSlots allows one read at a time, by partition. Its blobs are often those that the
+	// callers waiting for the slot need.
+	fetchSlots []chan struct{}
 
 	mu    sync.Mutex
 	byKey map[blobKey][]byte
 	order []blobKey // oldest first
-	size  int
+	size  int       // of the cached blobs in bytes
 }
 
-func newBlobs(log store.Log, parts int) *blobs {
-	b := &blobs{log: log, byKey: map[blobKey][]byte{}}
+func newBlobCache(log store.Log, parts int) *blobCache {
+	b := &blobCache{log: log, byKey: map[blobKey][]byte{}}
 	for range parts {
-		b.fetches = append(b.fetches, make(chan struct{}, 1))
+		b.fetchSlots = append(b.fetchSlots, make(chan struct{}, 1))
 	}
 	return b
 }
 
-func (b *blobs) put(part int, at int64, data []byte) {
+// put caches a blob. The oldest ones are dropped if the cache becomes too large.
+func (b *blobCache) put(part int, offset int64, data []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	key := blobKey{part, at}
+	key := blobKey{part, offset}
 	if _, ok := b.byKey[key]; ok {
 		return
 	}
 	b.byKey[key] = data
 	b.order = append(b.order, key)
 	b.size += len(data)
-	for b.size > cacheBytes && len(b.order) > 1 {
+	for b.size > maxCacheBytes && len(b.order) > 1 {
 		b.size -= len(b.byKey[b.order[0]])
 		delete(b.byKey, b.order[0])
 		b.order = b.order[1:]
 	}
 }
 
-// take moves the kept ones of the wanted blobs to got and returns the others.
-func (b *blobs) take(part int, wanted []int64, got map[int64][]byte) (missing []int64) {
+// copyCached copies those blobs of a partition that are cached to found, by offset. It returns
+// the offsets of the others.
+func (b *blobCache) copyCached(part int, offsets []int64, found map[int64][]byte) (missing []int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, at := range wanted {
-		data, ok := b.byKey[blobKey{part, at}]
+	for _, offset := range offsets {
+		data, ok := b.byKey[blobKey{part, offset}]
 		if ok {
-			got[at] = data
+			found[offset] = data
 		} else {
-			missing = append(missing, at)
+			missing = append(missing, offset)
 		}
 	}
 	return missing
 }
 
-// kept returns those of the wanted blobs that are kept.
-func (b *blobs) kept(part int, wanted []int64) map[int64][]byte {
-	got := map[int64][]byte{}
-	b.take(part, wanted, got)
-	return got
+// cached returns those blobs of a partition that are cached, by offset.
+func (b *blobCache) cached(part int, offsets []int64) map[int64][]byte {
+	found := map[int64][]byte{}
+	b.copyCached(part, offsets, found)
+	return found
 }
 
-// get returns the blobs at the offsets of a partition. Those that are known already
-// aren't looked for. With an error it returns what was at hand.
-func (b *blobs) get(ctx context.Context, part int, offsets []int64, known map[int64][]byte) (map[int64][]byte, error) {
-	got := map[int64][]byte{}
-	maps.Copy(got, known)
-	missing := slices.DeleteFunc(slices.Clone(offsets), func(at int64) bool { _, ok := known[at]; return ok })
-	missing = b.take(part, missing, got)
+// get returns blobs of a partition by offset: those in known, and the others from the cache or
+// the log. With an error it returns the blobs that it has found.
+func (b *blobCache) get(ctx context.Context, part int, offsets []int64, known map[int64][]byte) (map[int64][]byte, error) {
+	found := map[int64][]byte{}
+	maps.Copy(found, known)
+	missing := slices.DeleteFunc(slices.Clone(offsets), func(offset int64) bool { _, ok := known[offset]; return ok })
+	missing = b.copyCached(part, missing, found)
 	if len(missing) == 0 {
-		return got, nil
+		return found, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	select {
-	case b.fetches[part] <- struct{}{}:
-		defer func() { <-b.fetches[part] }()
+	case b.fetchSlots[part] <- struct{}{}:
+		defer func() { <-b.fetchSlots[part] }()
 	case <-ctx.Done():
-		return got, ctx.Err()
+		return found, ctx.Err()
 	}
-	missing = b.take(part, missing, got)
+	missing = b.copyCached(part, missing, found)
 	slices.Sort(missing)
 	for len(missing) > 0 {
 		var err error
-		if missing, err = b.fetch(ctx, part, missing, got); err != nil {
-			return got, err
+		if missing, err = b.fetch(ctx, part, missing, found); err != nil {
+			return found, err
 		}
 	}
-	return got, nil
+	return found, nil
 }
 
-// fetch reads on from the first missing blob and returns what is still missing.
-func (b *blobs) fetch(ctx context.Context, part int, missing []int64, got map[int64][]byte) ([]int64, error) {
-	limit := manyBytes
-	if len(missing) <= fewBlobs {
-		limit = fewBytes
+// fetch reads a partition's blobs from the first missing one on, and adds the missing ones
+// among them to found. It returns the offsets of those that are still missing.
+func (b *blobCache) fetch(ctx context.Context, part int, missing []int64, found map[int64][]byte) ([]int64, error) {
+	limit := largeFetchBytes
+	if len(missing) <= smallFetchBlobs {
+		limit = smallFetchBytes
 	}
-	from := missing[0]
-	page, err := b.log.Read(ctx, textTopic, part, store.ReadFrom{Offset: from, MaxBytes: limit})
+	first := missing[0]
+	page, err := b.log.Read(ctx, textTopic, part, store.ReadFrom{Offset: first, MaxBytes: limit})
 	if err != nil {
 		return nil, err
 	}
 	if len(page.Records) == 0 {
-		return nil, fmt.Errorf("%w: no blob at offset %d of partition %d", store.ErrUnknown, from, part)
+		return nil, fmt.Errorf("%w: no blob at offset %d of partition %d", store.ErrUnknown, first, part)
 	}
-	blobsFetched.Add(1)
+	blobReads.Add(1)
 	for i, data := range page.Records {
-		at := from + int64(i)
-		blobBytes.Add(int64(len(data)))
-		b.put(part, at, data)
-		if slices.Contains(missing, at) {
-			got[at] = data
+		offset := first + int64(i)
+		blobBytesRead.Add(int64(len(data)))
+		b.put(part, offset, data)
+		if slices.Contains(missing, offset) {
+			found[offset] = data
 		}
 	}
-	return slices.DeleteFunc(missing, func(at int64) bool { _, ok := got[at]; return ok }), nil
+	return slices.DeleteFunc(missing, func(offset int64) bool { _, ok := found[offset]; return ok }), nil
 }
--- a/internal/batchrun/calls_test.go
+++ b/internal/batchrun/calls_test.go
@@ -17,8 +17,8 @@
 // callRates are the calls to the store a second, of one daemon on average.
 type callRates struct{ reads, writes, joins float64 }
 
-// rates counts all daemons' calls over a time.
-func (w *testCluster) rates(over time.Duration, during func()) callRates {
+// measureCallRates counts all daemons' calls over a time.
+func (w *testCluster) measureCallRates(over time.Duration, during func()) callRates {
 	sum := func() (all metastore.Calls) {
 		for _, v := range w.vms {
 			c := v.client.Calls()
@@ -41,8 +41,8 @@
 	return callRates{float64(after.Reads-before.Reads) / n, float64(after.Writes-before.Writes) / n, float64(after.Joins-before.Joins) / n}
 }
 
-// steps plays one trainer's steps of a model, one after the other.
-func (w *testCluster) steps(model string, n int) {
+// runSteps plays one trainer's runSteps of a model, one after the other.
+func (w *testCluster) runSteps(model string, n int) {
 	for step := range n {
 		version := int64(step + 1)
 		w.publish(model, version)
@@ -61,7 +61,7 @@
 // What a daemon asks of the store may not grow with the number of daemons: twice as
 // many would ask four times as much, and the store refuses what exceeds its rates.
 // Run with -v, the test prints the table of docs/CAPACITY.md.
-func TestCallsToTheStoreDoNotGrowWithTheFleet(t *testing.T) {
+func TestStoreCallsPerDaemonDoNotGrowWithTheFleet(t *testing.T) {
 	const over = 40 * time.Second
 	measure := func(parts, vms, models int) (rest, work callRates) {
 		synctest.Test(t, func(t *testing.T) {
@@ -72,12 +72,12 @@
 			w := newTestClusterWithPolicy(t, Ours(policy.Set{}), 1, parts, vms, 3*models, names...)
 			defer w.stop()
 			time.Sleep(10 * time.Second)
-			rest = w.rates(over, func() {})
-			work = w.rates(over, func() {
+			rest = w.measureCallRates(over, func() {})
+			work = w.measureCallRates(over, func() {
 				done := make(chan struct{})
 				for _, m := range names {
 					go func() {
-						w.steps(m, 8)
+						w.runSteps(m, 8)
 						done <- struct{}{}
 					}()
 				}
--- a/internal/batchrun/crash_test.go
+++ b/internal/batchrun/crash_test.go
@@ -14,9 +14,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/policy"
 )
 
-// playCrasher hands in a step one sample of which ends each engine that runs it, and
+// runStepWithCrasher hands in a step one sample of which ends each engine that runs it, and
 // returns how many of the others are listed when the step is due, and the engines' ends.
-func playCrasher(t *testing.T, seed uint64, set policy.Set) (listed, wanted int, ends []engineCrash) {
+func runStepWithCrasher(t *testing.T, seed uint64, set policy.Set) (listed, wanted int, ends []engineCrash) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestClusterWithPolicy(t, Ours(set), seed, 4, 2, 3, "m0")
@@ -46,7 +46,7 @@
 	const mostOff = 5 * time.Second
 	for seed := range uint64(8) {
 		g := NewWithT(t)
-		listed, wanted, ends := playCrasher(t, seed, policy.Set{})
+		listed, wanted, ends := runStepWithCrasher(t, seed, policy.Set{})
 		g.Expect(listed).To(Equal(wanted), "seed %d: %v", seed, ends)
 		g.Expect(len(ends)).To(BeNumerically(">", 3), "it was tried again")
 		for i, end := range ends[1:] {
@@ -65,7 +65,7 @@
 
 // The same step without trials: the checks above can find the fault.
 func TestSampleThatCrashesEnginesWithoutTrials(t *testing.T) {
-	listed, wanted, ends := playCrasher(t, 1, policy.Without(policy.Trials))
+	listed, wanted, ends := runStepWithCrasher(t, 1, policy.Without(policy.Trials))
 	g := NewWithT(t)
 	g.Expect(listed).To(BeNumerically("<", wanted))
 	g.Expect(len(ends)).To(BeNumerically(">", 10))
@@ -74,7 +74,7 @@
 
 // Steps follow each other, the next one before the one with such a sample has ended, as
 // trainers ask for them. The later steps' samples fill the engines that it is tried on.
-func TestStepsGoOnBesideASampleThatCrashesEngines(t *testing.T) {
+func TestOtherStepsFinishDespiteASampleThatCrashesEngines(t *testing.T) {
 	const steps = 4
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/batchrun/here.go
+++ b/internal/batchrun/here.go
@@ -13,57 +13,60 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/locate"
 )
 
-// Here answers for the batches of the partitions that this daemon follows. Other
-// daemons' calls are passed to it.
+// Here handles calls about the batches in the partitions that this daemon follows. Other
+// daemons forward their calls to it.
 type Here struct{ s *Service }
 
-// Here returns what answers other daemons.
+// Here returns the handler of calls that other daemons forward to this one.
 func (s *Service) Here() Here { return Here{s} }
 
-// confirmWait bounds a read that confirms a view. It is told "unsure" after it.
-const confirmWait = 800 * time.Millisecond
+// confirmTimeout bounds a read that brings a view up to date. If it is exceeded the answer is
+// ErrUnsure.
+const confirmTimeout = 800 * time.Millisecond
 
-// Locate tells whether a batch is in a partition that is followed here. With confirm the
-// partitions without it are brought up to date first, so that what they lack is certain.
+// Locate reports whether a batch is in a partition that this daemon follows. With confirm, all
+// views are brought up to date first if the batch isn't in them; the answer then lists the
+// partitions that certainly don't have it.
 func (h Here) Locate(ctx context.Context, id string, confirm bool) locate.Answer {
 	if h.s.partitionForBatch(id) != nil || !confirm {
 		return locate.Answer{Found: h.s.partitionForBatch(id) != nil}
 	}
-	confirmed := h.confirm(ctx, h.s.loadedParts())
+	confirmed := h.catchUp(ctx, h.s.loadedPartitions())
 	if h.s.partitionForBatch(id) != nil {
 		return locate.Answer{Found: true}
 	}
 	return locate.Answer{Confirmed: confirmed}
 }
 
-// confirm brings views up to date and returns the partitions for which that was done.
-func (h Here) confirm(ctx context.Context, parts []*partition) []int {
-	ctx, cancel := context.WithTimeout(ctx, confirmWait)
+// catchUp brings the views of partitions up to date. It returns the numbers of those for which
+// that succeeded, sorted.
+func (h Here) catchUp(ctx context.Context, parts []*partition) []int {
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	var (
-		work errgroup.Group
-		mu   sync.Mutex
-		done []int
+		g         errgroup.Group
+		mu        sync.Mutex
+		confirmed []int
 	)
 	for _, p := range parts {
-		work.Go(func() error {
+		g.Go(func() error {
 			defer p.follower.Hold()()
 			if p.follower.Await(ctx) != nil || p.follower.CatchUp(ctx) != nil {
 				return nil // not confirmed
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			done = append(done, p.number)
+			confirmed = append(confirmed, p.number)
 			return nil
 		})
 	}
-	_ = work.Wait() // none of them returns an error
-	slices.Sort(done)
-	return done
+	_ = g.Wait() // none of them returns an error
+	slices.Sort(confirmed)
+	return confirmed
 }
 
-// loadedParts returns the partitions whose views are whole.
-func (s *Service) loadedParts() []*partition {
+// loadedPartitions returns the partitions whose views are loaded.
+func (s *Service) loadedPartitions() []*partition {
 	var out []*partition
 	for _, p := range s.partitions {
 		if p.follower.Loaded() {
@@ -73,20 +76,21 @@
 	return out
 }
 
-// errNotHeld: the batch isn't, or no longer, in a partition that is followed here.
-var errNotHeld = errors.New("partition not followed here")
+// errNotFollowed means that this daemon doesn't follow the batch's partition, or no longer
+// does.
+var errNotFollowed = errors.New("partition not followed on this daemon")
 
-// take returns the partition of a batch, held until release.
-func (h Here) take(id string) (p *partition, release func(), err error) {
+// holdPartition returns a batch's partition and holds its view until release is called.
+func (h Here) holdPartition(id string) (p *partition, release func(), err error) {
 	if p = h.s.partitionForBatch(id); p == nil {
-		return nil, nil, errors.Join(ErrUnsure, errNotHeld)
+		return nil, nil, errors.Join(ErrUnsure, errNotFollowed)
 	}
 	return p, p.follower.Hold(), nil
 }
 
-// End ends a batch; ending it again changes nothing. Errors: ErrUnsure, ErrNotRun, ErrUnknown.
+// End ends a batch; ending it again has no effect. Errors: ErrUnsure, ErrNotRun, ErrUnknown.
 func (h Here) End(ctx context.Context, id string) error {
-	p, release, err := h.take(id)
+	p, release, err := h.holdPartition(id)
 	if err != nil {
 		return err
 	}
@@ -103,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	err = h.s.appendOnce(ctx, p, [][]byte{data}, ended)
+	err = h.s.appendRepeatable(ctx, p, [][]byte{data}, ended)
 	h.s.options.Logger.Info().Str("batch", id).Err(err).Msg("batch ended by its trainer")
 	return err
 }
--- a/internal/batchrun/inspect.go
+++ b/internal/batchrun/inspect.go
@@ -8,44 +8,45 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/inspect"
 )
 
-// Inspect lists the batches that this daemon knows, by partition and in the order
-// of their acceptance.
+// Inspect returns the batches that this daemon knows, by partition and in the order in which
+// they were accepted.
 func (s *Service) Inspect() []inspect.Batch {
 	out := []inspect.Batch{}
 	for _, p := range s.partitions {
-		running := s.running(p.number)
+		running := s.runningSamples(p.number)
 		p.mu.Lock()
 		for _, b := range p.state.All() {
-			out = append(out, s.describe(p, b, running))
+			out = append(out, s.describeBatch(p, b, running))
 		}
 		p.mu.Unlock()
 	}
 	return out
 }
 
-// InspectBatch returns one batch with its samples, false if this daemon knows none of that ID.
+// InspectBatch returns one batch with its samples, false if this daemon knows no batch with
+// the ID.
 func (s *Service) InspectBatch(id string) (inspect.BatchDetail, bool) {
 	p := s.partitionForBatch(id)
 	if p == nil {
 		return inspect.BatchDetail{}, false
 	}
-	running := s.running(p.number)
+	running := s.runningSamples(p.number)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.state.Get(id)
 	if b == nil {
 		return inspect.BatchDetail{}, false
 	}
-	out := inspect.BatchDetail{Batch: s.describe(p, b, running)}
+	out := inspect.BatchDetail{Batch: s.describeBatch(p, b, running)}
 	for i := range b.Samples {
 		out.List = append(out.List, describeSample(b, i, running))
 	}
 	return out, true
 }
 
-// running returns the samples that this daemon runs in a partition and their
-// engines, nil if it doesn't own the partition.
-func (s *Service) running(part int) map[sampleKey]string {
+// runningSamples returns the incarnation of the engine that runs a sample, for each sample of a
+// partition that this daemon runs; nil if it doesn't own the partition.
+func (s *Service) runningSamples(part int) map[sampleKey]string {
 	s.owner.mu.Lock()
 	r := s.owner.runners[part]
 	s.owner.mu.Unlock()
@@ -61,7 +62,8 @@
 	return out
 }
 
-func (s *Service) describe(p *partition, b *batch.Batch, running map[sampleKey]string) inspect.Batch {
+// describeBatch summarizes a batch of a partition. running is the result of runningSamples.
+func (s *Service) describeBatch(p *partition, b *batch.Batch, running map[sampleKey]string) inspect.Batch {
 	out := inspect.Batch{
 		ID: b.ID, Model: b.Model, Part: p.number, MinVersion: b.MinVersion, Ended: b.Ended,
 		AgeMS: (s.options.Now() - b.Seen).Milliseconds(), Samples: len(b.Samples),
@@ -83,6 +85,7 @@
 	return out
 }
 
+// describeSample describes sample i of a batch. running is the result of runningSamples.
 func describeSample(b *batch.Batch, i int, running map[sampleKey]string) inspect.Sample {
 	s := &b.Samples[i]
 	out := inspect.Sample{
@@ -102,7 +105,7 @@
 	return out
 }
 
-// Owns returns the partitions whose batches this daemon runs.
+// Owns returns the numbers of the partitions whose batches this daemon runs, sorted.
 func (s *Service) Owns() []int {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
@@ -114,7 +117,8 @@
 	return out
 }
 
-// Views returns the partitions that this daemon follows now for batches and orders.
+// Views describes the views of the partitions that this daemon follows now, and of the claims
+// log.
 func (s *Service) Views() []inspect.View {
 	var out []inspect.View
 	for _, p := range s.partitions {
@@ -125,8 +129,8 @@
 	return append(out, s.loader.follower.Inspect())
 }
 
-// HolderOf returns the VM that claimed an engine's address or a duty last, the fencing
-// number of its claim, and for how long the claim has been known here.
+// HolderOf returns the VM with the last claim on an engine's address or a duty, the claim's
+// fencing token, and for how long this daemon has known the claim. vm is "" if there is none.
 func (s *Service) HolderOf(subject string) (vm string, fence int64, age time.Duration) {
 	s.loader.mu.Lock()
 	defer s.loader.mu.Unlock()
--- a/internal/batchrun/inspect_test.go
+++ b/internal/batchrun/inspect_test.go
@@ -20,7 +20,7 @@
 		w.submitBatch(g, "m0", "seen", 1, 2, 1)
 		time.Sleep(1200 * time.Millisecond)
 		owner, other := w.vms[0].daemon(), w.vms[1].daemon()
-		if w.vms[1].ownsHomeOf("m0") {
+		if w.vms[1].ownsPartitionOf("m0") {
 			owner, other = other, owner
 		}
 		detail, ok := owner.InspectBatch("b")
--- a/internal/batchrun/look.go
+++ b/internal/batchrun/look.go
@@ -115,7 +115,7 @@
 		if x := r.runs[key]; x != nil {
 			x.cancel(errUnwanted)
 		}
-		r.dropScoreLocked(key)
+		r.cancelRewardCallLocked(key)
 		if b.Samples[i].State == batch.Open && !r.finished[key] {
 			r.giveUpLocked(key, b.Samples[i].ID, why)
 		}
@@ -151,7 +151,7 @@
 				x.cancel(errUnwanted) // another owner's text is complete
 			}
 			r.textLocked(key, s)
-			r.scoreLocked(ctx, config, b, i, now)
+			r.reconcileRewardCallLocked(ctx, config, b, i, now)
 		case s.Failures >= b.MaxAttempts:
 			r.cancelSampleLocked(key, s)
 			r.giveUpLocked(key, s.ID, "failed at every attempt")
@@ -172,7 +172,7 @@
 // there. This happens when the previous owner's last text arrives after the run started.
 func (r *runner) cancelIfBehindLocked(x *run, s *batch.Sample) {
 	if s.Text.Events >= x.text.eventCount()+minLogLead {
-		x.cancel(errOvertaken)
+		x.cancel(errLogAhead)
 	}
 }
 
@@ -191,7 +191,7 @@
 	if x := r.runs[key]; x != nil {
 		x.cancel(errUnwanted)
 	}
-	r.dropScoreLocked(key)
+	r.cancelRewardCallLocked(key)
 	if s.State != batch.Open {
 		delete(r.texts, key)
 		delete(r.retries, key)
@@ -223,9 +223,9 @@
 			x.cancel(errUnwanted)
 		}
 	}
-	for key := range r.scores {
+	for key := range r.rewardCalls {
 		if !wanted[key.batch] {
-			r.dropScoreLocked(key)
+			r.cancelRewardCallLocked(key)
 		}
 	}
 	for key := range r.texts {
--- a/internal/batchrun/orders.go
+++ b/internal/batchrun/orders.go
@@ -266,9 +266,9 @@
 		line.Str("upstream", u.Incarnation()).Str("model", target.model).Int64("version", target.version).Dur("took", time.Since(began)).Msg("load ended")
 		r.mu.Lock()
 		e.loading = false
-		e.vacantUntil = 0
+		e.evictedUntil = 0
 		if err != nil {
-			e.orderAfter = r.s.options.Now() + loadRetryDelay
+			e.noOrderBefore = r.s.options.Now() + loadRetryDelay
 		}
 		r.mu.Unlock()
 		r.wake()
--- a/internal/batchrun/outbox.go
+++ b/internal/batchrun/outbox.go
@@ -16,62 +16,62 @@
 )
 
 const (
-	// outboxRetry is between the beginnings of two tries of an append. An outage of the
-	// store lasts seconds; its end is felt this much later at most. A store that resets
-	// connections fails a try within a ms: without it an owner made 300 calls and as
-	// many log lines a second.
-	outboxRetry = 150 * time.Millisecond
-	// outboxCallBytes bounds one append, well below what the store takes.
-	outboxCallBytes = 1 << 20
-	// recordBytes is what a record beside its blob counts in an append.
-	recordBytes = 256
+	// outboxRetryInterval is the time between the starts of two attempts of an append. An
+	// outage of the store lasts seconds, and appends resume at most this long after its end.
+	// When the store resets connections an attempt fails within 1 ms; without the interval
+	// an owner made 300 calls and wrote as many log lines a second.
+	outboxRetryInterval = 150 * time.Millisecond
+	// outboxAppendBytes bounds the size of one append, well below the store's limit.
+	outboxAppendBytes = 1 << 20
+	// recordOverhead is the size in bytes that a record is assumed to add to its blob's.
+	recordOverhead = 256
 )
 
 var outboxAppends = metrics.Counter("batches_appends")
 
-// entry is a record to append. With a blob it can be made only when the blob's
-// offset is known.
-type entry struct {
-	blob   []byte
-	record func(at int64) any
+// outboxEntry is a record to append. If it refers to a blob, it can be made only once the
+// blob is appended and its offset is known.
+type outboxEntry struct {
+	blob   []byte                 // nil for none
+	record func(offset int64) any // takes the blob's offset, which has no meaning without a blob
 }
 
-// outbox appends an owner's records to its partition, in order. A record whose
-// append had no answer is appended again: every record of a running batch counts
-// once however often it stands in the log.
+// outbox appends an owner's records to its partition, in order. If an append isn't answered it
+// is repeated: each record of a running batch has the same effect however often it is in the
+// log. It is safe for concurrent use.
 type outbox struct {
-	log   store.Log
-	blobs *blobs
-	part  int
-	line  zerolog.Logger
-	ready chan struct{}
-
-	mu    sync.Mutex
-	queue []entry
-	busy  bool // entries were taken and aren't in the log yet
+	log    store.Log
+	blobs  *blobCache
+	part   int // number of the partition
+	logger zerolog.Logger
+	ready  chan struct{} // signals that the queue isn't empty
+
+	mu        sync.Mutex
+	queue     []outboxEntry
+	appending bool // entries were taken from the queue and may not be in the log yet
 }
 
-func newOutbox(log store.Log, blobs *blobs, part int, line zerolog.Logger) *outbox {
-	return &outbox{log: log, blobs: blobs, part: part, line: line, ready: make(chan struct{}, 1)}
+func newOutbox(log store.Log, blobs *blobCache, part int, logger zerolog.Logger) *outbox {
+	return &outbox{log: log, blobs: blobs, part: part, logger: logger, ready: make(chan struct{}, 1)}
 }
 
 // add queues a record without a blob.
-func (o *outbox) add(record any) { o.push(entry{record: func(int64) any { return record }}) }
+func (o *outbox) add(record any) { o.enqueue(outboxEntry{record: func(int64) any { return record }}) }
 
-// addText queues a record that names the blob with the events' text.
+// addText queues a blob with the events' text and a record that refers to it.
 func (o *outbox) addText(events []batch.Event, record func(batch.Segment) any) {
 	blob, err := batch.PackText(events)
 	if err != nil {
-		o.line.Error().Err(err).Int("part", o.part).Msg("text not written")
+		o.logger.Error().Err(err).Int("part", o.part).Msg("failed to encode a text; its record is dropped")
 		return
 	}
 	runs := batch.VersionRuns(events)
-	o.push(entry{blob: blob, record: func(at int64) any {
-		return record(batch.Segment{At: at, Events: len(events), Versions: runs})
+	o.enqueue(outboxEntry{blob: blob, record: func(offset int64) any {
+		return record(batch.Segment{At: offset, Events: len(events), Versions: runs})
 	}})
 }
 
-func (o *outbox) push(e entry) {
+func (o *outbox) enqueue(e outboxEntry) {
 	o.mu.Lock()
 	o.queue = append(o.queue, e)
 	o.mu.Unlock()
@@ -81,37 +81,39 @@
 	}
 }
 
-// take returns the next entries for one append.
-func (o *outbox) take() []entry {
+// takeEntries removes the entries for the next append from the queue and returns them.
+func (o *outbox) takeEntries() []outboxEntry {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	size, n := 0, 0
-	for n < len(o.queue) && (n == 0 || size+len(o.queue[n].blob)+recordBytes <= outboxCallBytes) {
-		size += len(o.queue[n].blob) + recordBytes
+	for n < len(o.queue) && (n == 0 || size+len(o.queue[n].blob)+recordOverhead <= outboxAppendBytes) {
+		size += len(o.queue[n].blob) + recordOverhead
 		n++
 	}
 	entries := o.queue[:n:n]
 	o.queue = o.queue[n:]
-	o.busy = n > 0
+	o.appending = n > 0
 	return entries
 }
 
-func (o *outbox) done() {
+// markAppended notes that the taken entries are in the log or dropped.
+func (o *outbox) markAppended() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.busy = false
+	o.appending = false
 }
 
-func (o *outbox) empty() bool {
+// isEmpty reports whether no entry is queued or being appended.
+func (o *outbox) isEmpty() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.queue) == 0 && !o.busy
+	return len(o.queue) == 0 && !o.appending
 }
 
-// run appends until the context ends.
+// run appends queued entries until the context ends.
 func (o *outbox) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		entries := o.take()
+		entries := o.takeEntries()
 		if len(entries) == 0 {
 			select {
 			case <-ctx.Done():
@@ -120,61 +122,62 @@
 			}
 			continue
 		}
-		o.write(ctx, entries)
-		o.done()
+		o.appendEntries(ctx, entries)
+		o.markAppended()
 	}
 }
 
-// write appends the blobs and then the records that name them.
-func (o *outbox) write(ctx context.Context, entries []entry) {
-	var texts [][]byte
+// appendEntries appends the entries' blobs, and then the records that refer to them.
+func (o *outbox) appendEntries(ctx context.Context, entries []outboxEntry) {
+	var blobs [][]byte
 	for _, e := range entries {
 		if e.blob != nil {
-			texts = append(texts, e.blob)
+			blobs = append(blobs, e.blob)
 		}
 	}
-	at, ok := o.append(ctx, textTopic, texts)
+	offset, ok := o.appendRecords(ctx, textTopic, blobs)
 	if !ok {
 		return
 	}
-	for i, blob := range texts {
-		o.blobs.put(o.part, at+int64(i), blob)
+	for i, blob := range blobs {
+		o.blobs.put(o.part, offset+int64(i), blob)
 	}
 	var records [][]byte
 	for _, e := range entries {
-		data, err := batch.Encode(e.record(at))
+		data, err := batch.Encode(e.record(offset))
 		if err != nil {
-			o.line.Error().Err(err).Int("part", o.part).Msg("record not written")
+			o.logger.Error().Err(err).Int("part", o.part).Msg("failed to encode a record; it is dropped")
 			continue
 		}
 		records = append(records, data)
 		if e.blob != nil {
-			at++
+			offset++
 		}
 	}
-	o.append(ctx, batchTopic, records)
+	o.appendRecords(ctx, batchTopic, records)
 }
 
-// append tries until the records are in the log, the store rejects them for good,
-// or the context ends.
-func (o *outbox) append(ctx context.Context, topic string, records [][]byte) (at int64, ok bool) {
+// appendRecords appends records to a topic of the partition and returns the first one's offset.
+// It retries until the store accepts or rejects them or the context ends; ok is false unless
+// they were accepted.
+func (o *outbox) appendRecords(ctx context.Context, topic string, records [][]byte) (offset int64, ok bool) {
 	if len(records) == 0 {
 		return 0, true
 	}
-	for try := 1; ctx.Err() == nil; try++ {
+	for attempt := 1; ctx.Err() == nil; attempt++ {
 		outboxAppends.Add(1)
-		next := time.NewTimer(outboxRetry)
-		at, err := store.AppendRepeatable(ctx, o.log, topic, o.part, records, try)
+		next := time.NewTimer(outboxRetryInterval)
+		offset, err := store.AppendRepeatable(ctx, o.log, topic, o.part, records, attempt)
 		if err == nil {
 			next.Stop()
-			return at, true
+			return offset, true
 		}
 		if errors.Is(err, store.ErrRejected) {
 			next.Stop()
-			o.line.Error().Err(err).Int("part", o.part).Int("records", len(records)).Msg("records dropped: the store won't take them")
+			o.logger.Error().Err(err).Int("part", o.part).Int("records", len(records)).Msg("store rejected records; they are dropped")
 			return 0, false
 		}
-		o.line.Warn().Err(err).Str("topic", topic).Int("part", o.part).Int("records", len(records)).Int("try", try).
+		o.logger.Warn().Err(err).Str("topic", topic).Int("part", o.part).Int("records", len(records)).Int("try", attempt).
 			Msg("append failed, trying again")
 		select {
 		case <-ctx.Done():
@@ -184,12 +187,12 @@
 	return 0, false
 }
 
-// flushPoll is the pause between two looks at an outbox that is to run empty.
-const flushPoll = 10 * time.Millisecond
+// flushPollInterval is how often flush checks whether the outbox is empty.
+const flushPollInterval = 10 * time.Millisecond
 
-// flush waits until everything is appended or the context ends.
+// flush waits until all queued records are appended or the context ends.
 func (o *outbox) flush(ctx context.Context) {
-	for !o.empty() && ctx.Err() == nil {
-		pause.For(ctx, flushPoll)
+	for !o.isEmpty() && ctx.Err() == nil {
+		pause.For(ctx, flushPollInterval)
 	}
 }
--- a/internal/batchrun/outbox_test.go
+++ b/internal/batchrun/outbox_test.go
@@ -14,7 +14,7 @@
 // The store resets every connection for some seconds while a step runs. Its owner must
 // go on trying to write, but not as fast as it can: hundreds of calls a second cost
 // processor time, and each leaves a log line.
-func TestOwnerDoesNotRushAResettingStore(t *testing.T) {
+func TestAppendRetriesAreLimitedWhileTheStoreResetsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 3, "m0")
@@ -25,8 +25,8 @@
 		time.Sleep(time.Second)
 		const outage = 4 * time.Second
 		before := w.vms[0].client.Calls().Writes
-		w.suffer(w.vms, metastore.Faults{Latency: time.Millisecond, Reset: true}, outage)
-		g.Expect(w.vms[0].client.Calls().Writes - before).To(BeNumerically("<=", 1+int(outage/outboxRetry)))
+		w.applyFaults(w.vms, metastore.Faults{Latency: time.Millisecond, Reset: true}, outage)
+		g.Expect(w.vms[0].client.Calls().Writes - before).To(BeNumerically("<=", 1+int(outage/outboxRetryInterval)))
 		time.Sleep(5 * time.Second)
 		page, err := w.vms[0].daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/batchrun/owner_test.go
+++ b/internal/batchrun/owner_test.go
@@ -63,7 +63,7 @@
 		}
 		time.Sleep(2500 * time.Millisecond) // eight events that are in no record
 		owner := w.vms[0]
-		if !owner.ownsHomeOf("m0") {
+		if !owner.ownsPartitionOf("m0") {
 			owner = w.vms[1]
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 7*time.Second)
@@ -152,7 +152,7 @@
 		owner, other := ownerAndOther(w, "m0")
 		w.kill(owner)
 		time.Sleep(3 * time.Second)
-		g.Expect(other.ownsHomeOf("m0")).To(BeTrue())
+		g.Expect(other.ownsPartitionOf("m0")).To(BeTrue())
 		other.daemon().partitionForModel("m0").withBatch("b", func(b *batch.Batch) {
 			g.Expect(b.Since).To(BeNumerically("~", submitted, 20*time.Millisecond))
 			g.Expect(b.Seen).To(BeNumerically(">", submitted+3*time.Second), "its retention time starts again when it is read")
--- a/internal/batchrun/pace.go
+++ b/internal/batchrun/pace.go
@@ -8,9 +8,9 @@
 	gapWeight = 0.05
 	// gapMaxAge is how long an average is valid without a new event.
 	gapMaxAge = 2 * time.Second
-	// speedMaxAge is the same for the average at equal load, which changes only with the
+	// gapAloneMaxAge is the same for the average at equal load, which changes only with the
 	// engine's hardware or during a disturbance of several seconds.
-	speedMaxAge = 10 * time.Second
+	gapAloneMaxAge = 10 * time.Second
 )
 
 // gapAverage is a moving average of the time between two events of a sample on an engine.
@@ -36,7 +36,7 @@
 
 // mean returns the average, 0 if there are too few gaps or the last is older than maxAge.
 func (g *gapAverage) mean(now, maxAge time.Duration) time.Duration {
-	if g.count < minPaceEvents || now-g.observedAt > maxAge {
+	if g.count < minGaps || now-g.observedAt > maxAge {
 		return 0
 	}
 	return g.average
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -24,7 +24,7 @@
 	if r.inContact() {
 		// Out of contact no sample is moved: it could not be started on another engine
 		// before the store is back.
-		r.moveLocked(model, engines, w, now)
+		r.moveSamplesLocked(model, engines, w, now)
 		r.scheduleLocked(ctx, model, engines, w, now)
 	}
 	r.planLoadsLocked(ctx, model, engines, w, now)
@@ -45,19 +45,19 @@
 	if len(w.waiting) == 0 {
 		return
 	}
-	speeds := r.speedsLocked(engines, now)
+	relativeGaps := r.relativeGapsLocked(engines, now)
 	var candidates []batch.Engine
 	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
 		if r.unusableLocked(u.Incarnation(), now) {
 			continue
 		}
-		candidates = append(candidates, batch.Engine{ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Pace: speeds[u.Incarnation()]})
+		candidates = append(candidates, batch.Engine{ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Pace: relativeGaps[u.Incarnation()]})
 	}
 	ordinary, trials := r.splitTrialsLocked(w.waiting)
 	for _, start := range r.s.options.Policy.PlanSamples(ordinary, candidates, now) {
 		at := slices.IndexFunc(engines, func(u registry.Upstream) bool { return u.Incarnation() == start.Engine })
-		r.startLocked(ctx, model, engines[at], start.Waiting)
+		r.startRunLocked(ctx, model, engines[at], start.Waiting)
 	}
 	r.startTrialLocked(ctx, model, engines, trials, now)
 	w.waiting = slices.DeleteFunc(w.waiting, func(x batch.Waiting) bool {
@@ -83,8 +83,8 @@
 	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
 		in.Engines = append(in.Engines, loads.Engine{
-			ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Loading: e.loading, Vacated: now < e.vacantUntil,
-			Usable: !r.suspect(u.Incarnation(), now) && now >= e.orderAfter,
+			ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Loading: e.loading, Vacated: now < e.evictedUntil,
+			Usable: !r.isSuspect(u.Incarnation(), now) && now >= e.noOrderBefore,
 		})
 	}
 	plan := r.s.options.Policy.PlanLoads(in)
@@ -103,7 +103,7 @@
 
 // evictLocked moves all runs off an engine, given by its incarnation.
 func (r *runner) evictLocked(incarnation string, now time.Duration) {
-	r.engineLocked(incarnation).vacantUntil = now + evictionTime
+	r.engineLocked(incarnation).evictedUntil = now + evictionTime
 	for _, x := range r.runs {
 		if x.incarnation == incarnation {
 			x.cancel(errMoved)
--- a/internal/batchrun/promises_test.go
+++ b/internal/batchrun/promises_test.go
@@ -17,8 +17,8 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// trainerLog is what one trainer has seen of one batch.
-type trainerLog struct {
+// trainerView is what one trainer has seen of one batch.
+type trainerView struct {
 	model, id string
 	samples   int
 	accepted  time.Time // zero: never
@@ -27,8 +27,8 @@
 	results   []Result // by position
 }
 
-// follow reads a batch on at a VM and compares what was read before.
-func (l *trainerLog) follow(w *testCluster, s *Service, from int, wait time.Duration) {
+// read reads a batch on at a VM and compares what was read before.
+func (l *trainerView) read(w *testCluster, s *Service, from int, wait time.Duration) {
 	page, err := s.Results(context.Background(), l.id, from, wait)
 	if err != nil {
 		if errors.Is(err, ErrNotFound) && time.Since(l.accepted) > time.Second {
@@ -40,11 +40,11 @@
 		w.t.Errorf("batch %s has %d samples, %d are told", l.id, l.samples, page.Total)
 	}
 	for i, r := range page.Results {
-		l.compare(w, from+i, r)
+		l.checkResult(w, from+i, r)
 	}
 }
 
-func (l *trainerLog) compare(w *testCluster, at int, r Result) {
+func (l *trainerView) checkResult(w *testCluster, at int, r Result) {
 	if at < len(l.results) {
 		if before := l.results[at]; before.ID != r.ID || before.State != r.State || before.Text != r.Text || before.Score != r.Score {
 			w.t.Errorf("batch %s: position %d was %s, is %s", l.id, at, before.ID, r.ID)
@@ -59,27 +59,27 @@
 	if r.State == batch.Completed {
 		w.engines.checkText(r.ID, r.Text)
 		if l.model == scoredModel {
-			w.scorer.check(r)
+			w.scorer.checkScore(r)
 		}
 	}
 	l.results = append(l.results, r)
 }
 
-// trainer submits, reads and ends batches at any VM, one after the other.
-func (w *testCluster) trainer(model string, random *rand.Rand, steps int) []*trainerLog {
-	var logs []*trainerLog
+// runTrainer submits, reads and ends batches at any VM, one after the other.
+func (w *testCluster) runTrainer(model string, random *rand.Rand, steps int) []*trainerView {
+	var logs []*trainerView
 	version := int64(1)
 	for step := range steps {
-		l := &trainerLog{model: model, id: fmt.Sprintf("s%d", step), notRun: true}
+		l := &trainerView{model: model, id: fmt.Sprintf("s%d", step), notRun: true}
 		l.id = model + l.id
 		logs = append(logs, l)
-		w.submit(l, random, max(1, version-1))
+		w.submitForTrainer(l, random, max(1, version-1))
 		if l.accepted.IsZero() {
 			continue
 		}
-		w.readOn(l, random)
+		w.readResults(l, random)
 		if random.IntN(4) > 0 {
-			w.end(l, random)
+			w.endBatch(l, random)
 		}
 		version++
 		w.publish(model, version)
@@ -88,15 +88,15 @@
 	return logs
 }
 
-func (w *testCluster) any(random *rand.Rand) *Service {
+func (w *testCluster) randomDaemon(random *rand.Rand) *Service {
 	return w.vms[random.IntN(len(w.vms))].daemon()
 }
 
-func (w *testCluster) submit(l *trainerLog, random *rand.Rand, minVersion int64) {
+func (w *testCluster) submitForTrainer(l *trainerView, random *rand.Rand, minVersion int64) {
 	head, items, requests := newBatch(l.model, l.id, 3, 4, minVersion)
 	l.samples = len(items)
 	for range 8 {
-		s := w.any(random)
+		s := w.randomDaemon(random)
 		if s == nil {
 			time.Sleep(100 * time.Millisecond)
 			continue
@@ -114,20 +114,20 @@
 	}
 }
 
-func (w *testCluster) readOn(l *trainerLog, random *rand.Rand) {
+func (w *testCluster) readResults(l *trainerView, random *rand.Rand) {
 	limit := time.Now().Add(12 * time.Second)
 	for time.Now().Before(limit) && len(l.results) < l.samples {
-		if s := w.any(random); s != nil {
-			l.follow(w, s, random.IntN(len(l.results)+1), 500*time.Millisecond)
-			l.follow(w, s, len(l.results), 500*time.Millisecond)
+		if s := w.randomDaemon(random); s != nil {
+			l.read(w, s, random.IntN(len(l.results)+1), 500*time.Millisecond)
+			l.read(w, s, len(l.results), 500*time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (w *testCluster) end(l *trainerLog, random *rand.Rand) {
+func (w *testCluster) endBatch(l *trainerView, random *rand.Rand) {
 	for range 5 {
-		if s := w.any(random); s != nil && s.End(context.Background(), l.id) == nil {
+		if s := w.randomDaemon(random); s != nil && s.End(context.Background(), l.id) == nil {
 			l.ended = true
 			return
 		}
@@ -135,8 +135,8 @@
 	}
 }
 
-// trouble plays faults until the time is up, and heals everything.
-func (w *testCluster) trouble(random *rand.Rand, until time.Time) {
+// injectFaults plays faults until the time is up, and heals everything.
+func (w *testCluster) injectFaults(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(300+random.IntN(2500)) * time.Millisecond)
 		v := w.vms[random.IntN(len(w.vms))]
@@ -147,13 +147,13 @@
 		case 1:
 			w.killAll(w.vms, lasting/4)
 		case 2:
-			w.suffer([]*testVM{v}, metastore.Faults{Cut: true}, lasting)
+			w.applyFaults([]*testVM{v}, metastore.Faults{Cut: true}, lasting)
 		case 3:
-			w.suffer(w.vms, metastore.Faults{Refuse: true, Latency: storeLatency}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Refuse: true, Latency: storeLatency}, lasting)
 		case 4:
-			w.suffer(w.vms, metastore.Faults{Latency: 240 * time.Millisecond}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Latency: 240 * time.Millisecond}, lasting)
 		case 5:
-			w.suffer(w.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return w.engines.chance(0.4) }}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return w.engines.chance(0.4) }}, lasting)
 		case 6:
 			late := func(string) time.Duration {
 				if w.engines.chance(0.35) {
@@ -161,7 +161,7 @@
 				}
 				return 0
 			}
-			w.suffer(w.vms, metastore.Faults{Latency: storeLatency, Late: late}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, Late: late}, lasting)
 		case 7:
 			w.store.Redeal(ownersGroup)
 		case 8:
@@ -180,7 +180,7 @@
 	}
 }
 
-func (w *testCluster) suffer(list []*testVM, f metastore.Faults, lasting time.Duration) {
+func (w *testCluster) applyFaults(list []*testVM, f metastore.Faults, lasting time.Duration) {
 	for _, v := range list {
 		v.client.SetFaults(f)
 	}
@@ -199,32 +199,32 @@
 // loses answers, does things late, refuses or is cut off from some, while engines
 // break off, and another daemon takes every partition at once. It must find its
 // batch accepted once, each result at its place, whole, from runs that fit.
-func TestPromisesUnderRandomTrouble(t *testing.T) {
+func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playPromises(t, seed, Ours(policy.Set{})) })
+			synctest.Test(t, func(t *testing.T) { checkGuarantees(t, seed, Ours(policy.Set{})) })
 		})
 	}
 }
 
 // The baseline keeps the promises too: a policy only decides who serves sooner.
-func TestPromisesWithNaivePolicy(t *testing.T) {
+func TestGuaranteesWithBaselinePolicy(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playPromises(t, seed, Naive()) })
+			synctest.Test(t, func(t *testing.T) { checkGuarantees(t, seed, Naive()) })
 		})
 	}
 }
 
 // Engines crash at random besides, and start again under their IDs. Samples that lose one
 // after the other are tried alone; none may be lost, given up or listed in pieces by that.
-func TestPromisesWhileEnginesCrash(t *testing.T) {
+func TestGuaranteesWhileEnginesCrash(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newTestCluster(t, seed, 3, 4, "m0", "m1")
 				go w.crashEngines(rand.New(rand.NewPCG(seed, 4)), time.Now().Add(30*time.Second))
-				w.playPromises(seed)
+				w.checkGuarantees(seed)
 			})
 		})
 	}
@@ -239,26 +239,26 @@
 	}
 }
 
-func playPromises(t *testing.T, seed uint64, policy Policy) {
-	newTestClusterWithPolicy(t, policy, seed, 4, 3, 4, "m0", "m1").playPromises(seed)
+func checkGuarantees(t *testing.T, seed uint64, policy Policy) {
+	newTestClusterWithPolicy(t, policy, seed, 4, 3, 4, "m0", "m1").checkGuarantees(seed)
 }
 
-func (w *testCluster) playPromises(seed uint64) {
+func (w *testCluster) checkGuarantees(seed uint64) {
 	g := NewWithT(w.t)
 	w.engines.breakRate, w.engines.refuseRate, w.engines.bufferedRate = 0.01, 0.05, 0.5
-	w.scorer.broken = 0.1
+	w.scorer.noScoreRate = 0.1
 	var trainers sync.WaitGroup
 	var mu sync.Mutex
-	var logs []*trainerLog
+	var logs []*trainerView
 	for i, model := range w.models {
 		trainers.Go(func() {
-			own := w.trainer(model, rand.New(rand.NewPCG(seed, uint64(10+i))), 6)
+			own := w.runTrainer(model, rand.New(rand.NewPCG(seed, uint64(10+i))), 6)
 			mu.Lock()
 			defer mu.Unlock()
 			logs = append(logs, own...)
 		})
 	}
-	w.trouble(rand.New(rand.NewPCG(seed, 2)), time.Now().Add(30*time.Second))
+	w.injectFaults(rand.New(rand.NewPCG(seed, 2)), time.Now().Add(30*time.Second))
 	trainers.Wait()
 	time.Sleep(20 * time.Second)
 	accepted := 0
@@ -270,15 +270,15 @@
 			accepted++
 		}
 		for _, v := range w.vms {
-			w.checkAtEnd(l, v)
+			w.checkFinalResults(l, v)
 		}
 	}
 	g.Expect(accepted).To(BeNumerically(">=", 6), "most steps are taken in between troubles")
 	w.stop()
 }
 
-// checkAtEnd reads a batch from the start at a VM that is in touch.
-func (w *testCluster) checkAtEnd(l *trainerLog, v *testVM) {
+// checkFinalResults reads a batch from the start at a VM that is in touch.
+func (w *testCluster) checkFinalResults(l *trainerView, v *testVM) {
 	g := NewWithT(w.t)
 	if l.accepted.IsZero() {
 		_, err := v.daemon().Results(context.Background(), l.id, 0, 0)
@@ -290,12 +290,12 @@
 		page, err := v.daemon().Results(context.Background(), l.id, from, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		for i, r := range page.Results {
-			l.compare(w, from+i, r)
+			l.checkResult(w, from+i, r)
 		}
 		from = page.Next
 		g.Expect(from).To(BeNumerically(">", before))
 	}
-	l.follow(w, v.daemon(), len(l.results), 0)
+	l.read(w, v.daemon(), len(l.results), 0)
 	if !l.ended {
 		g.Expect(l.results).To(HaveLen(l.samples), "batch %s is whole in the end", l.id)
 	}
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -11,139 +11,144 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/policy"
 )
 
-// Result is a listed sample.
+// Result is the result of a sample.
 type Result struct {
-	ID       string
+	ID       string // of the sample
 	State    batch.State
-	Text     string
-	Versions []int64 // weights that made events of the text, each once, in order
+	Text     string  // its events, joined by newlines; "" unless the sample was completed
+	Versions []int64 // weights versions that generated the text, in order, without repetitions in a row
 	Score    string  // "" for a sample without a reward call
 }
 
 // Page is a part of a batch's results.
 type Page struct {
-	Total   int // samples of the batch
-	Next    int // position behind the last result returned
+	Total   int // number of samples in the batch
+	Next    int // position after the last result returned
 	Results []Result
 }
 
 const (
-	// maxPageBytes bounds the texts of one page; one result is always returned.
+	// maxPageBytes bounds the total size of the texts in one page. A page has at least one
+	// result, whatever its size.
 	maxPageBytes = 900 << 10
-	// maxPageResults bounds the blobs that one page reads from the log.
+	// maxPageResults bounds the results in one page, and so the blobs that are read for it.
 	maxPageResults = 128
 )
 
-// confirmAge is the age of a view from which "no result yet" is confirmed by a read:
-// what another daemon showed a second ago has to be known.
-const confirmAge = 500 * time.Millisecond
+// maxUnconfirmedAge is the age of a view above which it is brought up to date before the answer
+// is that there is no result yet: a result that another daemon returned a second ago must be
+// known.
+const maxUnconfirmedAge = 500 * time.Millisecond
 
-// closingWait is how long a read that has results waits for more while the last scores that
-// its step needs are being made, some 200 ms each. Trainers ask twice a second: an answer just before
-// the last score makes the step end half a second later, and a step whose longest sample
-// takes most of its time then misses its due time.
-const closingWait = 300 * time.Millisecond
+// lastScoresWait is how long a read that has results waits for more while the last reward calls
+// that its step needs are in progress, which take some 200 ms each. Trainers poll twice a
+// second. If they were answered just before the last score, the step would end half a second
+// later, and one whose longest sample takes most of the allowed time would be late.
+const lastScoresWait = 300 * time.Millisecond
 
 const (
-	// freshAge is the age of a view up to which results are given without another look.
-	// The view of a partition that nobody here depends on is read four times a second, and
-	// a trainer that doesn't get the last result now asks again half a second later.
-	freshAge = 30 * time.Millisecond
-	// freshWait bounds that look; the store answers within some ms.
-	freshWait = 100 * time.Millisecond
+	// maxReadAge is the age of a view up to which results are read from it without bringing
+	// it up to date. A view without dependents on this daemon reads the log four times a
+	// second, and a trainer that misses the last result asks again half a second later.
+	maxReadAge = 30 * time.Millisecond
+	// refreshTimeout bounds bringing the view up to date; the store answers within some ms.
+	refreshTimeout = 100 * time.Millisecond
 )
 
-// freshen brings a view up to date before results are taken from it. The view of a
-// partition that is owned here has each record within some ms. A store that doesn't answer
-// in time leaves the view as it is: what it has is true.
-func (s *Service) freshen(ctx context.Context, p *partition) {
-	if !p.hasNoDependents() || p.follower.Age() <= freshAge || !p.follower.InContact() || !s.options.Policy.On(policy.Closing) {
+// refreshView brings a view without dependents up to date before results are read from it; an
+// owner's view gets each record within some ms anyway. If the store doesn't answer in time the
+// view is used as it is: the results in it are valid.
+func (s *Service) refreshView(ctx context.Context, p *partition) {
+	if !p.hasNoDependents() || p.follower.Age() <= maxReadAge || !p.follower.InContact() || !s.options.Policy.On(policy.Closing) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, freshWait)
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	if err := p.follower.CatchUp(ctx); err != nil {
-		s.options.Logger.Debug().Int("part", p.number).Err(err).Msg("view not brought up to date for a reader")
+		s.options.Logger.Debug().Int("part", p.number).Err(err).Msg("failed to bring a view up to date for a reader")
 	}
 }
 
-// Listing is a part of a batch's results as the fold has it: their texts lie in blobs.
-// An owner that read the blobs for everybody took seconds when all batches were read at
-// once, as after a day's work; now each daemon that is asked reads what it needs.
+// Listing is a part of a batch's results, with references to the blobs that hold their texts.
+// The daemon that a reader asked reads the blobs. When owners read them for all daemons, and
+// all batches were read at once, as after a day's work, it took seconds.
 type Listing struct {
-	Part   int
-	Total  int            // samples of the batch
-	Listed []batch.Sample // from the position asked for
-	// Blobs are those of the texts' that were at hand, by offset.
-	Blobs   map[int64][]byte
-	closing bool // the last scores that the step waits for are being made
+	Part   int            // number of the batch's partition
+	Total  int            // number of samples in the batch
+	Listed []batch.Sample // those with a result, from the requested position on
+	// Blobs holds, by offset, those blobs of the texts that were in the cache.
+	Blobs             map[int64][]byte
+	lastScoresPending bool // the last reward calls that the step needs are in progress
 }
 
-// List returns what is listed from a position on. Without any it waits for the first.
-// Error: ErrUnsure.
+// List returns a batch's results from position after on. If there are none it waits for the
+// first one. Error: ErrUnsure.
 func (h Here) List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error) {
-	p, release, err := h.take(id)
+	p, release, err := h.holdPartition(id)
 	if err != nil {
 		return Listing{}, err
 	}
 	defer release()
-	h.s.freshen(ctx, p)
-	l, err := h.s.list(ctx, p, id, after, wait)
+	h.s.refreshView(ctx, p)
+	l, err := h.s.listResults(ctx, p, id, after, wait)
 	if err != nil {
 		return Listing{}, err
 	}
-	l.Blobs = h.s.blobs.kept(p.number, blobsOf(l.Listed))
+	l.Blobs = h.s.blobs.cached(p.number, textOffsets(l.Listed))
 	return l, nil
 }
 
-func (s *Service) list(ctx context.Context, p *partition, id string, after int, wait time.Duration) (Listing, error) {
-	limit := time.NewTimer(wait)
-	defer limit.Stop()
-	var closing <-chan time.Time
-	for waiting, hold := true, s.options.Policy.On(policy.Closing); ; {
-		l, changed, ok := p.list(id, after)
+// listResults returns a batch's results from position after on. If there are none it waits for
+// the first one, and if the step's last scores are pending it waits for them.
+func (s *Service) listResults(ctx context.Context, p *partition, id string, after int, wait time.Duration) (Listing, error) {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	var scoresTimeout <-chan time.Time
+	for mayWait, awaitScores := true, s.options.Policy.On(policy.Closing); ; {
+		l, changed, ok := p.listing(id, after)
 		switch {
 		case !ok:
-			return Listing{}, ErrUnsure // forgotten since it was located
-		case len(l.Listed) > 0 && !(hold && waiting && l.closing):
+			return Listing{}, ErrUnsure // the view was dropped since the batch was located
+		case len(l.Listed) > 0 && !(awaitScores && mayWait && l.lastScoresPending):
 			return l, nil
-		case len(l.Listed) > 0 && closing == nil:
-			closing = time.After(closingWait)
-		case len(l.Listed) == 0 && (!waiting || after >= l.Total):
+		case len(l.Listed) > 0 && scoresTimeout == nil:
+			scoresTimeout = time.After(lastScoresWait)
+		case len(l.Listed) == 0 && (!mayWait || after >= l.Total):
 			return s.confirmEmpty(ctx, p, id, after)
 		}
 		p.follower.Hurry()
 		select {
 		case <-changed:
-		case <-limit.C:
-			waiting = false
-		case <-closing:
-			hold = false
+		case <-timer.C:
+			mayWait = false
+		case <-scoresTimeout:
+			awaitScores = false
 		case <-ctx.Done():
 			return Listing{}, errors.Join(ErrUnsure, ctx.Err())
 		}
 	}
 }
 
-// confirmEmpty answers that a position has no result yet. A view that may be out
-// of date, as behind a connection that fell silent, is brought up to date first:
-// another daemon may have shown the position already.
+// confirmEmpty returns a listing without results, or with those that it finds after all. If the
+// view may be out of date, such as after its connection has stalled, it is brought up to date
+// first: another daemon may have returned these results already.
 func (s *Service) confirmEmpty(ctx context.Context, p *partition, id string, after int) (Listing, error) {
-	if p.follower.Age() > confirmAge || after > p.count(id) {
-		ctx, cancel := context.WithTimeout(ctx, confirmWait)
+	if p.follower.Age() > maxUnconfirmedAge || after > p.resultCount(id) {
+		ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 		defer cancel()
 		if err := p.follower.CatchUp(ctx); err != nil {
 			return Listing{}, errors.Join(ErrUnsure, err)
 		}
 	}
-	l, _, ok := p.list(id, after)
+	l, _, ok := p.listing(id, after)
 	if !ok {
 		return Listing{}, ErrUnsure
 	}
 	return l, nil
 }
 
-func (p *partition) count(id string) int {
+// resultCount returns how many samples of a batch have a result, 0 if there is no such batch.
+func (p *partition) resultCount(id string) int {
 	n := 0
 	p.withBatch(id, func(b *batch.Batch) {
 		if b != nil {
@@ -153,8 +158,9 @@
 	return n
 }
 
-// list collects results and returns a channel that closes at the next change.
-func (p *partition) list(id string, after int) (l Listing, changed <-chan struct{}, ok bool) {
+// listing returns a batch's results from position after on, and a channel that is closed at the
+// batch's next change. ok is false if there is no such batch.
+func (p *partition) listing(id string, after int) (l Listing, changed <-chan struct{}, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.state.Get(id)
@@ -163,27 +169,28 @@
 	}
 	l.Part = p.number
 	l.Total = len(b.Samples)
-	l.closing = b.Closing()
-	for at := after; at < len(b.Listed) && len(l.Listed) < maxPageResults; at++ {
-		sample := b.Samples[b.Listed[at]]
+	l.lastScoresPending = b.Closing()
+	for i := after; i < len(b.Listed) && len(l.Listed) < maxPageResults; i++ {
+		sample := b.Samples[b.Listed[i]]
 		sample.Text = sample.Text.Clip()
 		l.Listed = append(l.Listed, sample)
 	}
 	return l, p.waiterLocked(id), true
 }
 
-// page puts the texts of listed samples together from their blobs.
-func (s *Service) page(ctx context.Context, l Listing, after int) (Page, error) {
-	found, missing := s.blobs.get(ctx, l.Part, blobsOf(l.Listed), l.Blobs)
+// readPage returns the results of a listing with their texts, which it reads from the blobs. If
+// some blobs can't be read it returns the results before the first of them.
+func (s *Service) readPage(ctx context.Context, l Listing, after int) (Page, error) {
+	blobs, readErr := s.blobs.get(ctx, l.Part, textOffsets(l.Listed), l.Blobs)
 	page := Page{Total: l.Total, Next: after}
 	size := 0
 	for i := range l.Listed {
-		r, err := resultOf(&l.Listed[i], found)
-		if err != nil && missing != nil && len(page.Results) > 0 {
-			break // what is at hand is given while the store is away
+		r, err := newResult(&l.Listed[i], blobs)
+		if err != nil && readErr != nil && len(page.Results) > 0 {
+			break
 		}
 		if err != nil {
-			return Page{}, errors.Join(ErrUnsure, missing, err)
+			return Page{}, errors.Join(ErrUnsure, readErr, err)
 		}
 		size += len(r.Text)
 		if size > maxPageBytes && len(page.Results) > 0 {
@@ -195,8 +202,8 @@
 	return page, nil
 }
 
-// blobsOf returns the offsets of the blobs that hold the texts of completed samples.
-func blobsOf(listed []batch.Sample) []int64 {
+// textOffsets returns the offsets of the blobs that hold the texts of completed samples.
+func textOffsets(listed []batch.Sample) []int64 {
 	var out []int64
 	for i := range listed {
 		if listed[i].State != batch.Completed {
@@ -209,19 +216,21 @@
 	return out
 }
 
-func resultOf(s *batch.Sample, found map[int64][]byte) (Result, error) {
+// newResult returns the result of a sample. blobs holds the blobs of its text by offset. Error:
+// batch.ErrMalformed.
+func newResult(s *batch.Sample, blobs map[int64][]byte) (Result, error) {
 	r := Result{ID: s.ID, State: s.State}
 	if s.State != batch.Completed {
 		return r, nil
 	}
 	var texts []string
 	for _, segment := range s.Text.Segments {
-		events, err := batch.UnpackText(found[segment.At])
+		events, err := batch.UnpackText(blobs[segment.At])
 		if err != nil {
 			return Result{}, err
 		}
 		if len(events) != segment.Events {
-			return Result{}, fmt.Errorf("%w: %d events at offset %d, %d were recorded", batch.ErrMalformed, len(events), segment.At, segment.Events)
+			return Result{}, fmt.Errorf("%w: %d events in the blob at offset %d, %d expected", batch.ErrMalformed, len(events), segment.At, segment.Events)
 		}
 		texts = append(texts, events...)
 		for _, run := range segment.Versions {
@@ -235,17 +244,18 @@
 	return r, nil
 }
 
-// BodyAt is where a sample's body lies.
+// BodyAt is the location of the body of a sample's request.
 type BodyAt struct {
-	Part  int
-	At    int64  // offset of the blob
-	Index int    // of the sample's request in it
-	Blob  []byte // nil if it isn't at hand
+	Part  int    // number of the batch's partition
+	At    int64  // offset of the blob that holds the request
+	Index int    // of the request in the blob
+	Blob  []byte // the blob itself, nil if it wasn't in the cache
 }
 
-// Body tells where the body of a sample lies. Errors: ErrNotFound, ErrUnsure.
-func (h Here) Body(_ context.Context, id, item string) (BodyAt, error) {
-	p, release, err := h.take(id)
+// Body returns the location of a sample's body. id is the batch's ID. Errors: ErrNotFound,
+// ErrUnsure.
+func (h Here) Body(_ context.Context, id, sampleID string) (BodyAt, error) {
+	p, release, err := h.holdPartition(id)
 	if err != nil {
 		return BodyAt{}, err
 	}
@@ -257,7 +267,7 @@
 			return
 		}
 		for i := range b.Samples {
-			if b.Samples[i].ID == item {
+			if b.Samples[i].ID == sampleID {
 				out.At, out.Index = b.RequestBlob(i)
 				found = true
 			}
@@ -266,23 +276,23 @@
 	if !found {
 		return BodyAt{}, ErrNotFound
 	}
-	out.Blob = h.s.blobs.kept(p.number, []int64{out.At})[out.At]
+	out.Blob = h.s.blobs.cached(p.number, []int64{out.At})[out.At]
 	return out, nil
 }
 
-// readBody takes a body out of its blob.
-func (s *Service) readBody(ctx context.Context, b BodyAt) ([]byte, error) {
+// readBody reads a body from its blob.
+func (s *Service) readBody(ctx context.Context, location BodyAt) ([]byte, error) {
 	known := map[int64][]byte{}
-	if b.Blob != nil {
-		known[b.At] = b.Blob
+	if location.Blob != nil {
+		known[location.At] = location.Blob
 	}
-	blobs, err := s.blobs.get(ctx, b.Part, []int64{b.At}, known)
+	blobs, err := s.blobs.get(ctx, location.Part, []int64{location.At}, known)
 	if err != nil {
 		return nil, errors.Join(ErrUnsure, err)
 	}
-	requests, err := batch.UnpackRequests(blobs[b.At])
-	if err != nil || b.Index >= len(requests) {
+	requests, err := batch.UnpackRequests(blobs[location.At])
+	if err != nil || location.Index >= len(requests) {
 		return nil, errors.Join(ErrUnsure, err)
 	}
-	return requests[b.Index].Body, nil
+	return requests[location.Index].Body, nil
 }
--- a/internal/batchrun/read_test.go
+++ b/internal/batchrun/read_test.go
@@ -13,8 +13,8 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// ownsHomeOf reports whether a daemon runs the batches of a model.
-func (v *testVM) ownsHomeOf(model string) bool {
+// ownsPartitionOf reports whether a daemon runs the batches of a model.
+func (v *testVM) ownsPartitionOf(model string) bool {
 	s := v.daemon()
 	home := s.partitionForModel(model)
 	s.owner.mu.Lock()
@@ -40,7 +40,7 @@
 		w.submitBatch(g, "m0", name, 1, 1, 1)
 		time.Sleep(200 * time.Millisecond)
 		owner, reader := w.vms[0], w.vms[1]
-		if reader.ownsHomeOf("m0") {
+		if reader.ownsPartitionOf("m0") {
 			owner, reader = reader, owner
 		}
 		part := reader.daemon().partitionForModel("m0")
@@ -57,7 +57,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		reader.client.SetFaults(metastore.Faults{Latency: storeLatency})
-		g.Expect(part.count("b")).To(BeZero(), "the reader's own view lacks the result")
+		g.Expect(part.resultCount("b")).To(BeZero(), "the reader's own view lacks the result")
 		g.Expect(part.follower.Age()).To(BeNumerically("<", follow.StaleAfter), "and isn't out of touch")
 		page, err := reader.daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -73,8 +73,8 @@
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 4, scoredModel)
 		defer w.stop()
-		w.scorer.takes = scoreDuration / 2
-		w.scorer.fails["m1-last-0-1"] = 1 // its score comes one call later than the others
+		w.scorer.callDuration = scoreDuration / 2
+		w.scorer.failuresLeft["m1-last-0-1"] = 1 // its score comes one call later than the others
 		items := submitScored(g, w, "last", 2)
 		page, err := w.vms[1].daemon().Results(context.Background(), "b", 0, 20*time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -89,8 +89,8 @@
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 4, scoredModel)
 		defer w.stop()
-		w.scorer.fails["m1-never-0-1"] = 9
-		w.scorer.takes = 2 * time.Second
+		w.scorer.failuresLeft["m1-never-0-1"] = 9
+		w.scorer.callDuration = 2 * time.Second
 		submitScored(g, w, "never", 2)
 		for len(results(g, w.vms[0])) == 0 {
 			time.Sleep(10 * time.Millisecond)
@@ -99,7 +99,7 @@
 		page, err := w.vms[0].daemon().Results(context.Background(), "b", 0, 20*time.Second)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(1))
-		g.Expect(time.Since(began)).To(BeNumerically("<=", closingWait+50*time.Millisecond))
+		g.Expect(time.Since(began)).To(BeNumerically("<=", lastScoresWait+50*time.Millisecond))
 	})
 }
 
@@ -114,21 +114,21 @@
 		items := submitScored(g, w, "newest", 2)
 		var owner, idle *testVM
 		for _, v := range w.vms {
-			if v.ownsHomeOf(scoredModel) {
+			if v.ownsPartitionOf(scoredModel) {
 				owner = v
 			} else {
 				idle = v
 			}
 		}
-		for len(owner.listed("b")) < len(items) {
+		for len(owner.resultsInView("b")) < len(items) {
 			time.Sleep(time.Millisecond)
 		}
 		g.Expect(results(g, idle)).To(HaveLen(len(items)))
 	})
 }
 
-// listed is what a daemon's view has of a batch's results.
-func (v *testVM) listed(id string) (out []int) {
+// resultsInView is what a daemon's view has of a batch's results.
+func (v *testVM) resultsInView(id string) (out []int) {
 	if p := v.daemon().partitionForBatch(id); p != nil {
 		p.withBatch(id, func(b *batch.Batch) { out = b.Listed })
 	}
@@ -138,7 +138,7 @@
 // The store is away, and of the listed texts only the first is at hand. It is ready, and
 // is delivered; "not sure" for the sake of the second would hold both back until the
 // store is there again.
-func TestTextsAtHandAreGivenWhileTheStoreIsAway(t *testing.T) {
+func TestCachedTextsAreReturnedWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 2, "m0")
@@ -152,16 +152,16 @@
 		l, err := s.Here().List(ctx, "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(l.Listed).To(HaveLen(2))
-		for _, at := range blobsOf(l.Listed[1:]) {
+		for _, at := range textOffsets(l.Listed[1:]) {
 			delete(l.Blobs, at)
 		}
-		s.blobs = newBlobs(s.options.Log, w.parts)
+		s.blobs = newBlobCache(s.options.Log, w.parts)
 		w.vms[0].client.SetFaults(metastore.Faults{Cut: true})
-		page, err := s.page(ctx, l, 0)
+		page, err := s.readPage(ctx, l, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(1))
 		g.Expect(page.Next).To(Equal(1))
-		_, err = s.page(ctx, Listing{Part: l.Part, Total: 2, Listed: l.Listed[1:]}, 1)
+		_, err = s.readPage(ctx, Listing{Part: l.Part, Total: 2, Listed: l.Listed[1:]}, 1)
 		g.Expect(err).To(MatchError(ErrUnsure))
 	})
 }
--- a/internal/batchrun/requests.go
+++ b/internal/batchrun/requests.go
@@ -7,16 +7,16 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/batch"
 )
 
-// requestsPause follows a read of requests that failed. Without it an owner whose
-// partition the store refuses asks hundreds of times a second, also for the others' share
-// of its rate.
-const requestsPause = 100 * time.Millisecond
+// requestsRetryDelay is the wait after a failed read of requests. Without it an owner would
+// retry hundreds of times a second while the store refuses its partition, and use up the rate
+// limit that all daemons share.
+const requestsRetryDelay = 100 * time.Millisecond
 
-// requestsLocked returns the requests of a batch's samples, nil while they are
-// read from the log.
+// requestsLocked returns the requests of a batch's samples. At the first call it starts to read
+// them from the log in the background; until they are read it returns nil.
 func (r *runner) requestsLocked(ctx context.Context, b *batch.Batch) []batch.Request {
-	requests, asked := r.requests[b.ID]
-	if asked {
+	requests, started := r.requests[b.ID]
+	if started {
 		return requests
 	}
 	r.requests[b.ID] = nil
@@ -25,19 +25,21 @@
 	return nil
 }
 
+// readRequests reads the requests of a batch from their blobs. samples is the number of samples
+// in the batch.
 func (r *runner) readRequests(ctx context.Context, id string, head batch.Head, samples int) {
 	var offsets []int64
 	for i := range head.RequestCounts {
 		offsets = append(offsets, head.RequestsAt+int64(i))
 	}
-	found, err := r.s.blobs.get(ctx, r.partition.number, offsets, nil)
+	blobs, err := r.s.blobs.get(ctx, r.partition.number, offsets, nil)
 	var requests []batch.Request
-	for _, at := range offsets {
+	for _, offset := range offsets {
 		if err != nil {
 			break
 		}
 		var list []batch.Request
-		if list, err = batch.UnpackRequests(found[at]); err == nil {
+		if list, err = batch.UnpackRequests(blobs[offset]); err == nil {
 			requests = append(requests, list...)
 		}
 	}
@@ -45,14 +47,14 @@
 	defer r.mu.Unlock()
 	defer r.wake()
 	if err != nil || len(requests) != samples {
-		r.log.Warn().Err(err).Str("batch", id).Int("requests", len(requests)).Int("samples", samples).Msg("requests not read, trying again")
-		time.AfterFunc(requestsPause, func() { r.forgetRequests(id) })
+		r.log.Warn().Err(err).Str("batch", id).Int("requests", len(requests)).Int("samples", samples).Msg("failed to read a batch's requests; retrying")
+		time.AfterFunc(requestsRetryDelay, func() { r.forgetRequests(id) })
 		return
 	}
 	r.requests[id] = requests
 }
 
-// forgetRequests lets the next look read a batch's requests again.
+// forgetRequests makes the next reconcile pass read a batch's requests again.
 func (r *runner) forgetRequests(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batchrun/rescue.go
+++ b/internal/batchrun/rescue.go
@@ -10,104 +10,106 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/registry"
 )
 
-// slowAvoidance is how long an engine that turned out slow gets no samples while
-// the others have room. Its pace is learned anew afterwards.
-const slowAvoidance = 2 * time.Second
+// slowEngineAvoidance is how long an engine that has become slow gets no samples. Its average
+// gap is measured again afterwards.
+const slowEngineAvoidance = 2 * time.Second
 
-// minPaceEvents is how many gaps make a pace.
-const minPaceEvents = 8
+// minGaps is the number of gaps from which an average is valid.
+const minGaps = 8
 
-// moveLocked takes samples away from engines that hold them up.
-func (r *runner) moveLocked(model string, share []registry.Upstream, w *modelWork, now time.Duration) {
+// moveSamplesLocked moves samples of a model off slow engines. engines are those allocated to
+// the model.
+func (r *runner) moveSamplesLocked(model string, engines []registry.Upstream, w *modelWork, now time.Duration) {
 	if r.s.options.Policy.On(policy.Moves) {
-		r.rescueLocked(model, share, now)
+		r.moveFromSlowEnginesLocked(model, engines, now)
 	}
 	if len(w.waiting) == 0 && r.s.options.Policy.On(policy.Hardware) {
-		r.hastenLocked(share, now)
+		r.moveFromSlowHardwareLocked(engines, now)
 	}
 }
 
 const (
-	// tailPace: an engine whose tokens take so many times the usual time loses the
-	// samples that a step waits for in the end.
-	tailPace = 1.15
-	// tailAge is how long a sample has run then: the short ones, most of a step, end
-	// before and aren't worth the move.
-	tailAge = 700 * time.Millisecond
+	// slowHardwareRatio is the ratio of an engine's token time to the median one from which
+	// the last samples of a step are moved off it.
+	slowHardwareRatio = 1.15
+	// minMoveAge is how long a sample must have run to be moved off slower hardware. Most
+	// samples of a step end before and aren't worth the move.
+	minMoveAge = 700 * time.Millisecond
 )
 
-// speedsLocked returns the engines' token times beside the usual one.
-func (r *runner) speedsLocked(share []registry.Upstream, now time.Duration) map[string]float64 {
-	var speeds []batch.Pace
-	for _, u := range share {
-		speeds = append(speeds, batch.Pace{Engine: u.Incarnation(), Gap: r.engineLocked(u.Incarnation()).speed.mean(now, speedMaxAge)})
+// relativeGapsLocked returns, by incarnation, the ratio of each engine's token time at equal load
+// to the median one. Engines whose token time isn't known are missing.
+func (r *runner) relativeGapsLocked(engines []registry.Upstream, now time.Duration) map[string]float64 {
+	var gaps []batch.Pace
+	for _, u := range engines {
+		gaps = append(gaps, batch.Pace{Engine: u.Incarnation(), Gap: r.engineLocked(u.Incarnation()).gapAlone.mean(now, gapAloneMaxAge)})
 	}
-	return batch.Relative(speeds)
+	return batch.Relative(gaps)
 }
 
-// hastenLocked moves the last samples of a step from slower hardware to usual engines
-// that have room, since the step ends with the last of them. A move costs the prompt's
-// prefill, a few events' time; a long sample has dozens of events left.
-func (r *runner) hastenLocked(share []registry.Upstream, now time.Duration) {
-	speeds := r.speedsLocked(share, now)
-	room := 0
-	for _, u := range share {
-		if e, speed := r.engineLocked(u.Incarnation()), speeds[u.Incarnation()]; speed > 0 && speed < tailPace && !r.unusableLocked(u.Incarnation(), now) {
-			room += max(0, u.Slots-e.running)
+// moveFromSlowHardwareLocked moves the last samples of a step from slower hardware to other
+// engines with free slots, since the step ends with the last of them. A move costs the prompt's
+// prefill, which takes as long as a few events; a long sample has dozens of events left.
+func (r *runner) moveFromSlowHardwareLocked(engines []registry.Upstream, now time.Duration) {
+	relativeGaps := r.relativeGapsLocked(engines, now)
+	freeSlots := 0
+	for _, u := range engines {
+		if e, ratio := r.engineLocked(u.Incarnation()), relativeGaps[u.Incarnation()]; ratio > 0 && ratio < slowHardwareRatio && !r.unusableLocked(u.Incarnation(), now) {
+			freeSlots += max(0, u.Slots-e.running)
 		}
 	}
-	for _, u := range share {
-		if speeds[u.Incarnation()] < tailPace {
+	for _, u := range engines {
+		if relativeGaps[u.Incarnation()] < slowHardwareRatio {
 			continue
 		}
 		for _, x := range r.runsOnLocked(u.Incarnation()) {
-			if room == 0 {
+			if freeSlots == 0 {
 				return
 			}
-			if now-x.startedAt >= tailAge {
+			if now-x.startedAt >= minMoveAge {
 				x.cancel(errMoved)
-				room--
+				freeSlots--
 			}
 		}
 	}
 }
 
-// rescueLocked moves samples from engines that are much slower than the others of
-// the share, as many as these have room for, those with the most left first.
-func (r *runner) rescueLocked(model string, share []registry.Upstream, now time.Duration) {
-	var paces []batch.Pace
-	room := 0
-	for _, u := range share {
+// moveFromSlowEnginesLocked moves samples off engines that are much slower than the model's
+// others, as many as there are free slots. Those with the most text left are moved first.
+func (r *runner) moveFromSlowEnginesLocked(model string, engines []registry.Upstream, now time.Duration) {
+	var gaps []batch.Pace
+	freeSlots := 0
+	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
-		paces = append(paces, batch.Pace{Engine: u.Incarnation(), Gap: e.pace.mean(now, gapMaxAge)})
+		gaps = append(gaps, batch.Pace{Engine: u.Incarnation(), Gap: e.gap.mean(now, gapMaxAge)})
 		if !r.unusableLocked(u.Incarnation(), now) {
-			room += max(0, u.Slots-e.running)
+			freeSlots += max(0, u.Slots-e.running)
 		}
 	}
-	for _, id := range batch.Slow(paces) {
-		e := r.engineLocked(id)
-		if e.running == 0 || now < e.slowTo {
+	for _, incarnation := range batch.Slow(gaps) {
+		e := r.engineLocked(incarnation)
+		if e.running == 0 || now < e.slowUntil {
 			continue
 		}
-		e.slowTo = now + slowAvoidance
-		own := r.runsOnLocked(id)
-		moved := min(len(own), room)
-		r.log.Info().Str("upstream", id).Str("model", model).Dur("gap", e.pace.average).Int("running", len(own)).
+		e.slowUntil = now + slowEngineAvoidance
+		runs := r.runsOnLocked(incarnation)
+		moved := min(len(runs), freeSlots)
+		r.log.Info().Str("upstream", incarnation).Str("model", model).Dur("gap", e.gap.average).Int("running", len(runs)).
 			Int("moved", moved).Msg("engine is slow, moving samples")
-		for _, x := range own[:moved] {
+		for _, x := range runs[:moved] {
 			x.cancel(errMoved)
 		}
-		room -= moved
-		e.pace = gapAverage{}
+		freeSlots -= moved
+		e.gap = gapAverage{}
 	}
 }
 
-// runsOnLocked returns an engine's runs, those that began last, and so have the
-// most left, first.
-func (r *runner) runsOnLocked(id string) []*run {
+// runsOnLocked returns the runs on an engine, given by its incarnation. Those that started last,
+// which have the most text left, come first.
+func (r *runner) runsOnLocked(incarnation string) []*run {
 	var out []*run
 	for _, x := range r.runs {
-		if x.incarnation == id {
+		if x.incarnation == incarnation {
 			out = append(out, x)
 		}
 	}
--- a/internal/batchrun/rescue_test.go
+++ b/internal/batchrun/rescue_test.go
@@ -19,7 +19,7 @@
 // One engine of three has slower hardware. A step's longest sample that runs there to
 // its end makes the whole step late by a third. It has to begin on another engine once
 // the hardware is known, and to leave the slow one when another has room.
-func TestLongSamplesLeaveSlowerHardware(t *testing.T) {
+func TestLongSamplesMoveOffSlowHardware(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 3, "m0")
@@ -50,7 +50,7 @@
 // The store is away, and an engine turns slow. A sample that is taken from it can't be
 // placed again before the store is back: it stands still for seconds where it would have
 // gone on, slowly.
-func TestNoSampleMovesOutOfTouch(t *testing.T) {
+func TestNoSampleMovesOutOfContact(t *testing.T) {
 	for _, inTouch := range []bool{true, false} {
 		g := NewWithT(t)
 		view := fleet.New(func() time.Duration { return time.Minute })
@@ -62,8 +62,8 @@
 			view.Upstreams(func(reg *registry.Registry, _ time.Duration) { reg.Put(u) })
 			e := r.engineLocked(u.ID)
 			e.running = 1
-			for range minPaceEvents {
-				e.observe(gap, time.Minute)
+			for range minGaps {
+				e.observeGap(gap, time.Minute)
 			}
 		}
 		ctx, cancel := context.WithCancelCause(context.Background())
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -46,7 +46,7 @@
 	demandNotBefore  map[string]time.Duration // by model, when its demand may be recorded again
 	runs             map[sampleKey]*run
 	texts            map[sampleKey]*text
-	scores           map[sampleKey]*scoring
+	rewardCalls      map[sampleKey]*rewardCall
 	// estimator learns how long samples run. It is common to all models, since they share
 	// engines.
 	estimator      *batch.Estimator
@@ -115,7 +115,7 @@
 	log := s.options.Logger.With().Int("part", p.number).Logger()
 	return &runner{
 		s: s, partition: p, outbox: newOutbox(s.options.Log, s.blobs, p.number, log), inContact: inContact, log: log,
-		wakeups: make(chan struct{}, 1), runs: map[sampleKey]*run{}, texts: map[sampleKey]*text{}, scores: map[sampleKey]*scoring{}, estimator: batch.NewEstimator(),
+		wakeups: make(chan struct{}, 1), runs: map[sampleKey]*run{}, texts: map[sampleKey]*text{}, rewardCalls: map[sampleKey]*rewardCall{}, estimator: batch.NewEstimator(),
 		demandNotBefore: map[string]time.Duration{}, requests: map[string][]batch.Request{}, finished: map[sampleKey]bool{}, retries: map[sampleKey]retryState{}, engines: map[string]*engine{},
 		crashes: crashes.NewSamples[sampleKey](), crashChecks: map[string][]brokenRun{},
 	}
@@ -138,8 +138,8 @@
 	for _, x := range r.runs {
 		x.cancel(errHandedOver)
 	}
-	for key := range r.scores {
-		r.dropScoreLocked(key)
+	for key := range r.rewardCalls {
+		r.cancelRewardCallLocked(key)
 	}
 	r.checkpointLocked()
 	r.mu.Unlock()
@@ -188,7 +188,7 @@
 func (r *runner) interval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.runs) > 0 || len(r.retries) > 0 || len(r.scores) > 0 {
+	if len(r.runs) > 0 || len(r.retries) > 0 || len(r.rewardCalls) > 0 {
 		return reconcileInterval
 	}
 	return idleInterval
@@ -273,7 +273,7 @@
 		r.log.Warn().Str("batch", key.batch).Int("item", key.index).Msg("result had no effect, running the sample again")
 		delete(r.finished, key)
 		delete(r.texts, key)
-		r.dropScoreLocked(key)
+		r.cancelRewardCallLocked(key)
 	}
 }
 
--- a/internal/batchrun/scale_test.go
+++ b/internal/batchrun/scale_test.go
@@ -165,7 +165,7 @@
 		}
 		for until := time.Now().Add(4 * scaleRecovery); time.Now().Before(until); time.Sleep(time.Second) {
 			for _, s := range f.services {
-				g.Expect(len(s.loadedParts())).To(BeNumerically("<", scaleParts))
+				g.Expect(len(s.loadedPartitions())).To(BeNumerically("<", scaleParts))
 			}
 		}
 	})
--- a/internal/batchrun/scorer_test.go
+++ b/internal/batchrun/scorer_test.go
@@ -15,14 +15,14 @@
 
 // fakeScorer is the service that scores texts.
 type fakeScorer struct {
-	t       *testing.T
-	engines *fakeEngines
-	takes   time.Duration
+	t            *testing.T
+	engines      *fakeEngines
+	callDuration time.Duration
 
-	mu     sync.Mutex
-	calls  []fakeRewardCall
-	broken float64        // part of the calls that end without a score
-	fails  map[string]int // by sample, how many of its calls fail still
+	mu           sync.Mutex
+	calls        []fakeRewardCall
+	noScoreRate  float64        // part of the calls that end without a score
+	failuresLeft map[string]int // by sample, how many of its calls fail still
 }
 
 type fakeRewardCall struct {
@@ -31,8 +31,8 @@
 	failed bool
 }
 
-// rewardOf is the ID of a sample's reward call.
-func rewardOf(sample string) string { return "reward-" + sample }
+// rewardCallID is the ID of a sample's reward call.
+func rewardCallID(sample string) string { return "reward-" + sample }
 
 // Score answers with a signature that names the call's number.
 func (f *fakeScorer) Score(ctx context.Context, route routes.Route, c batch.RewardCall) Verdict {
@@ -41,9 +41,9 @@
 		f.t.Errorf("reward call of %s came as %+v over %s", sample, c, route.Name)
 	}
 	f.mu.Lock()
-	failed := f.fails[sample] > 0
+	failed := f.failuresLeft[sample] > 0
 	if failed {
-		f.fails[sample]--
+		f.failuresLeft[sample]--
 	}
 	f.calls = append(f.calls, fakeRewardCall{sample, time.Now(), failed})
 	signature := fmt.Sprintf("signature:%d", len(f.calls))
@@ -51,20 +51,20 @@
 	select {
 	case <-ctx.Done():
 		return Verdict{Reason: "cancelled"}
-	case <-time.After(f.takes):
+	case <-time.After(f.callDuration):
 	}
 	switch {
 	case failed:
 		return Verdict{Failures: 1, Reason: "status 500"}
-	case f.engines.chance(f.broken):
+	case f.engines.chance(f.noScoreRate):
 		return Verdict{Reason: "no whole answer"}
 	}
 	return Verdict{Score: signature}
 }
 
-// check fails the test unless a score is the signature of a good answer to the
+// checkScore fails the test unless a score is the signature of a good answer to the
 // sample's own call, made after its text's last event.
-func (f *fakeScorer) check(r Result) {
+func (f *fakeScorer) checkScore(r Result) {
 	n, err := strconv.Atoi(strings.TrimPrefix(r.Score, "signature:"))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,8 +78,8 @@
 	}
 }
 
-// made counts the reward calls of a sample.
-func (f *fakeScorer) made(sample string) int {
+// callCount counts the reward calls of a sample.
+func (f *fakeScorer) callCount(sample string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -14,108 +14,114 @@
 
 // Scorer makes reward calls.
 type Scorer interface {
-	// Score sends a reward call over its route, within that route's bounds.
+	// Score sends a reward call over its route, within that route's limits.
 	Score(ctx context.Context, route routes.Route, call batch.RewardCall) Verdict
 }
 
-// Verdict is what became of a reward call.
+// Verdict is the outcome of a reward call.
 type Verdict struct {
-	Score string // the signature of a successful answer, "": none
-	// Failures counts the upstreams that ran the call and answered that it failed.
+	Score string // signature of the successful answer, "" if there was none
+	// Failures is the number of upstreams that ran the call and answered that it failed.
 	Failures int
-	// RetryAfter is when the call is worth making again.
+	// RetryAfter is how long to wait before the call is made again, 0 if unknown.
 	RetryAfter time.Duration
-	Reason     string // of a call without a score
+	Reason     string // why there is no score
 }
 
 const (
-	// scorePause follows a reward call without a score that names no time to come
-	// back: its route's upstreams were silent, crashed or spoiled their answers.
-	scorePause = 50 * time.Millisecond
-	// noRoutePause follows a look at a configuration without the call's route.
-	noRoutePause = 500 * time.Millisecond
+	// rewardRetryDelay is the least wait after a reward call without a score. It applies when
+	// no time for a retry is known: the upstreams of the route were silent, crashed or sent
+	// broken answers.
+	rewardRetryDelay = 50 * time.Millisecond
+	// noRouteDelay is the wait after a reward call that couldn't be made, because the
+	// configuration has no route for it or its request is missing.
+	noRouteDelay = 500 * time.Millisecond
 )
 
 var (
-	rewardCalls    = metrics.Counter("reward_calls")
-	rewardFailures = metrics.Counter("reward_call_failures")
-	rewardTime     = metrics.Latency("reward_call_ms")
-	textToListed   = metrics.Latency("sample_text_to_result_ms")
+	rewardCallsMade  = metrics.Counter("reward_calls")
+	rewardFailures   = metrics.Counter("reward_call_failures")
+	rewardCallTime   = metrics.Latency("reward_call_ms")
+	textToResultTime = metrics.Latency("sample_text_to_result_ms")
 )
 
 var errNoScore = errors.New("reward call without a score")
 
-// scoring is what this owner knows of a whole sample's reward call.
-type scoring struct {
-	cancel    context.CancelFunc // of the call under way, nil: none is
-	notBefore time.Duration
-	began     time.Duration // when the text was found whole
-	failures  int           // answers of this owner's calls that the call failed
-	before    int           // such answers in the log when this owner began
+// rewardCall is a runner's state of the reward call of a sample whose text is complete.
+type rewardCall struct {
+	cancel         context.CancelFunc // of the call in progress, nil for none
+	notBefore      time.Duration      // no call until then
+	textCompleteAt time.Duration      // when the text was found to be complete
+	failures       int                // failures that upstreams answered to this owner's calls
+	loggedBefore   int                // failures in the log when this owner took the sample over
 }
 
-// failed is the number of failures so far: an earlier owner's, and its own, which
-// reach the log a little later.
-func (x *scoring) failed(logged int) int { return max(logged, x.before+x.failures) }
+// failureCount returns the number of failures so far, given that in the log. It includes this
+// owner's, which reach the log a little later.
+func (x *rewardCall) failureCount(logged int) int { return max(logged, x.loggedBefore+x.failures) }
 
-// scoreLocked looks after a sample whose text is whole and that has no score yet.
-func (r *runner) scoreLocked(ctx context.Context, config *routes.Config, b *batch.Batch, i int, now time.Duration) {
+// reconcileRewardCallLocked starts the reward call of sample i of a batch if it is due. The
+// sample's text is complete and it has no score yet.
+func (r *runner) reconcileRewardCallLocked(ctx context.Context, config *routes.Config, b *batch.Batch, i int, now time.Duration) {
 	s, key := &b.Samples[i], sampleKey{b.ID, i}
-	x := r.scores[key]
+	x := r.rewardCalls[key]
 	if x == nil {
-		x = &scoring{began: now, before: s.RewardFailures}
-		r.scores[key] = x
+		x = &rewardCall{textCompleteAt: now, loggedBefore: s.RewardFailures}
+		r.rewardCalls[key] = x
 	}
 	requests := r.requestsLocked(ctx, b)
 	if x.cancel != nil || now < x.notBefore || requests == nil {
 		return
 	}
-	// Also while out of touch with the store: a score that is there when the store is back
-	// lists the sample half a second sooner. At worst another owner made the call as well.
+	// The call is made even while the store is unavailable: if the score is known when the
+	// store is back, the sample gets its result half a second earlier. At worst another owner
+	// has made the call too.
 	call := requests[i].Reward
 	if call == nil {
-		x.notBefore = now + noRoutePause
-		r.log.Error().Str("batch", b.ID).Str("sample", s.ID).Msg("sample names a reward call and its request has none")
+		x.notBefore = now + noRouteDelay
+		r.log.Error().Str("batch", b.ID).Str("sample", s.ID).Msg("sample has a reward call, but its request does not contain one")
 		return
 	}
 	route, ok := config.Match(call.Host, call.Path)
 	if !ok {
-		x.notBefore = now + noRoutePause
+		x.notBefore = now + noRouteDelay
 		r.log.Warn().Str("batch", b.ID).Str("sample", s.ID).Str("reward_call", call.ID).Str("host", call.Host).Str("path", call.Path).
-			Int64("config", config.Version).Msg("reward call has no route, waiting for one")
+			Int64("config", config.Version).Msg("no route matches the reward call; waiting for a configuration that has one")
 		return
 	}
-	if x.failed(s.RewardFailures) >= route.MaxAttempts {
+	if x.failureCount(s.RewardFailures) >= route.MaxAttempts {
 		r.giveUpLocked(key, s.ID, "its reward call failed at every attempt")
 		return
 	}
-	r.callScorerLocked(ctx, key, s.ID, route, *call, x)
+	r.startRewardCallLocked(ctx, key, s.ID, route, *call, x)
 }
 
-func (r *runner) callScorerLocked(ctx context.Context, key sampleKey, sample string, route routes.Route, call batch.RewardCall, x *scoring) {
+// startRewardCallLocked makes a reward call in the background.
+func (r *runner) startRewardCallLocked(ctx context.Context, key sampleKey, sampleID string, route routes.Route, call batch.RewardCall, x *rewardCall) {
 	ctx, x.cancel = context.WithCancel(ctx)
 	cancel := x.cancel
-	rewardCalls.Add(1)
+	rewardCallsMade.Add(1)
 	r.tasks.Go(func() {
 		began := r.s.options.Now()
 		verdict := r.s.options.Scorer.Score(ctx, route, call)
 		cancelled := ctx.Err() != nil
 		cancel()
-		r.scored(key, sample, call.ID, x, verdict, cancelled, r.s.options.Now()-began)
+		r.onRewardCallEnded(key, sampleID, call.ID, x, verdict, cancelled, r.s.options.Now()-began)
 	})
 }
 
-// scored takes the end of a reward call.
-func (r *runner) scored(key sampleKey, sample, call string, x *scoring, v Verdict, cancelled bool, took time.Duration) {
+// onRewardCallEnded is called when a reward call has ended. It queues the sample's result if there
+// is a score, or schedules a retry.
+func (r *runner) onRewardCallEnded(key sampleKey, sampleID, callID string, x *rewardCall, v Verdict, cancelled bool, took time.Duration) {
 	now := r.s.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	defer r.wake()
 	x.cancel = nil
-	rewardTime.Observe(took)
-	r.logScored(key, sample, call, v, cancelled, took)
-	if r.stopping || r.scores[key] != x || cancelled && v.Score == "" {
-		return // unwanted meanwhile, or of a text that didn't count
+	rewardCallTime.Observe(took)
+	r.logRewardCall(key, sampleID, callID, v, cancelled, took)
+	if r.stopping || r.rewardCalls[key] != x || cancelled && v.Score == "" {
+		return // no longer wanted, or its text had no effect
 	}
 	for range v.Failures {
 		r.outbox.add(batch.Failed{Batch: key.batch, Item: key.index, Attempt: uuid.NewString(), Reward: true})
@@ -123,31 +129,32 @@
 	x.failures += v.Failures
 	rewardFailures.Add(int64(v.Failures))
 	if t := r.texts[key]; v.Score != "" && t != nil {
-		textToListed.Observe(now - x.began)
+		textToResultTime.Observe(now - x.textCompleteAt)
 		r.completeLocked(key, t, v.Score)
 		delete(r.texts, key)
 		return
 	}
-	x.notBefore = now + max(v.RetryAfter, scorePause)
+	x.notBefore = now + max(v.RetryAfter, rewardRetryDelay)
 }
 
-func (r *runner) logScored(key sampleKey, sample, call string, v Verdict, cancelled bool, took time.Duration) {
+// logRewardCall logs the end of a reward call.
+func (r *runner) logRewardCall(key sampleKey, sampleID, callID string, v Verdict, cancelled bool, took time.Duration) {
 	line := r.log.Info()
 	if v.Score == "" {
 		line = r.log.Warn().Err(errNoScore).Str("why", v.Reason).Dur("retry_after", v.RetryAfter)
 	}
-	line.Str("batch", key.batch).Str("sample", sample).Str("reward_call", call).Int("failures", v.Failures).
+	line.Str("batch", key.batch).Str("sample", sampleID).Str("reward_call", callID).Int("failures", v.Failures).
 		Bool("unwanted", cancelled).Dur("took", took).Msg("reward call ended")
 }
 
-// dropScoreLocked ends a reward call that nobody wants any more and forgets it.
-func (r *runner) dropScoreLocked(key sampleKey) {
-	x := r.scores[key]
+// cancelRewardCallLocked cancels a sample's reward call if one is in progress, and drops its state.
+func (r *runner) cancelRewardCallLocked(key sampleKey) {
+	x := r.rewardCalls[key]
 	if x == nil {
 		return
 	}
 	if x.cancel != nil {
 		x.cancel()
 	}
-	delete(r.scores, key)
+	delete(r.rewardCalls, key)
 }
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -30,14 +30,14 @@
 // A trainer's samples are scored by a call each. It must find every sample with the
 // signature of a good answer, and one that the scorer always fails given up after
 // the route's attempts: without an end to them it would wait for its step for ever.
-func TestSamplesAreListedWithTheirScores(t *testing.T) {
+func TestResultsHaveScores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 2, scoredModel)
 		defer w.stop()
-		w.scorer.broken = 0.3
-		w.scorer.fails["m1-scores-0-0"] = 3 // one less than the attempts
-		w.scorer.fails["m1-scores-0-1"] = 9
+		w.scorer.noScoreRate = 0.3
+		w.scorer.failuresLeft["m1-scores-0-0"] = 3 // one less than the attempts
+		w.scorer.failuresLeft["m1-scores-0-1"] = 9
 		items := submitScored(g, w, "scores", 4)
 		time.Sleep(12 * time.Second)
 		list := results(g, w.vms[1])
@@ -45,12 +45,12 @@
 		for _, r := range list {
 			if r.ID == items[1].ID {
 				g.Expect(r.State).To(Equal(batch.Dead))
-				g.Expect(w.scorer.made(r.ID)).To(Equal(4))
+				g.Expect(w.scorer.callCount(r.ID)).To(Equal(4))
 				continue
 			}
 			g.Expect(r.State).To(Equal(batch.Completed))
 			w.engines.checkText(r.ID, r.Text)
-			w.scorer.check(r)
+			w.scorer.checkScore(r)
 		}
 	})
 }
@@ -58,23 +58,23 @@
 // An owner dies while the scorer works on its samples. Their texts are whole and took
 // seconds; the trainer waits for them to be generated again unless the log has them, and
 // the next owner only asks for the scores.
-func TestWholeTextOutlivesItsOwner(t *testing.T) {
+func TestCompleteTextSurvivesItsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 4, scoredModel)
 		defer w.stop()
-		w.scorer.takes = 4 * time.Second
+		w.scorer.callDuration = 4 * time.Second
 		items := submitScored(g, w, "outlives", 4)
 		time.Sleep(3 * time.Second)
 		g.Expect(results(g, w.vms[1])).To(BeEmpty())
 		runs := len(w.engines.runs)
-		w.scorer.takes = scoreDuration
+		w.scorer.callDuration = scoreDuration
 		w.killAll(w.vms, 100*time.Millisecond)
 		time.Sleep(3500 * time.Millisecond)
 		list := results(g, w.vms[1])
 		g.Expect(list).To(HaveLen(len(items)))
 		for _, r := range list {
-			w.scorer.check(r)
+			w.scorer.checkScore(r)
 		}
 		g.Expect(w.engines.runs).To(HaveLen(runs), "no text was generated again")
 	})
@@ -87,27 +87,27 @@
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 4, scoredModel)
 		defer w.stop()
-		w.scorer.broken = 1
+		w.scorer.noScoreRate = 1
 		items := submitScored(g, w, "ended", 4)
 		time.Sleep(3 * time.Second)
 		g.Expect(w.vms[1].daemon().End(context.Background(), "b")).To(Succeed())
 		time.Sleep(500 * time.Millisecond)
-		before := w.scorer.made(items[0].ID)
+		before := w.scorer.callCount(items[0].ID)
 		g.Expect(before).To(BeNumerically(">", 1), "a call that brought no score is made again")
 		time.Sleep(3 * time.Second)
-		g.Expect(w.scorer.made(items[0].ID)).To(Equal(before))
+		g.Expect(w.scorer.callCount(items[0].ID)).To(Equal(before))
 	})
 }
 
 // The store hands an owner's partition to another daemon that can't be told: for a
 // moment both score the same samples. Each is listed once, with the first score that
 // the log took.
-func TestTwoOwnersScoreAtOnce(t *testing.T) {
+func TestTwoOwnersScoreTheSameSamples(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 3, 4, scoredModel)
 		defer w.stop()
-		w.scorer.takes = 1500 * time.Millisecond
+		w.scorer.callDuration = 1500 * time.Millisecond
 		items := submitScored(g, w, "both", 4)
 		time.Sleep(1800 * time.Millisecond)
 		for range 3 {
@@ -121,19 +121,19 @@
 			g.Expect(results(g, v)).To(Equal(seen))
 		}
 		for _, r := range seen {
-			w.scorer.check(r)
+			w.scorer.checkScore(r)
 		}
 	})
 }
 
 // The store is away while samples are scored. Their results are written when it is back,
 // and no call is made twice for that.
-func TestScoresOutliveAnOutageOfTheStore(t *testing.T) {
+func TestScoresSurviveAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 4, scoredModel)
 		defer w.stop()
-		w.scorer.takes = time.Second
+		w.scorer.callDuration = time.Second
 		items := submitScored(g, w, "outage", 4)
 		time.Sleep(1800 * time.Millisecond)
 		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeLatency})
@@ -142,7 +142,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		g.Expect(results(g, w.vms[0])).To(HaveLen(len(items)))
 		for _, i := range items {
-			g.Expect(w.scorer.made(i.ID)).To(Equal(1))
+			g.Expect(w.scorer.callCount(i.ID)).To(Equal(1))
 		}
 		g.Expect(metrics.Counter("reward_calls").Value()).To(BeNumerically(">=", len(items)))
 	})
@@ -150,7 +150,7 @@
 
 // The store is away for seconds, and a text becomes whole meanwhile. Scored only when the
 // store is back, the sample is listed later by a call's time, and with it its step.
-func TestTextsAreScoredWhileTheStoreIsAway(t *testing.T) {
+func TestTextsAreScoredWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 4, scoredModel)
@@ -161,7 +161,7 @@
 		w.vms[0].client.SetFaults(metastore.Faults{Refuse: true, Latency: storeLatency})
 		time.Sleep(contactTimeout + 4*time.Second)
 		for _, i := range items {
-			g.Expect(w.scorer.made(i.ID)).To(Equal(1))
+			g.Expect(w.scorer.callCount(i.ID)).To(Equal(1))
 		}
 		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency})
 		time.Sleep(time.Second)
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -76,7 +76,7 @@
 type Service struct {
 	options         Options
 	partitions      []*partition
-	blobs           *blobs
+	blobs           *blobCache
 	loader          *loader
 	modelPartitions *modelPartitions
 	owner           *owner
@@ -86,7 +86,7 @@
 
 // New returns a Service that hasn't read anything yet.
 func New(o Options) *Service {
-	s := &Service{options: o, blobs: newBlobs(o.Log, o.Parts)}
+	s := &Service{options: o, blobs: newBlobCache(o.Log, o.Parts)}
 	for n := range o.Parts {
 		s.partitions = append(s.partitions, newPartition(n, o))
 	}
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -12,69 +12,72 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/registry"
 )
 
-// Reasons of our own for ending a run.
+// Reasons for which the runner cancels a run.
 var (
-	errHandedOver = errors.New("handed over to another daemon")
-	errUnwanted   = errors.New("result no longer wanted")
-	errMoved      = errors.New("moved to another engine")
-	errOvertaken  = errors.New("the log has more of the text")
-	errTooOld     = errors.New("engine's weights are too old for the batch")
-	errMixed      = errors.New("weights changed within a sample of one version")
+	errHandedOver    = errors.New("handed over to another daemon")
+	errUnwanted      = errors.New("result no longer wanted")
+	errMoved         = errors.New("moved to another engine")
+	errLogAhead      = errors.New("the log has more of the text")
+	errWeightsTooOld = errors.New("engine's weights are too old for the batch")
+	errVersionsMixed = errors.New("weights version changed within a sample that allows only one")
 )
 
 const (
-	// refusedPause: an engine that is full or loading is asked again after it.
-	engineRefusedPause = 150 * time.Millisecond
-	// retryPause is the pause of a sample whose run broke off through no fault of its own.
-	retryPause = 10 * time.Millisecond
-	// failedPause follows a failure that the engine blamed on the sample.
-	failedPause = 100 * time.Millisecond
+	// engineRefusedDelay is how long an engine that is full or loading gets no sample.
+	engineRefusedDelay = 150 * time.Millisecond
+	// retryDelay is the wait before a sample whose run broke off may start again.
+	retryDelay = 10 * time.Millisecond
+	// failedDelay is the same after the engine reported that the sample failed.
+	failedDelay = 100 * time.Millisecond
 )
 
-// engine is what the runner knows of one incarnation.
+// engine is a runner's state of one incarnation of an engine.
 type engine struct {
-	running     int
-	fullTo      time.Duration
-	slowTo      time.Duration // slower than its peers
-	vacantUntil time.Duration // it is to load weights as soon as its runs ended
-	loading     bool
-	orderAfter  time.Duration // no order before
-	trial       bool          // a sample runs alone there, or is about to
-	pace        gapAverage
-	speed       gapAverage // as if it ran one sample: its hardware's, whatever the load
+	running       int           // runs of this runner in progress
+	fullUntil     time.Duration // no sample until then: the engine refused one
+	slowUntil     time.Duration // no sample until then: the engine is slower than others
+	evictedUntil  time.Duration // no sample until then: it loads weights once its runs have ended
+	loading       bool
+	noOrderBefore time.Duration // no load order until then: the last load failed
+	trial         bool          // a sample runs alone on the engine
+	gap           gapAverage    // between two events of a sample
+	gapAlone      gapAverage    // estimate of gap if the engine ran one sample: its hardware's, whatever the load
 }
 
-// observe takes the gap between two events of one of its samples.
-func (e *engine) observe(gap, now time.Duration) {
-	e.pace.observe(gap, now, gapMaxAge)
-	e.speed.observe(batch.GapAlone(gap, e.running), now, speedMaxAge)
+// observeGap adds a gap between two events of a sample on the engine.
+func (e *engine) observeGap(gap, now time.Duration) {
+	e.gap.observe(gap, now, gapMaxAge)
+	e.gapAlone.observe(batch.GapAlone(gap, e.running), now, gapAloneMaxAge)
 }
 
-func (r *runner) engineLocked(id string) *engine {
-	e := r.engines[id]
+// engineLocked returns the state of an engine, given by its incarnation.
+func (r *runner) engineLocked(incarnation string) *engine {
+	e := r.engines[incarnation]
 	if e == nil {
 		e = &engine{}
-		r.engines[id] = e
+		r.engines[incarnation] = e
 	}
 	return e
 }
 
-// suspect reports whether an incarnation gets no work because it failed.
-func (r *runner) suspect(incarnation string, now time.Duration) bool {
+// isSuspect reports whether an incarnation gets no work because it recently failed.
+func (r *runner) isSuspect(incarnation string, now time.Duration) bool {
 	return r.s.options.Suspects.Holds(incarnation, now)
 }
 
-// unusableLocked reports whether an engine gets no sample now.
+// unusableLocked reports whether an engine, given by its incarnation, gets no sample now.
 func (r *runner) unusableLocked(incarnation string, now time.Duration) bool {
-	return r.suspect(incarnation, now) || r.engineLocked(incarnation).unusable(now)
+	return r.isSuspect(incarnation, now) || r.engineLocked(incarnation).unusable(now)
 }
 
+// unusable reports the same for reasons other than recent failures.
 func (e *engine) unusable(now time.Duration) bool {
-	return e.trial || e.loading || now < e.fullTo || now < e.vacantUntil || now < e.slowTo
+	return e.trial || e.loading || now < e.fullUntil || now < e.evictedUntil || now < e.slowUntil
 }
 
-// startLocked begins a run.
-func (r *runner) startLocked(ctx context.Context, model string, u registry.Upstream, w batch.Waiting) {
+// startRunLocked starts a run of a waiting sample on an engine. It resumes the sample's text so
+// far.
+func (r *runner) startRunLocked(ctx context.Context, model string, u registry.Upstream, w batch.Waiting) {
 	key := sampleKey{w.Batch, w.Index}
 	r.partition.mu.Lock()
 	b := r.partition.state.Get(w.Batch)
@@ -92,22 +95,23 @@
 	x := &run{ctx: ctx, key: key, sampleID: s.ID, upstream: u, incarnation: u.Incarnation(), model: model, hasReward: s.Reward != "", expectedTokens: s.Expected, text: t, startedAt: now, cancel: cancel, startEvents: t.eventCount(), lastEventAt: now}
 	r.runs[key] = x
 	r.engineLocked(u.Incarnation()).running++
-	ask := SampleRun{ID: s.ID, Host: head.Host, Customer: head.Customer, Request: requests[w.Index], After: t.eventCount()}
-	if ask.After > 0 {
+	request := SampleRun{ID: s.ID, Host: head.Host, Customer: head.Customer, Request: requests[w.Index], After: t.eventCount()}
+	if request.After > 0 {
 		samplesResumed.Add(1)
 	}
 	r.tasks.Go(func() {
-		err := r.s.options.Engines.Run(ctx, u, ask, func(e batch.Event) { r.emit(x, head, e) })
+		err := r.s.options.Engines.Run(ctx, u, request, func(e batch.Event) { r.onEvent(x, head, e) })
 		if cause := context.Cause(ctx); cause != nil {
-			err = cause // also of a stream that reached its end: emit dropped events since
+			err = cause // even if the stream is complete: onEvent has dropped events since
 		}
 		cancel(nil)
-		r.ended(x, head, err)
+		r.onRunEnded(x, head, err)
 	})
 }
 
-// emit takes an event of a run.
-func (r *runner) emit(x *run, head batch.Head, e batch.Event) {
+// onEvent adds an event of a run to the sample's text. It cancels the run if the event's weights
+// version isn't allowed.
+func (r *runner) onEvent(x *run, head batch.Head, e batch.Event) {
 	now := r.s.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,22 +126,23 @@
 	}
 	switch {
 	case e.Version < head.MinVersion:
-		x.cancel(errTooOld)
+		x.cancel(errWeightsTooOld)
 		return
-	case head.SingleVersion && x.text.other(e.Version):
-		x.cancel(errMixed)
+	case head.SingleVersion && x.text.hasOtherVersion(e.Version):
+		x.cancel(errVersionsMixed)
 		return
 	}
 	if !first {
-		r.engineLocked(x.incarnation).observe(now-x.lastEventAt, now)
+		r.engineLocked(x.incarnation).observeGap(now-x.lastEventAt, now)
 	}
 	x.lastEventAt = now
 	x.text.events = append(x.text.events, e)
 	r.endTrialIfPassedLocked(x)
 }
 
-// ended takes a run's end.
-func (r *runner) ended(x *run, head batch.Head, err error) {
+// onRunEnded is called when a run has ended. err is nil if the text is complete. The text goes
+// to the log, and the sample gets its result, has its reward call made, or is retried.
+func (r *runner) onRunEnded(x *run, head batch.Head, err error) {
 	now := r.s.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +151,7 @@
 	e := r.engineLocked(x.incarnation)
 	e.running--
 	e.trial = e.trial && !x.trial
-	r.logEnd(x, err, now)
+	r.logRunEnd(x, err, now)
 	sampleRunTime.Observe(now - x.startedAt)
 	if err == nil {
 		r.s.options.Suspects.Worked(x.incarnation)
@@ -154,7 +159,7 @@
 			r.estimator.Observe(x.expectedTokens, x.text.eventCount(), now-x.startedAt)
 		}
 		if x.hasReward {
-			r.saveCompleteTextLocked(x.key, x.text) // the next look makes its reward call
+			r.saveCompleteTextLocked(x.key, x.text) // the next reconcile pass starts the reward call
 			return
 		}
 		r.completeLocked(x.key, x.text, "")
@@ -162,50 +167,52 @@
 		return
 	}
 	r.saveProgressLocked(x.key, x.text)
-	r.after(x, e, err, now)
+	r.handleRunErrorLocked(x, e, err, now)
 }
 
-// after decides what a broken run means for its sample and its engine.
-func (r *runner) after(x *run, e *engine, err error, now time.Duration) {
-	again := retryState{notBefore: now + retryPause, avoidEngine: x.incarnation}
+// handleRunErrorLocked decides when and where a sample is retried after a run without a result,
+// and what that means for the run's engine e.
+func (r *runner) handleRunErrorLocked(x *run, e *engine, err error, now time.Duration) {
+	retry := retryState{notBefore: now + retryDelay, avoidEngine: x.incarnation}
 	switch {
 	case errors.Is(err, errHandedOver), errors.Is(err, errUnwanted):
 		return
 	case errors.Is(err, ErrImpossible):
-		r.giveUpLocked(x.key, x.sampleID, "an engine says that it can't be done")
+		r.giveUpLocked(x.key, x.sampleID, "an engine reported that the sample can't be completed")
 		return
 	case errors.Is(err, ErrFailed):
 		r.outbox.add(batch.Failed{Batch: x.key.batch, Item: x.key.index, Attempt: uuid.NewString()})
-		again.notBefore = now + failedPause
+		retry.notBefore = now + failedDelay
 	case errors.Is(err, ErrRefused):
-		e.fullTo = now + engineRefusedPause
+		e.fullUntil = now + engineRefusedDelay
 	case errors.Is(err, errMoved):
-		again.notBefore = 0
-	case errors.Is(err, errOvertaken):
-		again = retryState{}
+		retry.notBefore = 0
+	case errors.Is(err, errLogAhead):
+		retry = retryState{}
 	case errors.Is(err, ErrIdleBroke):
-		again.avoidEngine = "" // the engine isn't to blame
-	case errors.Is(err, errTooOld):
-		again.notBefore = now + engineRefusedPause
-	case errors.Is(err, errMixed):
+		retry.avoidEngine = "" // the engine isn't at fault
+	case errors.Is(err, errWeightsTooOld):
+		retry.notBefore = now + engineRefusedDelay
+	case errors.Is(err, errVersionsMixed):
 		delete(r.texts, x.key)
 	default:
 		sampleRunsBroken.Add(1)
 		if x.text.eventCount() > x.startEvents {
-			r.s.options.Suspects.Worked(x.incarnation) // until then
+			r.s.options.Suspects.Worked(x.incarnation) // it did until the run broke off
 		}
 		if r.s.options.Policy.On(policy.Suspicion) {
 			r.s.options.Suspects.Failed(x.incarnation, now)
 		}
 		if r.s.options.Policy.On(policy.Trials) && !errors.Is(err, ErrDown) {
-			again.notBefore = now + crashCheckDelay
+			retry.notBefore = now + crashCheckDelay
 			r.checkCrashLocked(x)
 		}
 	}
-	r.retries[x.key] = again
+	r.retries[x.key] = retry
 }
 
-func (r *runner) logEnd(x *run, err error, now time.Duration) {
+// logRunEnd logs the end of a run.
+func (r *runner) logRunEnd(x *run, err error, now time.Duration) {
 	line := r.log.Info()
 	if err != nil {
 		line = r.log.Warn().Err(err)
@@ -214,8 +221,9 @@
 		Int("events", x.text.eventCount()).Dur("took", now-x.startedAt).Dur("since_event", now-x.lastEventAt).Msg("sample run ended")
 }
 
-// other reports whether the text has an event of another version.
-func (t *text) other(version int64) bool {
+// hasOtherVersion reports whether the text has events of another weights version. It looks at
+// the first event only: the versions of a text whose batch allows one don't differ.
+func (t *text) hasOtherVersion(version int64) bool {
 	if len(t.versions) > 0 {
 		return t.versions[0].Version != version
 	}
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -23,21 +23,23 @@
 )
 
 const (
-	// submitWait bounds a whole submission; the trainer resends a batch that gets no
-	// answer within seconds.
-	submitWait = 3 * time.Second
-	// seenWait is how long a batch whose append had no answer is looked for in the log
-	// before it is appended once more. What was done is read within some ms.
-	seenWait = 100 * time.Millisecond
-	// refusedTries: a store that refuses a call may take the next.
-	refusedTries = 3
+	// submitTimeout bounds a whole submission. A trainer that gets no answer within seconds
+	// resends the batch.
+	submitTimeout = 3 * time.Second
+	// readBackTimeout is how long to look for the effect of an append that wasn't answered
+	// before it is repeated. If it took effect, its records are read within some ms.
+	readBackTimeout = 100 * time.Millisecond
+	// maxRefusals is the number of refusals by the store after which an append fails. A store
+	// that refuses one call may accept the next.
+	maxRefusals = 3
 )
 
-// refusedBackoff is the wait after refusals, of which a trainer waits for two at most.
-var refusedBackoff = retry.Backoff{First: 120 * time.Millisecond, Max: 240 * time.Millisecond}
+// refusalBackoff is the wait after a refusal by the store. A trainer waits for two of them at
+// most.
+var refusalBackoff = retry.Backoff{First: 120 * time.Millisecond, Max: 240 * time.Millisecond}
 
-// Submit accepts a batch once, however often it comes. A nil error promises that
-// it will be kept. Errors: ErrNotRun, ErrUnknown, ErrTooLarge.
+// Submit accepts a batch. It is idempotent by the batch's ID. A nil error means that the batch is
+// durable. Errors: ErrNotRun, ErrUnknown, ErrTooLarge.
 func (s *Service) Submit(ctx context.Context, id string, head batch.Head, items []batch.Item, requests []batch.Request) error {
 	began := time.Now()
 	err := s.submit(ctx, id, head, items, requests)
@@ -54,90 +56,94 @@
 	return err
 }
 
+// submit is Submit without logging. It doesn't stop when the caller leaves.
 func (s *Service) submit(ctx context.Context, id string, head batch.Head, items []batch.Item, requests []batch.Request) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitTimeout)
 	defer cancel()
 	part, err := s.modelPartitions.assign(ctx, head.Model, len(items))
 	if err != nil {
 		return errors.Join(ErrNotRun, err)
 	}
 	p := s.partitions[part]
-	if s.accepted(ctx, p, id) {
+	if s.knownAccepted(ctx, p, id) {
 		return nil
 	}
 	head.AcceptedMS = time.Now().UnixMilli()
-	if head.RequestsAt, head.RequestCounts, err = s.putRequests(ctx, p, requests); err != nil {
+	if head.RequestsAt, head.RequestCounts, err = s.appendRequests(ctx, p, requests); err != nil {
 		return err
 	}
-	records, err := s.encode(id, head, items)
+	records, err := s.encodeBatch(id, head, items)
 	if err != nil {
 		return err
 	}
-	return s.appendOnce(ctx, p, records, func() bool { return s.accepted(ctx, p, id) })
+	return s.appendRepeatable(ctx, p, records, func() bool { return s.knownAccepted(ctx, p, id) })
 }
 
-// accepted reports whether a batch is known to be accepted, by the view here or by the
-// partition's owner. Otherwise nothing is certain: the batch is appended, and counts once.
-// It spares the records and requests of a batch that comes again.
-func (s *Service) accepted(ctx context.Context, p *partition, id string) bool {
+// knownAccepted reports whether a batch is known to be accepted, from this daemon's view or by
+// the partition's owner. If it reports false the batch may be accepted all the same; appending
+// it again is safe. The check saves writing the records and requests of a batch that is resent.
+func (s *Service) knownAccepted(ctx context.Context, p *partition, id string) bool {
 	if p.hasBatch(id) {
 		return true
 	}
 	if p.follower.Loaded() || s.options.Peers == nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	owners := s.directory.cached(s.options.Now())
 	if owners == nil {
 		var err error
 		if owners, err = s.directory.refresh(ctx, s.options.Now()); err != nil {
-			s.options.Logger.Warn().Err(err).Str("batch", id).Msg("owners not read, batch taken for new")
+			s.options.Logger.Warn().Err(err).Str("batch", id).Msg("failed to read the partition owners; treating the batch as new")
 			return false
 		}
 	}
 	if owners[p.number] == "" {
 		return false
 	}
-	answer, err := s.askOne(ctx, owners[p.number], id, false)
-	return err == nil && answer.Found // askOne logs its failure
+	answer, err := s.askOwner(ctx, owners[p.number], id, false)
+	return err == nil && answer.Found // a failed call has been logged
 }
 
-// putRequests writes the requests of a batch to the log. Until a record names
-// them they mean nothing, so every failure is "not accepted".
-func (s *Service) putRequests(ctx context.Context, p *partition, requests []batch.Request) (at int64, counts []int, err error) {
-	packed, counts, err := batch.PackRequests(requests, s.options.RecordBytes-blobMargin)
+// appendRequests appends blobs with the requests of a batch. It returns the offset of the first
+// blob and the number of requests in each. Blobs have no effect until a record refers to them,
+// so any failure means that the batch isn't accepted. Errors: ErrNotRun, ErrTooLarge.
+func (s *Service) appendRequests(ctx context.Context, p *partition, requests []batch.Request) (offset int64, counts []int, err error) {
+	blobs, counts, err := batch.PackRequests(requests, s.options.RecordBytes-encodingMargin)
 	if err != nil {
 		return 0, nil, errors.Join(ErrTooLarge, err)
 	}
-	if total(packed) > s.options.CallBytes {
+	if totalSize(blobs) > s.options.CallBytes {
 		return 0, nil, ErrTooLarge
 	}
-	for try, refused := 1, 0; ; try++ {
-		at, err = store.AppendRepeatable(ctx, s.options.Log, textTopic, p.number, packed, try)
+	for attempt, refusals := 1, 0; ; attempt++ {
+		offset, err = store.AppendRepeatable(ctx, s.options.Log, textTopic, p.number, blobs, attempt)
 		if err == nil {
 			break
 		}
 		if errors.Is(err, store.ErrNotDone) {
-			refused++
-			pause.For(ctx, refusedBackoff.Pause(refused, rand.Float64()))
+			refusals++
+			pause.For(ctx, refusalBackoff.Pause(refusals, rand.Float64()))
 		}
-		if refused == refusedTries || ctx.Err() != nil || errors.Is(err, store.ErrRejected) {
+		if refusals == maxRefusals || ctx.Err() != nil || errors.Is(err, store.ErrRejected) {
 			return 0, nil, errors.Join(ErrNotRun, err)
 		}
 	}
-	if p.follower.Held() { // the owner needs them, and nobody else
-		for i, data := range packed {
-			s.blobs.put(p.number, at+int64(i), data)
+	if p.follower.Held() { // only the partition's owner needs the requests
+		for i, data := range blobs {
+			s.blobs.put(p.number, offset+int64(i), data)
 		}
 	}
-	return at, counts, nil
+	return offset, counts, nil
 }
 
-// blobMargin is left of a record for the encoding's own bytes.
-const blobMargin = 1 << 10
+// encodingMargin is the part of a record's size limit that is reserved for the encoding, in
+// bytes.
+const encodingMargin = 1 << 10
 
-func total(blobs [][]byte) int {
+// totalSize returns the size of records or blobs in an append, with 4 bytes of framing for each.
+func totalSize(blobs [][]byte) int {
 	n := 0
 	for _, b := range blobs {
 		n += len(b) + 4
@@ -145,64 +151,68 @@
 	return n
 }
 
-func (s *Service) encode(id string, head batch.Head, items []batch.Item) ([][]byte, error) {
+// encodeBatch returns the records of a batch. Error: ErrTooLarge.
+func (s *Service) encodeBatch(id string, head batch.Head, items []batch.Item) ([][]byte, error) {
 	var records [][]byte
-	for _, part := range batch.Split(id, uuid.NewString(), head, items, s.options.RecordBytes-blobMargin) {
+	for _, part := range batch.Split(id, uuid.NewString(), head, items, s.options.RecordBytes-encodingMargin) {
 		data, err := batch.Encode(part)
 		if err != nil {
 			return nil, errors.Join(ErrTooLarge, err)
 		}
 		records = append(records, data)
 	}
-	if total(records) > s.options.CallBytes {
+	if totalSize(records) > s.options.CallBytes {
 		return nil, ErrTooLarge
 	}
 	return records, nil
 }
 
-// appendOnce appends records whose effect shows by seen, and which count once
-// however often they stand in the log. When an append's outcome is unknown it isn't
-// a refusal: the records may be in the log, or come seconds later.
-func (s *Service) appendOnce(ctx context.Context, p *partition, records [][]byte, seen func() bool) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitWait)
+// appendRepeatable appends records that have the same effect however often they are in the log.
+// inEffect reports whether they have had it. An append without an answer doesn't count as
+// refused: its records may be in the log, or get there seconds later. Errors: ErrNotRun,
+// ErrUnknown.
+func (s *Service) appendRepeatable(ctx context.Context, p *partition, records [][]byte, inEffect func() bool) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitTimeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	unknown := false
-	for try, refused := 1, 0; ctx.Err() == nil; try++ {
-		_, err := store.AppendRepeatable(ctx, s.options.Log, batchTopic, p.number, records, try)
+	for attempt, refusals := 1, 0; ctx.Err() == nil; attempt++ {
+		_, err := store.AppendRepeatable(ctx, s.options.Log, batchTopic, p.number, records, attempt)
 		if err == nil {
 			return nil
 		}
-		last = err
+		lastErr = err
 		if errors.Is(err, store.ErrNotDone) {
-			if refused++; refused == refusedTries {
+			if refusals++; refusals == maxRefusals {
 				break
 			}
-			pause.For(ctx, refusedBackoff.Pause(refused, rand.Float64()))
+			pause.For(ctx, refusalBackoff.Pause(refusals, rand.Float64()))
 			continue
 		}
 		unknown = true
-		if s.appears(p, seen) {
+		if s.awaitEffect(p, inEffect) {
 			return nil
 		}
 	}
 	if unknown {
-		return errors.Join(ErrUnknown, last)
+		return errors.Join(ErrUnknown, lastErr)
 	}
-	return errors.Join(ErrNotRun, last)
+	return errors.Join(ErrNotRun, lastErr)
 }
 
-func (s *Service) appears(p *partition, seen func() bool) bool {
-	limit := time.After(seenWait)
+// awaitEffect waits up to readBackTimeout until the view of a partition shows an append's
+// effect, and reports whether it does.
+func (s *Service) awaitEffect(p *partition, inEffect func() bool) bool {
+	timeout := time.After(readBackTimeout)
 	for {
 		changed := p.follower.Changed()
-		if seen() {
+		if inEffect() {
 			return true
 		}
 		select {
 		case <-changed:
-		case <-limit:
-			return seen()
+		case <-timeout:
+			return inEffect()
 		}
 	}
 }
--- a/internal/batchrun/submit_test.go
+++ b/internal/batchrun/submit_test.go
@@ -20,7 +20,7 @@
 // them unanswered. A daemon that answers "not run" makes the trainer give the step
 // up; then the write takes effect, and engines run a batch that nobody reads. The
 // cause is taking no answer for a refusal.
-func TestSubmissionWithoutAnswerIsNoRefusal(t *testing.T) {
+func TestUnansweredAppendIsNotReportedAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 1, "m0")
@@ -47,7 +47,7 @@
 // The same batch comes through two daemons in one moment, since the trainer's
 // first connection broke. Both find it unknown and write it. It must be run and
 // listed once.
-func TestBatchThroughTwoDaemonsAtOnceIsAcceptedOnce(t *testing.T) {
+func TestConcurrentSubmissionsAreAcceptedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 2, "m0")
@@ -73,7 +73,7 @@
 // A trainer asks a daemon whose connection to the store fell silent for results
 // that it read elsewhere a second ago. The daemon's view lacks them. It must say
 // that it isn't sure, never that there are none.
-func TestDaemonOutOfTouchIsNotSure(t *testing.T) {
+func TestDaemonOutOfContactReportsUnsure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 2, "m0")
@@ -120,7 +120,7 @@
 // A step comes while its engines have weights that are too old for it, and the VM
 // that ordered them last isn't the one that runs the step now. Without asking that
 // VM, the new owner waits for the lease before it may order, and the step is late.
-func TestLastHolderOrdersForTheNewOwner(t *testing.T) {
+func TestLastClaimHolderLoadsForTheNewOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 1, "m0")
@@ -140,7 +140,7 @@
 
 // A sample of a step that ended too early comes again in the next one. What is
 // kept of its text is used if its weights are new enough there.
-func TestSampleThatComesAgainGoesOn(t *testing.T) {
+func TestResubmittedSampleResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 2, "m0")
@@ -174,7 +174,7 @@
 // An engine restarts between the orders of two VMs, as another incarnation at the
 // same address. Claims by incarnation let the second VM order it at once, and the
 // engine's machine hears of two holders within the lease.
-func TestClaimBarsTheNextIncarnationToo(t *testing.T) {
+func TestClaimBlocksTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 1, "m0")
@@ -193,7 +193,7 @@
 // The store is away while a step's last samples run and newer weights are known. No
 // load can be ordered then; an engine that is vacated for one all the same makes its
 // samples move from engine to engine, a dozen times in a recorded day.
-func TestNoEngineIsVacatedWhileTheStoreIsAway(t *testing.T) {
+func TestNoEngineIsEvictedWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 2, "m0")
@@ -215,7 +215,7 @@
 // The log keeps records for some minutes only. A VM that starts after the record of a
 // model's partition has expired would give the model another one, and the same batch
 // could be accepted in both.
-func TestPartitionOfAModelOutlivesItsRecord(t *testing.T) {
+func TestModelKeepsItsPartitionAfterItsRecordExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 1, "m0", "m1")
@@ -241,7 +241,7 @@
 // An engine starts again under its ID while it is being ordered. Its count of orders
 // begins anew: an owner that waits for the old count's next, or takes the old start's
 // weights for loaded, leaves the engine without the version that the step needs.
-func TestEngineStartsAgainUnderItsID(t *testing.T) {
+func TestEngineRestartsUnderItsID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 2, "m0")
@@ -270,7 +270,7 @@
 
 // An engine that fell under suspicion starts again under its ID. The suspicion was of the
 // process before: with it, a step waits seconds for engines that are ready.
-func TestSuspicionEndsWithTheStart(t *testing.T) {
+func TestSuspicionEndsWithARestart(t *testing.T) {
 	g := NewWithT(t)
 	o := Options{Parts: 1, Suspects: health.NewSuspects(), Now: func() time.Duration { return 0 }}
 	r := newRunner(New(o), newPartition(0, o), func() bool { return true })
@@ -279,18 +279,18 @@
 	e := r.engineLocked(before.Incarnation())
 	e.running = 4
 	r.s.options.Suspects.Failed(before.Incarnation(), 0)
-	e.pace.observe(time.Second, 0, gapMaxAge)
+	e.gap.observe(time.Second, 0, gapMaxAge)
 	g.Expect(r.unusableLocked(before.Incarnation(), 0)).To(BeTrue())
 	next := r.engineLocked(after.Incarnation())
 	g.Expect(r.unusableLocked(after.Incarnation(), 0)).To(BeFalse())
 	g.Expect(next.running).To(BeZero())
-	g.Expect(next.pace.mean(0, gapMaxAge)).To(BeZero())
+	g.Expect(next.gap.mean(0, gapMaxAge)).To(BeZero())
 }
 
 // The store refuses an owner's partition while it serves others. The owner needs the
 // requests of a step; asked for without a pause, it made hundreds of calls a second, which
 // count against the rate that all daemons share.
-func TestRequestsAreNotAskedForWithoutPause(t *testing.T) {
+func TestRequestReadsAreRetriedWithDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 1, 2, "m0")
--- a/internal/batchrun/trial.go
+++ b/internal/batchrun/trial.go
@@ -136,7 +136,7 @@
 			return
 		}
 		samplesTriedAlone.Add(1)
-		r.startLocked(ctx, model, u, w)
+		r.startRunLocked(ctx, model, u, w)
 		if x := r.runs[sampleKey{w.Batch, w.Index}]; x != nil {
 			x.trial, e.trial = true, true
 			lost, _ := r.crashes.Crashes(x.key)
@@ -171,7 +171,7 @@
 	usable := 0
 	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
-		if r.suspect(u.Incarnation(), now) || e.loading || e.trial || now < e.fullTo || u.Models[model] < w.MinVersion {
+		if r.isSuspect(u.Incarnation(), now) || e.loading || e.trial || now < e.fullUntil || u.Models[model] < w.MinVersion {
 			continue
 		}
 		usable++
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -86,7 +86,7 @@
 	vms     int
 	engines int
 	models  []string
-	peers   *worldPeers // nil if the daemons can't reach each other
+	peers   *clusterPeers // nil if the daemons can't reach each other
 }
 
 func newTestClusterWithOptions(t *testing.T, o clusterOptions) *testCluster {
@@ -99,7 +99,7 @@
 		w.peers = o.peers
 	}
 	w.engines = newFakeEngines(t, o.seed, o.engines, o.models)
-	w.scorer = &fakeScorer{t: t, engines: w.engines, takes: scoreDuration, fails: map[string]int{}}
+	w.scorer = &fakeScorer{t: t, engines: w.engines, callDuration: scoreDuration, failuresLeft: map[string]int{}}
 	w.engines.onRestart = w.registerEngine
 	for i := range o.vms {
 		v := &testVM{name: "vm" + strconv.Itoa(i), client: metastore.NewClient(w.store, callTimeout)}
@@ -217,7 +217,7 @@
 	}
 	if model == scoredModel {
 		for i := range items {
-			items[i].Reward = rewardOf(items[i].ID)
+			items[i].Reward = rewardCallID(items[i].ID)
 		}
 	}
 	return head, items, requestsOf(items)
