--- a/internal/batchrun/answer.go
+++ b/internal/batchrun/answer.go
@@ -18,8 +18,8 @@
 // still take effect.
 var ErrUnreachable = errors.New("batchrun: daemon unreachable")
 
-// Peers forwards calls to Here of other daemons, given by their address. id is a batch's ID.
-// Besides the errors of Here, a call may fail with ErrUnreachable.
+// Peers forwards calls to other daemons, given by their address. id is a batch's ID. A call
+// fails with the other daemon's error or with ErrUnreachable.
 type Peers interface {
 	Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error)
 	List(ctx context.Context, address, id string, after int, wait time.Duration) (Listing, error)
@@ -27,7 +27,8 @@
 	Body(ctx context.Context, address, id, sampleID string) (BodyAt, error)
 }
 
-// batchHandler handles the calls about a batch that was located: Here, or a remote daemon.
+// batchHandler handles the calls about a batch that was located, on this daemon or by forwarding
+// them to another one.
 type batchHandler interface {
 	List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error)
 	End(ctx context.Context, id string) error
--- a/internal/batchrun/answer_test.go
+++ b/internal/batchrun/answer_test.go
@@ -17,15 +17,17 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// clusterPeers carries calls between the daemons of a world. An address is a VM's name.
+// clusterPeers makes calls between the daemons of a testCluster. The address of a daemon is the
+// name of its VM.
 type clusterPeers struct {
 	w *testCluster
 
 	mu     sync.Mutex
-	silent map[string]bool // calls to them hang
+	silent map[string]bool // by address, calls to the daemon hang
 	calls  int
 }
 
+// peerLatency is how long a call between two daemons takes.
 const peerLatency = 2 * time.Millisecond
 
 func (p *clusterPeers) setSilent(address string, silent bool) {
@@ -34,7 +36,8 @@
 	p.silent[address] = silent
 }
 
-// dial suffers the way to a daemon.
+// dial returns the handler of a daemon after the latency. It hangs if the daemon is silent, and
+// fails if it is down.
 func (p *clusterPeers) dial(ctx context.Context, address string) (Here, error) {
 	p.mu.Lock()
 	p.calls++
@@ -50,7 +53,7 @@
 			return s.Here(), nil
 		}
 	}
-	return Here{}, ErrUnreachable // the connection is refused
+	return Here{}, ErrUnreachable // connection refused
 }
 
 func (p *clusterPeers) Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
@@ -77,29 +80,31 @@
 	return h.End(ctx, id)
 }
 
-func (p *clusterPeers) Body(ctx context.Context, address, id, item string) (BodyAt, error) {
+func (p *clusterPeers) Body(ctx context.Context, address, id, sampleID string) (BodyAt, error) {
 	h, err := p.dial(ctx, address)
 	if err != nil {
 		return BodyAt{}, err
 	}
-	return h.Body(ctx, id, item)
+	return h.Body(ctx, id, sampleID)
 }
 
-// newPeerCluster is a world whose daemons reach each other.
+// newPeerCluster returns a cluster whose daemons can reach each other.
 func newPeerCluster(t *testing.T, vms int) (*testCluster, *clusterPeers) {
 	peers := &clusterPeers{silent: map[string]bool{}}
 	w := newTestClusterWithOptions(t, clusterOptions{seed: 1, parts: 4, vms: vms, engines: 2, models: []string{"m0"}, peers: peers})
 	return w, peers
 }
 
-// joinAndSubmit lets the daemons join and hands a batch "b" of model m0 in at the first VM.
+// joinAndSubmit waits until the daemons have joined, and submits a batch of model m0 with the ID
+// "b" to the first VM. It returns the batch's samples.
 func joinAndSubmit(g *WithT, w *testCluster, name string, groups int) []batch.Item {
 	time.Sleep(2 * time.Second)
 	items := w.submitBatch(g, "m0", name, groups, 2, 1)
 	return items
 }
 
-// ownerAndOther returns the VM that runs the model's batches, and another one.
+// ownerAndOther returns the VM that runs a model's batches, and another one, whose daemon may be
+// down.
 func ownerAndOther(w *testCluster, model string) (owner, other *testVM) {
 	for _, v := range w.vms {
 		if v.daemon() != nil && v.ownsPartitionOf(model) {
@@ -111,9 +116,9 @@
 	return owner, other
 }
 
-// A trainer's calls reach daemons that don't follow its batch. Each answers by the owner:
-// the results, a body, the end, and that a batch doesn't exist, without reading the
-// partition itself.
+// Guards against daemons that read a partition for each call about a batch that they don't follow.
+// They must forward the calls to the owner: for results, a body, the end of the batch, and for a
+// batch that doesn't exist.
 func TestCallsAreForwardedToTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -142,13 +147,13 @@
 		}
 		g.Expect(s.End(ctx, "b")).To(Succeed())
 		g.Expect(s.End(ctx, "none")).To(MatchError(ErrNotFound))
-		g.Expect(s.partitionForModel("m0").follower.Loaded()).To(BeFalse(), "it has not read the partition")
+		g.Expect(s.partitionForModel("m0").follower.Loaded()).To(BeFalse(), "the daemon has not read the partition")
 	})
 }
 
-// A batch that was accepted comes again at another daemon, as after a lost answer. The
-// daemon asks the owner and spares the log the requests of the whole step.
-func TestResentBatchIsNotWrittenAgain(t *testing.T) {
+// Guards against writing the requests of a step to the log again when an accepted batch is resent
+// to another daemon, as trainers do after a lost answer. The daemon must ask the owner first.
+func TestResentBatchIsNotAppendedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w, _ := newPeerCluster(t, 2)
@@ -163,10 +168,10 @@
 	})
 }
 
-// The owner falls silent while a trainer waits for results at another daemon, which is cut
-// off from it alone. The trainer's read must come back within the 1.5 s that it waits
-// beyond what it asked for, with what the log has, and must never say that there is no
-// such batch.
+// Guards against a read that fails or takes too long because the owner stops answering while a
+// trainer waits for results at another daemon, which can reach the store. The read must return
+// what the log has within the 1.5 s that trainers wait beyond the wait that they request, and
+// must never report that there is no such batch.
 func TestSilentOwnerIsBypassedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -175,7 +180,7 @@
 		ctx := context.Background()
 		items := joinAndSubmit(g, w, "silent", 2)
 		owner, other := ownerAndOther(w, "m0")
-		for _, silentAfter := range []time.Duration{0, 20 * time.Millisecond} { // before the call, and under it
+		for _, silentAfter := range []time.Duration{0, 20 * time.Millisecond} { // before the call, and during it
 			peers.setSilent(owner.name, silentAfter == 0)
 			time.AfterFunc(silentAfter, func() { peers.setSilent(owner.name, true) })
 			began := time.Now()
@@ -185,13 +190,14 @@
 			g.Expect(page.Total).To(Equal(len(items)))
 			peers.setSilent(owner.name, false)
 			time.Sleep(2*followLinger + 5*time.Second)
-			g.Expect(other.daemon().partitionForModel("m0").follower.Loaded()).To(BeFalse(), "silent after %v: it does not follow the partition for good", silentAfter)
+			g.Expect(other.daemon().partitionForModel("m0").follower.Loaded()).To(BeFalse(), "silent after %v: the partition is not followed any more", silentAfter)
 		}
 	})
 }
 
-// The owner is killed, and a daemon that reaches neither an owner nor the store is asked.
-// It can't know; "no such batch" would make the trainer drop its step.
+// Guards against reporting a batch as not found, which makes the trainer drop its step, by a
+// daemon that can reach neither an owner nor the store. The owner is killed, and the daemon that
+// is asked is cut off from the store.
 func TestUnreachableOwnerAndStoreAreNotReportedAsNotFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -208,8 +214,8 @@
 	})
 }
 
-// All VMs are killed right after a batch was accepted, in a deployment with many
-// partitions and few daemons that follow each. The batch must be there when they are back.
+// Guards against the loss of accepted batches when all VMs are killed right afterwards, in a
+// deployment with many partitions, each followed by few daemons.
 func TestAcceptedBatchSurvivesLossOfAllVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -234,10 +240,10 @@
 	})
 }
 
-// The store is away. Results that are ready must be delivered all the same: the owner, who
-// lives, has the list and the texts that it wrote last, and the daemon that is asked knows
-// the owner from before.
-func TestReadyResultsAreGivenWhileTheStoreIsAway(t *testing.T) {
+// Guards against results that aren't returned during an outage of the store. The owner is up and
+// has the results, with the texts that it wrote last, and the daemon that is asked knows the
+// owner from before.
+func TestResultsAreReturnedWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w, _ := newPeerCluster(t, 2)
@@ -262,11 +268,11 @@
 	})
 }
 
-// All batches of a day are read from the start at one moment, long after they were run.
-// Their texts are megabytes in the log. Were the three owners to read them for everybody,
-// their links and processors would be full for seconds and readers give up; each daemon
-// that is asked reads what it needs itself.
-func TestOwnersDoNotReadTextsForOthers(t *testing.T) {
+// Guards against owners that are overloaded because they read texts from the log for all daemons.
+// When all batches of a day are read from the start at once, long after they were run, their
+// texts are megabytes in the log. The links and processors of the three owners would be busy for
+// seconds, and readers would give up. Each daemon must read what it was asked for itself.
+func TestOwnersDoNotReadTextsForOtherDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w, _ := newPeerCluster(t, 2)
@@ -274,7 +280,7 @@
 		ctx := context.Background()
 		items := joinAndSubmit(g, w, "late", 2)
 		time.Sleep(10 * time.Second)
-		w.killAll(w.vms, 0) // nobody has a text at hand any more
+		w.killAll(w.vms, 0) // no text is cached any more
 		time.Sleep(4 * time.Second)
 		owner, other := ownerAndOther(w, "m0")
 		page, err := other.daemon().Results(ctx, "b", 0, 0)
@@ -286,9 +292,10 @@
 	})
 }
 
-// Daemons that reach neither the store nor an owner try to read partitions here. None of
-// them may go on with it when the store is back: dozens that read everything at that moment
-// took a second of the rate that all share.
+// Guards against daemons that overload the store after an outage. While a daemon can reach neither
+// the store nor an owner, it tries to read partitions itself. It must not continue when the store
+// is back: dozens of daemons that read whole partitions then used up the shared rate limit for a
+// second.
 func TestPartialViewsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -308,9 +315,9 @@
 	})
 }
 
-// The record of which partition a model has is missing when a VM starts. Asked for a batch, its daemon knows
-// of no partition with batches. It must look into all of them before it says that there is
-// no such batch.
+// Guards against reporting an existing batch as not found when the record of its model's partition
+// is missing. A daemon that starts then knows of no partition with batches, and must search all
+// of them.
 func TestBatchIsFoundWithoutTheRecordOfItsPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/batchrun/calls_test.go
+++ b/internal/batchrun/calls_test.go
@@ -14,12 +14,13 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// callRates are the calls to the store a second, of one daemon on average.
+// callRates are the calls of an average daemon to the store, per second.
 type callRates struct{ reads, writes, joins float64 }
 
-// measureCallRates counts all daemons' calls over a time.
+// measureCallRates measures the daemons' calls over a time while it runs a function, which must
+// end within that time.
 func (w *testCluster) measureCallRates(over time.Duration, during func()) callRates {
-	sum := func() (all metastore.Calls) {
+	total := func() (all metastore.Calls) {
 		for _, v := range w.vms {
 			c := v.client.Calls()
 			all.Reads += c.Reads
@@ -28,7 +29,7 @@
 		}
 		return all
 	}
-	before := sum()
+	before := total()
 	done := make(chan struct{})
 	go func() {
 		during()
@@ -36,14 +37,14 @@
 	}()
 	time.Sleep(over)
 	<-done
-	after := sum()
-	n := over.Seconds() * float64(len(w.vms))
-	return callRates{float64(after.Reads-before.Reads) / n, float64(after.Writes-before.Writes) / n, float64(after.Joins-before.Joins) / n}
+	after := total()
+	daemonSeconds := over.Seconds() * float64(len(w.vms))
+	return callRates{float64(after.Reads-before.Reads) / daemonSeconds, float64(after.Writes-before.Writes) / daemonSeconds, float64(after.Joins-before.Joins) / daemonSeconds}
 }
 
-// runSteps plays one trainer's runSteps of a model, one after the other.
-func (w *testCluster) runSteps(model string, n int) {
-	for step := range n {
+// runSteps runs a trainer's steps of a model, one after the other.
+func (w *testCluster) runSteps(model string, steps int) {
+	for step := range steps {
 		version := int64(step + 1)
 		w.publish(model, version)
 		head, items, requests := newBatch(model, fmt.Sprint("step", step), 4, 4, max(1, version-1))
@@ -58,12 +59,12 @@
 	}
 }
 
-// What a daemon asks of the store may not grow with the number of daemons: twice as
-// many would ask four times as much, and the store refuses what exceeds its rates.
-// Run with -v, the test prints the table of docs/CAPACITY.md.
+// Guards against daemons that each make more calls to the store the more daemons there are: twice
+// as many would make four times as many calls, and the store refuses those above its rate limits.
+// With -v the test prints the table of docs/CAPACITY.md.
 func TestStoreCallsPerDaemonDoNotGrowWithTheFleet(t *testing.T) {
 	const over = 40 * time.Second
-	measure := func(parts, vms, models int) (rest, work callRates) {
+	measure := func(parts, vms, models int) (idle, busy callRates) {
 		synctest.Test(t, func(t *testing.T) {
 			names := make([]string, models)
 			for i := range names {
@@ -72,8 +73,8 @@
 			w := newTestClusterWithPolicy(t, Ours(policy.Set{}), 1, parts, vms, 3*models, names...)
 			defer w.stop()
 			time.Sleep(10 * time.Second)
-			rest = w.measureCallRates(over, func() {})
-			work = w.measureCallRates(over, func() {
+			idle = w.measureCallRates(over, func() {})
+			busy = w.measureCallRates(over, func() {
 				done := make(chan struct{})
 				for _, m := range names {
 					go func() {
@@ -86,19 +87,19 @@
 				}
 			})
 		})
-		t.Logf("%2d partitions, %2d daemons, %d models: at rest %.2f reads %.2f joins; at work %.2f reads %.2f writes %.2f joins",
-			parts, vms, models, rest.reads, rest.joins, work.reads, work.writes, work.joins)
-		return rest, work
+		t.Logf("%2d partitions, %2d daemons, %d models: idle %.2f reads %.2f joins; busy %.2f reads %.2f writes %.2f joins",
+			parts, vms, models, idle.reads, idle.joins, busy.reads, busy.writes, busy.joins)
+		return idle, busy
 	}
 	g := NewWithT(t)
-	rest8, work8 := measure(8, 8, 3)
-	rest32, work32 := measure(8, 32, 3)
-	rest24, _ := measure(24, 32, 3)
+	idle8, busy8 := measure(8, 8, 3)
+	idle32, busy32 := measure(8, 32, 3)
+	idle24Parts, _ := measure(24, 32, 3)
 	measure(8, 8, 6)
-	g.Expect(rest32.reads).To(BeNumerically("<=", 1.1*rest8.reads))
-	g.Expect(rest32.joins).To(BeNumerically("<=", 1.1*rest8.joins))
-	g.Expect(work32.reads).To(BeNumerically("<=", 1.1*work8.reads))
-	g.Expect(work32.writes).To(BeNumerically("<=", 0.5*work8.writes), "the work's writes are shared by more daemons")
-	perPartition := (rest24.reads - rest32.reads) * 32 / (24 - 8)
-	g.Expect(perPartition).To(BeNumerically(">", 0.9), "what does grow: the partitions that are followed")
+	g.Expect(idle32.reads).To(BeNumerically("<=", 1.1*idle8.reads))
+	g.Expect(idle32.joins).To(BeNumerically("<=", 1.1*idle8.joins))
+	g.Expect(busy32.reads).To(BeNumerically("<=", 1.1*busy8.reads))
+	g.Expect(busy32.writes).To(BeNumerically("<=", 0.5*busy8.writes), "the same writes are shared by more daemons")
+	perPartition := (idle24Parts.reads - idle32.reads) * 32 / (24 - 8)
+	g.Expect(perPartition).To(BeNumerically(">", 0.9), "each followed partition adds reads")
 }
--- a/internal/batchrun/crash_test.go
+++ b/internal/batchrun/crash_test.go
@@ -14,9 +14,10 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/policy"
 )
 
-// runStepWithCrasher hands in a step one sample of which ends each engine that runs it, and
-// returns how many of the others are listed when the step is due, and the engines' ends.
-func runStepWithCrasher(t *testing.T, seed uint64, set policy.Set) (listed, wanted int, ends []engineCrash) {
+// runStepWithCrasher submits a step with one sample that crashes each engine that runs it. It
+// returns how many of the other samples have a result when the step is due, how many of them there
+// are, and the crashes.
+func runStepWithCrasher(t *testing.T, seed uint64, set policy.Set) (listed, wanted int, engineCrashes []engineCrash) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestClusterWithPolicy(t, Ours(set), seed, 4, 2, 3, "m0")
@@ -32,48 +33,49 @@
 		time.Sleep(7500 * time.Millisecond)
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
-		ends = w.engines.crashes
+		engineCrashes = w.engines.crashes
 	})
-	return listed, wanted, ends
+	return listed, wanted, engineCrashes
 }
 
-// One sample of a step ends the process of each engine that runs it. Its broken run was
-// started again at once on the next engine, among the samples that moved there from the
-// last one; all engines of the model were away for as long as the batch was kept, and its
-// trainer got no step whole. It may not be given up, nor be kept off engines for over five
-// seconds: it runs alone, and seldom.
+// Guards against a step that no trainer can complete because one of its samples crashes each
+// engine that runs it. When the sample was retried at once on the next engine, among the samples
+// that had moved there from the last one, all engines of the model were down for as long as the
+// batch was kept. The sample must neither be given up nor be kept off the engines for over five
+// seconds: it runs alone, and rarely.
 func TestSampleThatCrashesEngines(t *testing.T) {
-	const mostOff = 5 * time.Second
+	const maxInterval = 5 * time.Second
 	for seed := range uint64(8) {
 		g := NewWithT(t)
-		listed, wanted, ends := runStepWithCrasher(t, seed, policy.Set{})
-		g.Expect(listed).To(Equal(wanted), "seed %d: %v", seed, ends)
-		g.Expect(len(ends)).To(BeNumerically(">", 3), "it was tried again")
-		for i, end := range ends[1:] {
-			apart := end.at.Sub(ends[i].at)
-			g.Expect(apart).To(BeNumerically("<=", mostOff), "seed %d: %v", seed, ends)
+		listed, wanted, engineCrashes := runStepWithCrasher(t, seed, policy.Set{})
+		g.Expect(listed).To(Equal(wanted), "seed %d: %v", seed, engineCrashes)
+		g.Expect(len(engineCrashes)).To(BeNumerically(">", 3), "the sample was retried")
+		for i, crash := range engineCrashes[1:] {
+			interval := crash.at.Sub(engineCrashes[i].at)
+			g.Expect(interval).To(BeNumerically("<=", maxInterval), "seed %d: %v", seed, engineCrashes)
 			if i+1 < 2 {
 				continue
 			}
-			g.Expect(end.otherSamples).To(Equal(0), "seed %d: %v", seed, ends)
+			g.Expect(crash.otherSamples).To(Equal(0), "seed %d: %v", seed, engineCrashes)
 			if i+1 > 2 {
-				g.Expect(apart).To(BeNumerically(">=", crashes.CrasherPause), "seed %d: %v", seed, ends)
+				g.Expect(interval).To(BeNumerically(">=", crashes.CrasherPause), "seed %d: %v", seed, engineCrashes)
 			}
 		}
 	}
 }
 
-// The same step without trials: the checks above can find the fault.
+// Checks that the test above can find the failure: without trials the step doesn't complete.
 func TestSampleThatCrashesEnginesWithoutTrials(t *testing.T) {
-	listed, wanted, ends := runStepWithCrasher(t, 1, policy.Without(policy.Trials))
+	listed, wanted, engineCrashes := runStepWithCrasher(t, 1, policy.Without(policy.Trials))
 	g := NewWithT(t)
 	g.Expect(listed).To(BeNumerically("<", wanted))
-	g.Expect(len(ends)).To(BeNumerically(">", 10))
-	g.Expect(ends[3].otherSamples).To(BeNumerically(">", 0))
+	g.Expect(len(engineCrashes)).To(BeNumerically(">", 10))
+	g.Expect(engineCrashes[3].otherSamples).To(BeNumerically(">", 0))
 }
 
-// Steps follow each other, the next one before the one with such a sample has ended, as
-// trainers ask for them. The later steps' samples fill the engines that it is tried on.
+// Guards against later steps that are late because of a sample that crashes engines. Trainers
+// submit the next step before the one with such a sample has ended, and its samples fill the
+// engines on which that sample is tried.
 func TestOtherStepsFinishDespiteASampleThatCrashesEngines(t *testing.T) {
 	const steps = 4
 	for seed := range uint64(4) {
@@ -83,7 +85,7 @@
 			defer w.stop()
 			w.engines.eventInterval = 100 * time.Millisecond
 			time.Sleep(2 * time.Second)
-			wanted := -1 // all but the one
+			wanted := -1 // all samples but the one that crashes engines
 			var listed atomic.Int64
 			for step := range steps {
 				id := fmt.Sprint("step", step)
@@ -103,7 +105,7 @@
 				time.Sleep(3 * time.Second)
 			}
 			time.Sleep(10 * time.Second)
-			g.Expect(int(listed.Load())).To(Equal(wanted), "seed %d: listed when their steps were due", seed)
+			g.Expect(int(listed.Load())).To(Equal(wanted), "seed %d: results when their steps were due", seed)
 		})
 	}
 }
--- a/internal/batchrun/here.go
+++ b/internal/batchrun/here.go
@@ -24,9 +24,9 @@
 // ErrUnsure.
 const confirmTimeout = 800 * time.Millisecond
 
-// Locate reports whether a batch is in a partition that this daemon follows. With confirm, all
-// views are brought up to date first if the batch isn't in them; the answer then lists the
-// partitions that certainly don't have it.
+// Locate reports whether a batch is in a partition that this daemon follows. If it isn't and
+// confirm is set, the loaded views are brought up to date first, and the answer lists the
+// partitions that certainly don't have the batch.
 func (h Here) Locate(ctx context.Context, id string, confirm bool) locate.Answer {
 	if h.s.partitionForBatch(id) != nil || !confirm {
 		return locate.Answer{Found: h.s.partitionForBatch(id) != nil}
--- a/internal/batchrun/inspect_test.go
+++ b/internal/batchrun/inspect_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// What an operator sees of a batch while it runs and when it is whole, at the daemon
-// that runs it and at the other one.
+// Checks what operators see of a batch while it runs and when it is complete, on the daemon that
+// runs it and on another one.
 func TestInspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -31,7 +31,7 @@
 		g.Expect(detail.List[0].Upstream).NotTo(BeEmpty())
 		g.Expect(owner.Owns()).To(ContainElement(detail.Part))
 		g.Expect(other.Owns()).NotTo(ContainElement(detail.Part))
-		g.Expect(other.Inspect()).To(BeEmpty(), "it doesn't follow the partition")
+		g.Expect(other.Inspect()).To(BeEmpty(), "the daemon doesn't follow the partition")
 		defer other.partitions[detail.Part].follower.Hold()()
 		time.Sleep(30 * time.Second)
 		list := other.Inspect()
--- a/internal/batchrun/outbox_test.go
+++ b/internal/batchrun/outbox_test.go
@@ -11,9 +11,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// The store resets every connection for some seconds while a step runs. Its owner must
-// go on trying to write, but not as fast as it can: hundreds of calls a second cost
-// processor time, and each leaves a log line.
+// Guards against an owner that retries appends without delay while the store resets every
+// connection for some seconds: hundreds of calls a second cost processor time, and each of them
+// writes a log line. The step must still complete.
 func TestAppendRetriesAreLimitedWhileTheStoreResetsConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/batchrun/promises_test.go
+++ b/internal/batchrun/promises_test.go
@@ -17,143 +17,151 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// trainerView is what one trainer has seen of one batch.
-type trainerView struct {
+// trainerBatch is what a trainer knows of one of its batches.
+type trainerBatch struct {
 	model, id string
-	samples   int
-	accepted  time.Time // zero: never
-	notRun    bool      // every submission was answered "not run"
-	ended     bool
-	results   []Result // by position
+	samples   int       // number of samples in the batch
+	accepted  time.Time // when a daemon accepted the batch, zero if none did
+	notRun    bool      // every submission was answered with ErrNotRun
+	ended     bool      // a daemon has ended the batch
+	results   []Result  // by position
 }
 
-// read reads a batch on at a VM and compares what was read before.
-func (l *trainerView) read(w *testCluster, s *Service, from int, wait time.Duration) {
-	page, err := s.Results(context.Background(), l.id, from, wait)
+// read reads the batch's results from a position on at a daemon and checks them.
+func (b *trainerBatch) read(w *testCluster, s *Service, from int, wait time.Duration) {
+	page, err := s.Results(context.Background(), b.id, from, wait)
 	if err != nil {
-		if errors.Is(err, ErrNotFound) && time.Since(l.accepted) > time.Second {
-			w.t.Errorf("batch %s, accepted %s ago: %v", l.id, time.Since(l.accepted), err)
+		if errors.Is(err, ErrNotFound) && time.Since(b.accepted) > time.Second {
+			w.t.Errorf("batch %s, accepted %s ago: %v", b.id, time.Since(b.accepted), err)
 		}
 		return
 	}
-	if page.Total != l.samples {
-		w.t.Errorf("batch %s has %d samples, %d are told", l.id, l.samples, page.Total)
+	if page.Total != b.samples {
+		w.t.Errorf("batch %s has %d samples, the daemon reports %d", b.id, b.samples, page.Total)
 	}
 	for i, r := range page.Results {
-		l.checkResult(w, from+i, r)
+		b.checkResult(w, from+i, r)
 	}
 }
 
-func (l *trainerView) checkResult(w *testCluster, at int, r Result) {
-	if at < len(l.results) {
-		if before := l.results[at]; before.ID != r.ID || before.State != r.State || before.Text != r.Text || before.Score != r.Score {
-			w.t.Errorf("batch %s: position %d was %s, is %s", l.id, at, before.ID, r.ID)
+// checkResult fails the test if a result differs from the one that was read before at its position.
+// A new one must be of a sample that has no result yet, with a valid text and score.
+func (b *trainerBatch) checkResult(w *testCluster, position int, r Result) {
+	if position < len(b.results) {
+		if before := b.results[position]; before.ID != r.ID || before.State != r.State || before.Text != r.Text || before.Score != r.Score {
+			w.t.Errorf("batch %s: the result at position %d changed from %s to %s", b.id, position, before.ID, r.ID)
 		}
 		return
 	}
-	for _, other := range l.results {
+	for _, other := range b.results {
 		if other.ID == r.ID {
-			w.t.Errorf("batch %s: sample %s is listed twice", l.id, r.ID)
+			w.t.Errorf("batch %s: sample %s has two results", b.id, r.ID)
 		}
 	}
 	if r.State == batch.Completed {
 		w.engines.checkText(r.ID, r.Text)
-		if l.model == scoredModel {
+		if b.model == scoredModel {
 			w.scorer.checkScore(r)
 		}
 	}
-	l.results = append(l.results, r)
+	b.results = append(b.results, r)
 }
 
-// runTrainer submits, reads and ends batches at any VM, one after the other.
-func (w *testCluster) runTrainer(model string, random *rand.Rand, steps int) []*trainerView {
-	var logs []*trainerView
+// runTrainer submits, reads and ends batches at random VMs, one after the other.
+func (w *testCluster) runTrainer(model string, random *rand.Rand, steps int) []*trainerBatch {
+	var batches []*trainerBatch
 	version := int64(1)
 	for step := range steps {
-		l := &trainerView{model: model, id: fmt.Sprintf("s%d", step), notRun: true}
-		l.id = model + l.id
-		logs = append(logs, l)
-		w.submitForTrainer(l, random, max(1, version-1))
-		if l.accepted.IsZero() {
+		b := &trainerBatch{model: model, id: fmt.Sprintf("s%d", step), notRun: true}
+		b.id = model + b.id
+		batches = append(batches, b)
+		w.submitForTrainer(b, random, max(1, version-1))
+		if b.accepted.IsZero() {
 			continue
 		}
-		w.readResults(l, random)
+		w.readResults(b, random)
 		if random.IntN(4) > 0 {
-			w.endBatch(l, random)
+			w.endBatch(b, random)
 		}
 		version++
 		w.publish(model, version)
 		time.Sleep(time.Duration(random.IntN(1000)) * time.Millisecond)
 	}
-	return logs
+	return batches
 }
 
+// randomDaemon returns the daemon of a random VM, nil if it is down.
 func (w *testCluster) randomDaemon(random *rand.Rand) *Service {
 	return w.vms[random.IntN(len(w.vms))].daemon()
 }
 
-func (w *testCluster) submitForTrainer(l *trainerView, random *rand.Rand, minVersion int64) {
-	head, items, requests := newBatch(l.model, l.id, 3, 4, minVersion)
-	l.samples = len(items)
+// submitForTrainer submits a batch until a daemon accepts it, 8 times at most.
+func (w *testCluster) submitForTrainer(b *trainerBatch, random *rand.Rand, minVersion int64) {
+	head, items, requests := newBatch(b.model, b.id, 3, 4, minVersion)
+	b.samples = len(items)
 	for range 8 {
 		s := w.randomDaemon(random)
 		if s == nil {
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		err := s.Submit(context.Background(), l.id, head, items, requests)
+		err := s.Submit(context.Background(), b.id, head, items, requests)
 		if err == nil {
-			l.accepted = time.Now()
-			l.notRun = false
+			b.accepted = time.Now()
+			b.notRun = false
 			return
 		}
 		if !errors.Is(err, ErrNotRun) {
-			l.notRun = false
+			b.notRun = false
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-func (w *testCluster) readResults(l *trainerView, random *rand.Rand) {
-	limit := time.Now().Add(12 * time.Second)
-	for time.Now().Before(limit) && len(l.results) < l.samples {
+// readResults reads a batch's results until they are complete, for 12 s at most. It reads those
+// from a random earlier position on again.
+func (w *testCluster) readResults(b *trainerBatch, random *rand.Rand) {
+	deadline := time.Now().Add(12 * time.Second)
+	for time.Now().Before(deadline) && len(b.results) < b.samples {
 		if s := w.randomDaemon(random); s != nil {
-			l.read(w, s, random.IntN(len(l.results)+1), 500*time.Millisecond)
-			l.read(w, s, len(l.results), 500*time.Millisecond)
+			b.read(w, s, random.IntN(len(b.results)+1), 500*time.Millisecond)
+			b.read(w, s, len(b.results), 500*time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (w *testCluster) endBatch(l *trainerView, random *rand.Rand) {
+// endBatch ends a batch at a random daemon, in 5 attempts at most.
+func (w *testCluster) endBatch(b *trainerBatch, random *rand.Rand) {
 	for range 5 {
-		if s := w.randomDaemon(random); s != nil && s.End(context.Background(), l.id) == nil {
-			l.ended = true
+		if s := w.randomDaemon(random); s != nil && s.End(context.Background(), b.id) == nil {
+			b.ended = true
 			return
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 }
 
-// injectFaults plays faults until the time is up, and heals everything.
+// injectFaults injects random faults one after the other until a time, each of which is removed
+// again.
 func (w *testCluster) injectFaults(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(300+random.IntN(2500)) * time.Millisecond)
 		v := w.vms[random.IntN(len(w.vms))]
-		lasting := time.Duration(200+random.IntN(4000)) * time.Millisecond
+		duration := time.Duration(200+random.IntN(4000)) * time.Millisecond
 		switch random.IntN(9) {
 		case 0:
-			w.killAll([]*testVM{v}, lasting/2)
+			w.killAll([]*testVM{v}, duration/2)
 		case 1:
-			w.killAll(w.vms, lasting/4)
+			w.killAll(w.vms, duration/4)
 		case 2:
-			w.applyFaults([]*testVM{v}, metastore.Faults{Cut: true}, lasting)
+			w.applyFaults([]*testVM{v}, metastore.Faults{Cut: true}, duration)
 		case 3:
-			w.applyFaults(w.vms, metastore.Faults{Refuse: true, Latency: storeLatency}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Refuse: true, Latency: storeLatency}, duration)
 		case 4:
-			w.applyFaults(w.vms, metastore.Faults{Latency: 240 * time.Millisecond}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Latency: 240 * time.Millisecond}, duration)
 		case 5:
-			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return w.engines.chance(0.4) }}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return w.engines.chance(0.4) }}, duration)
 		case 6:
 			late := func(string) time.Duration {
 				if w.engines.chance(0.35) {
@@ -161,7 +169,7 @@
 				}
 				return 0
 			}
-			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, Late: late}, lasting)
+			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, Late: late}, duration)
 		case 7:
 			w.store.Redeal(ownersGroup)
 		case 8:
@@ -170,35 +178,39 @@
 	}
 }
 
-func (w *testCluster) killAll(list []*testVM, down time.Duration) {
-	for _, v := range list {
+// killAll kills the daemons of some VMs and restarts them after a downtime.
+func (w *testCluster) killAll(vms []*testVM, downtime time.Duration) {
+	for _, v := range vms {
 		w.kill(v)
 	}
-	time.Sleep(down)
-	for _, v := range list {
+	time.Sleep(downtime)
+	for _, v := range vms {
 		w.restart(v)
 	}
 }
 
-func (w *testCluster) applyFaults(list []*testVM, f metastore.Faults, lasting time.Duration) {
-	for _, v := range list {
+// applyFaults applies faults to the store connections of some VMs for a while.
+func (w *testCluster) applyFaults(vms []*testVM, f metastore.Faults, duration time.Duration) {
+	for _, v := range vms {
 		v.client.SetFaults(f)
 	}
-	time.Sleep(lasting)
-	for _, v := range list {
+	time.Sleep(duration)
+	for _, v := range vms {
 		v.client.SetFaults(metastore.Faults{Latency: storeLatency})
 	}
 }
 
+// drain drains a VM's daemon and restarts it.
 func (w *testCluster) drain(v *testVM) {
 	v.daemon().Drain(context.Background())
 	w.killAll([]*testVM{v}, 0)
 }
 
-// A trainer's step goes through daemons that die, stop and start, over a store that
-// loses answers, does things late, refuses or is cut off from some, while engines
-// break off, and another daemon takes every partition at once. It must find its
-// batch accepted once, each result at its place, whole, from runs that fit.
+// Checks the guarantees to trainers under random faults: daemons are killed, drained and
+// restarted; the store loses answers, is slow, performs writes late, refuses calls, is cut off
+// from a VM or reassigns all partitions; engines refuse samples and break streams off. A batch
+// must be accepted once, and each result must stay at its position, with a complete text from
+// runs that continue each other.
 func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -207,7 +219,8 @@
 	}
 }
 
-// The baseline keeps the promises too: a policy only decides who serves sooner.
+// Checks that the baseline policy gives the same guarantees: a policy only decides what is served
+// first.
 func TestGuaranteesWithBaselinePolicy(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -216,8 +229,9 @@
 	}
 }
 
-// Engines crash at random besides, and start again under their IDs. Samples that lose one
-// after the other are tried alone; none may be lost, given up or listed in pieces by that.
+// Checks the guarantees while engines also crash at random and restart under their IDs. Samples
+// under which several engines crashed run alone; none of them may be lost, given up or get an
+// incomplete text for that.
 func TestGuaranteesWhileEnginesCrash(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -230,6 +244,7 @@
 	}
 }
 
+// crashEngines crashes random engines until a time.
 func (w *testCluster) crashEngines(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
@@ -239,65 +254,69 @@
 	}
 }
 
+// checkGuarantees checks the guarantees to trainers in a new cluster.
 func checkGuarantees(t *testing.T, seed uint64, policy Policy) {
 	newTestClusterWithPolicy(t, policy, seed, 4, 3, 4, "m0", "m1").checkGuarantees(seed)
 }
 
+// checkGuarantees runs one trainer for each model while faults are injected, and checks what they
+// and all VMs see of the batches.
 func (w *testCluster) checkGuarantees(seed uint64) {
 	g := NewWithT(w.t)
 	w.engines.breakRate, w.engines.refuseRate, w.engines.bufferedRate = 0.01, 0.05, 0.5
 	w.scorer.noScoreRate = 0.1
 	var trainers sync.WaitGroup
 	var mu sync.Mutex
-	var logs []*trainerView
+	var batches []*trainerBatch
 	for i, model := range w.models {
 		trainers.Go(func() {
-			own := w.runTrainer(model, rand.New(rand.NewPCG(seed, uint64(10+i))), 6)
+			ofTrainer := w.runTrainer(model, rand.New(rand.NewPCG(seed, uint64(10+i))), 6)
 			mu.Lock()
 			defer mu.Unlock()
-			logs = append(logs, own...)
+			batches = append(batches, ofTrainer...)
 		})
 	}
 	w.injectFaults(rand.New(rand.NewPCG(seed, 2)), time.Now().Add(30*time.Second))
 	trainers.Wait()
 	time.Sleep(20 * time.Second)
 	accepted := 0
-	for _, l := range logs {
-		if l.accepted.IsZero() && !l.notRun {
+	for _, b := range batches {
+		if b.accepted.IsZero() && !b.notRun {
 			continue
 		}
-		if !l.accepted.IsZero() {
+		if !b.accepted.IsZero() {
 			accepted++
 		}
 		for _, v := range w.vms {
-			w.checkFinalResults(l, v)
+			w.checkFinalResults(b, v)
 		}
 	}
-	g.Expect(accepted).To(BeNumerically(">=", 6), "most steps are taken in between troubles")
+	g.Expect(accepted).To(BeNumerically(">=", 6), "most steps are accepted between the faults")
 	w.stop()
 }
 
-// checkFinalResults reads a batch from the start at a VM that is in touch.
-func (w *testCluster) checkFinalResults(l *trainerView, v *testVM) {
+// checkFinalResults reads a batch's results from the start at a VM whose daemon can reach the store,
+// and checks them.
+func (w *testCluster) checkFinalResults(b *trainerBatch, v *testVM) {
 	g := NewWithT(w.t)
-	if l.accepted.IsZero() {
-		_, err := v.daemon().Results(context.Background(), l.id, 0, 0)
-		g.Expect(err).To(MatchError(ErrNotFound), "batch %s was refused as not run", l.id)
+	if b.accepted.IsZero() {
+		_, err := v.daemon().Results(context.Background(), b.id, 0, 0)
+		g.Expect(err).To(MatchError(ErrNotFound), "batch %s was refused with ErrNotRun", b.id)
 		return
 	}
-	for from := 0; from < len(l.results); {
+	for from := 0; from < len(b.results); {
 		before := from
-		page, err := v.daemon().Results(context.Background(), l.id, from, 0)
+		page, err := v.daemon().Results(context.Background(), b.id, from, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		for i, r := range page.Results {
-			l.checkResult(w, from+i, r)
+			b.checkResult(w, from+i, r)
 		}
 		from = page.Next
 		g.Expect(from).To(BeNumerically(">", before))
 	}
-	l.read(w, v.daemon(), len(l.results), 0)
-	if !l.ended {
-		g.Expect(l.results).To(HaveLen(l.samples), "batch %s is whole in the end", l.id)
+	b.read(w, v.daemon(), len(b.results), 0)
+	if !b.ended {
+		g.Expect(b.results).To(HaveLen(b.samples), "batch %s has all results in the end", b.id)
 	}
-	g.Expect(countGivenUp(l.results)).To(BeZero(), "no sample failed, so none is given up")
+	g.Expect(countGivenUp(b.results)).To(BeZero(), "no sample failed, so none is given up")
 }
--- a/internal/batchrun/read_test.go
+++ b/internal/batchrun/read_test.go
@@ -13,20 +13,20 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// ownsPartitionOf reports whether a daemon runs the batches of a model.
+// ownsPartitionOf reports whether a VM's daemon runs the batches of a model.
 func (v *testVM) ownsPartitionOf(model string) bool {
 	s := v.daemon()
-	home := s.partitionForModel(model)
+	p := s.partitionForModel(model)
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	return home != nil && s.owner.runners[home.number] != nil
+	return p != nil && s.owner.runners[p.number] != nil
 }
 
-// A trainer reads a result at one daemon and a second later asks another one from
-// the same position. That daemon's waiting read hangs on a connection that fell
-// silent, while new calls go through. Its view is old, though not so old that it
-// counts as out of touch. It must not say that there is no result yet.
-func TestNoResultYetIsConfirmedOnAnOldView(t *testing.T) {
+// Guards against reporting that there is no result yet from an outdated view. A trainer has read a
+// result at one daemon, and a second later asks another one for the same position. The latter's
+// waiting read of the log hangs on a stalled connection, while new calls succeed. Its view is old,
+// but not so old that it counts as out of contact.
+func TestOldViewIsRefreshedBeforeReportingNoResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 2, "m0")
@@ -43,31 +43,32 @@
 		if reader.ownsPartitionOf("m0") {
 			owner, reader = reader, owner
 		}
-		part := reader.daemon().partitionForModel("m0")
-		defer part.follower.Hold()() // it answered for the batch a moment ago
+		p := reader.daemon().partitionForModel("m0")
+		defer p.follower.Hold()() // as if it had just handled a call about the batch
 		time.Sleep(100 * time.Millisecond)
 		reader.client.SetFaults(metastore.Faults{Cut: true})
 		time.Sleep(follow.PollWait + 10*time.Millisecond) // reads hang from here on
-		listed := func() int {
+		resultCount := func() int {
 			page, err := owner.daemon().Results(context.Background(), "b", 0, 0)
 			g.Expect(err).NotTo(HaveOccurred())
 			return len(page.Results)
 		}
-		for listed() == 0 {
+		for resultCount() == 0 {
 			time.Sleep(10 * time.Millisecond)
 		}
 		reader.client.SetFaults(metastore.Faults{Latency: storeLatency})
-		g.Expect(part.resultCount("b")).To(BeZero(), "the reader's own view lacks the result")
-		g.Expect(part.follower.Age()).To(BeNumerically("<", follow.StaleAfter), "and isn't out of touch")
+		g.Expect(p.resultCount("b")).To(BeZero(), "the reader's own view lacks the result")
+		g.Expect(p.follower.Age()).To(BeNumerically("<", follow.StaleAfter), "the view isn't out of contact")
 		page, err := reader.daemon().Results(context.Background(), "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).NotTo(BeEmpty())
 	})
 }
 
-// A trainer reads a step whose last sample is whole and is being scored. An answer at
-// once, with the other results, lets the trainer pause for half a second and end its step
-// that much later; held for the moment that a score takes, it brings the last one along.
+// Guards against a step that ends half a second late because its trainer reads the results just
+// before the last one. The last sample's text is complete and its reward call is in progress. The
+// read must wait for the score: after an answer without it the trainer asks again only half a
+// second later.
 func TestReadWaitsForTheLastScore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -82,8 +83,8 @@
 	})
 }
 
-// The score that the read waits for doesn't come. Results that are ready are given all
-// the same, a moment later.
+// Guards against a read that waits too long for a score that doesn't come. It must return the
+// other results after lastScoresWait.
 func TestReadDoesNotWaitLongForAScore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -103,10 +104,10 @@
 	})
 }
 
-// A daemon that nobody asked for a while reads its view four times a second. A trainer
-// comes, and the last result has been in the log for some ms: an answer without it makes
-// the step end half a second later.
-func TestReadSeesTheNewestResults(t *testing.T) {
+// Guards against a step that ends half a second late because its trainer asks a daemon whose view
+// lacks the last result, which has been in the log for some ms. A daemon that hasn't been asked for
+// a while reads its view four times a second.
+func TestReadReturnsTheNewestResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 3, 4, scoredModel)
@@ -127,7 +128,8 @@
 	})
 }
 
-// resultsInView is what a daemon's view has of a batch's results.
+// resultsInView returns the indices of a batch's samples that have a result in the view of a VM's
+// daemon.
 func (v *testVM) resultsInView(id string) (out []int) {
 	if p := v.daemon().partitionForBatch(id); p != nil {
 		p.withBatch(id, func(b *batch.Batch) { out = b.Listed })
@@ -135,9 +137,9 @@
 	return out
 }
 
-// The store is away, and of the listed texts only the first is at hand. It is ready, and
-// is delivered; "not sure" for the sake of the second would hold both back until the
-// store is there again.
+// Guards against an outage of the store that delays results whose texts are cached. Of two texts
+// only the first is cached. It must be returned: with ErrUnsure because of the second, both would
+// be delayed until the store is back.
 func TestCachedTextsAreReturnedWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -152,8 +154,8 @@
 		l, err := s.Here().List(ctx, "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(l.Listed).To(HaveLen(2))
-		for _, at := range textOffsets(l.Listed[1:]) {
-			delete(l.Blobs, at)
+		for _, offset := range textOffsets(l.Listed[1:]) {
+			delete(l.Blobs, offset)
 		}
 		s.blobs = newBlobCache(s.options.Log, w.parts)
 		w.vms[0].client.SetFaults(metastore.Faults{Cut: true})
--- a/internal/batchrun/rescue_test.go
+++ b/internal/batchrun/rescue_test.go
@@ -16,9 +16,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// One engine of three has slower hardware. A step's longest sample that runs there to
-// its end makes the whole step late by a third. It has to begin on another engine once
-// the hardware is known, and to leave the slow one when another has room.
+// Guards against a step that is late by a third because its longest sample runs to its end on the
+// one engine of three with slower hardware. Once the hardware is known, the sample must start on
+// another engine, and it must move off the slow one when another one has a free slot.
 func TestLongSamplesMoveOffSlowHardware(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -32,11 +32,11 @@
 			g.Expect(w.vms[0].daemon().Submit(context.Background(), name, head, items, requests)).To(Succeed())
 			time.Sleep(10 * time.Second)
 		}
-		submit("first", 24) // every engine gets some, and its speed shows
+		submit("first", 24) // every engine runs some of them, and its speed becomes known
 		w.engines.mu.Lock()
 		before := len(w.engines.runs)
 		w.engines.mu.Unlock()
-		g.Expect(before).To(BeNumerically(">", 24), "some moved from the slow engine at the end")
+		g.Expect(before).To(BeNumerically(">", 24), "some samples moved off the slow engine at the end")
 		submit("second", 2)
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
@@ -47,16 +47,16 @@
 	})
 }
 
-// The store is away, and an engine turns slow. A sample that is taken from it can't be
-// placed again before the store is back: it stands still for seconds where it would have
-// gone on, slowly.
+// Guards against moving samples off a slow engine while the store is unavailable. A sample that is
+// moved can't be started again before the store is back, so it makes no progress for seconds; on
+// the slow engine it would continue.
 func TestNoSampleMovesOutOfContact(t *testing.T) {
-	for _, inTouch := range []bool{true, false} {
+	for _, inContact := range []bool{true, false} {
 		g := NewWithT(t)
 		view := fleet.New(func() time.Duration { return time.Minute })
 		config := routes.New(1, nil, []routes.Service{{Name: "engines", Engine: &routes.Engine{Slots: 8, Models: []string{"m0"}}}}, routes.Limits{}, nil)
 		o := Options{Parts: 1, Now: func() time.Duration { return time.Minute }, View: view, Suspects: health.NewSuspects(), Policy: Ours(policy.Set{})}
-		r := newRunner(New(o), newPartition(0, o), func() bool { return inTouch })
+		r := newRunner(New(o), newPartition(0, o), func() bool { return inContact })
 		for i, gap := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond} {
 			u := registry.Upstream{ID: fmt.Sprint("e", i), Service: "engines", Address: fmt.Sprint("a", i), Slots: 8}
 			view.Upstreams(func(reg *registry.Registry, _ time.Duration) { reg.Put(u) })
@@ -69,6 +69,6 @@
 		ctx, cancel := context.WithCancelCause(context.Background())
 		r.runs[sampleKey{"b", 0}] = &run{ctx: ctx, cancel: cancel, incarnation: "e0", startedAt: time.Minute - time.Second}
 		r.reconcileModelLocked(context.Background(), config, "m0", &modelWork{service: "engines"}, time.Minute)
-		g.Expect(ctx.Err() != nil).To(Equal(inTouch))
+		g.Expect(ctx.Err() != nil).To(Equal(inContact))
 	}
 }
--- a/internal/batchrun/scorer_test.go
+++ b/internal/batchrun/scorer_test.go
@@ -13,32 +13,33 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// fakeScorer is the service that scores texts.
+// fakeScorer is a Scorer that checks the reward calls it gets.
 type fakeScorer struct {
 	t            *testing.T
 	engines      *fakeEngines
-	callDuration time.Duration
+	callDuration time.Duration // how long a call takes
 
 	mu           sync.Mutex
-	calls        []fakeRewardCall
-	noScoreRate  float64        // part of the calls that end without a score
-	failuresLeft map[string]int // by sample, how many of its calls fail still
+	calls        []fakeRewardCall // in the order in which they arrived
+	noScoreRate  float64          // fraction of the calls that end without a score
+	failuresLeft map[string]int   // by sample, how many of its next calls fail
 }
 
+// fakeRewardCall is a reward call that a fakeScorer has received.
 type fakeRewardCall struct {
-	sample string
+	sample string // ID of the sample
 	began  time.Time
 	failed bool
 }
 
-// rewardCallID is the ID of a sample's reward call.
+// rewardCallID returns the ID of a sample's reward call.
 func rewardCallID(sample string) string { return "reward-" + sample }
 
-// Score answers with a signature that names the call's number.
+// Score returns a signature with the number of the call, from 1.
 func (f *fakeScorer) Score(ctx context.Context, route routes.Route, c batch.RewardCall) Verdict {
 	sample := strings.TrimPrefix(c.ID, "reward-")
 	if c.Host != testHost || route.Name != "rewards" || string(c.Body) != "score "+sample {
-		f.t.Errorf("reward call of %s came as %+v over %s", sample, c, route.Name)
+		f.t.Errorf("sample %s has the reward call %+v on route %s", sample, c, route.Name)
 	}
 	f.mu.Lock()
 	failed := f.failuresLeft[sample] > 0
@@ -57,13 +58,13 @@
 	case failed:
 		return Verdict{Failures: 1, Reason: "status 500"}
 	case f.engines.chance(f.noScoreRate):
-		return Verdict{Reason: "no whole answer"}
+		return Verdict{Reason: "incomplete answer"}
 	}
 	return Verdict{Score: signature}
 }
 
-// checkScore fails the test unless a score is the signature of a good answer to the
-// sample's own call, made after its text's last event.
+// checkScore fails the test unless a result's score is the signature of a successful answer to a
+// reward call of the sample that began after the last event of its text.
 func (f *fakeScorer) checkScore(r Result) {
 	n, err := strconv.Atoi(strings.TrimPrefix(r.Score, "signature:"))
 	f.mu.Lock()
@@ -72,13 +73,13 @@
 		f.t.Errorf("sample %s has the score %q", r.ID, r.Score)
 		return
 	}
-	call, last := f.calls[n-1], f.engines.lastEventAt(r.Text)
-	if call.sample != r.ID || call.failed || call.began.Before(last) {
-		f.t.Errorf("sample %s, last event at %s, has the score of %+v", r.ID, last, call)
+	call, textEnd := f.calls[n-1], f.engines.lastEventAt(r.Text)
+	if call.sample != r.ID || call.failed || call.began.Before(textEnd) {
+		f.t.Errorf("sample %s, whose last event was at %s, has the score of the call %+v", r.ID, textEnd, call)
 	}
 }
 
-// callCount counts the reward calls of a sample.
+// callCount returns the number of reward calls of a sample.
 func (f *fakeScorer) callCount(sample string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -13,23 +13,24 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// submitScored hands a batch of scored samples in and returns their IDs.
+// submitScored waits until the daemons have joined, and submits a batch with the ID "b" whose
+// samples have reward calls. It returns the samples.
 func submitScored(g Gomega, w *testCluster, name string, size int) []batch.Item {
 	time.Sleep(2 * time.Second)
 	items := w.submitBatch(g, scoredModel, name, 1, size, 1)
 	return items
 }
 
-// results reads batch b at a VM that is in touch.
+// results returns the results of batch "b" from a VM whose daemon can reach the store.
 func results(g Gomega, v *testVM) []Result {
 	page, err := v.daemon().Results(context.Background(), "b", 0, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	return page.Results
 }
 
-// A trainer's samples are scored by a call each. It must find every sample with the
-// signature of a good answer, and one that the scorer always fails given up after
-// the route's attempts: without an end to them it would wait for its step for ever.
+// Guards against results without a valid score, and against a step that never ends because the
+// scorer always fails one of its samples: that sample must be given up after the route's maximum
+// number of attempts.
 func TestResultsHaveScores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -55,9 +56,9 @@
 	})
 }
 
-// An owner dies while the scorer works on its samples. Their texts are whole and took
-// seconds; the trainer waits for them to be generated again unless the log has them, and
-// the next owner only asks for the scores.
+// Guards against generating complete texts again, which takes seconds, when an owner dies during
+// the reward calls of its samples. The log must have the texts, and the next owner makes only the
+// reward calls.
 func TestCompleteTextSurvivesItsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -80,9 +81,9 @@
 	})
 }
 
-// A trainer ends its step while samples wait for their scores. A reward call that is
-// made after that works for nobody, and the rules count it against the system.
-func TestNoRewardCallAfterTheBatchEnded(t *testing.T) {
+// Guards against reward calls that are made after a trainer has ended the step. Their scores are
+// of no use, and the rules count such calls against the system.
+func TestNoRewardCallAfterTheBatchHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 4, scoredModel)
@@ -93,15 +94,15 @@
 		g.Expect(w.vms[1].daemon().End(context.Background(), "b")).To(Succeed())
 		time.Sleep(500 * time.Millisecond)
 		before := w.scorer.callCount(items[0].ID)
-		g.Expect(before).To(BeNumerically(">", 1), "a call that brought no score is made again")
+		g.Expect(before).To(BeNumerically(">", 1), "a call without a score is repeated")
 		time.Sleep(3 * time.Second)
 		g.Expect(w.scorer.callCount(items[0].ID)).To(Equal(before))
 	})
 }
 
-// The store hands an owner's partition to another daemon that can't be told: for a
-// moment both score the same samples. Each is listed once, with the first score that
-// the log took.
+// Guards against two results for one sample when the store assigns an owner's partition to another
+// daemon without notice, and for a moment both make reward calls for the same samples. Each sample
+// must have one result on all daemons, with the score that reached the log first.
 func TestTwoOwnersScoreTheSameSamples(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -115,19 +116,19 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		time.Sleep(6 * time.Second)
-		seen := results(g, w.vms[0])
-		g.Expect(seen).To(HaveLen(len(items)))
+		want := results(g, w.vms[0])
+		g.Expect(want).To(HaveLen(len(items)))
 		for _, v := range w.vms {
-			g.Expect(results(g, v)).To(Equal(seen))
+			g.Expect(results(g, v)).To(Equal(want))
 		}
-		for _, r := range seen {
+		for _, r := range want {
 			w.scorer.checkScore(r)
 		}
 	})
 }
 
-// The store is away while samples are scored. Their results are written when it is back,
-// and no call is made twice for that.
+// Guards against losing scores, or making reward calls twice, when the store is unavailable while
+// the calls are in progress. The results must be written when the store is back.
 func TestScoresSurviveAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -148,8 +149,9 @@
 	})
 }
 
-// The store is away for seconds, and a text becomes whole meanwhile. Scored only when the
-// store is back, the sample is listed later by a call's time, and with it its step.
+// Guards against reward calls that wait for the end of a store outage. A text is completed during
+// the outage; if its call were made only afterwards, the sample and its step would be late by the
+// duration of a call.
 func TestTextsAreScoredWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -23,7 +23,8 @@
 )
 
 const (
-	// engineRefusedDelay is how long an engine that is full or loading gets no sample.
+	// engineRefusedDelay is how long an engine that is full or loading gets no sample, and how
+	// long a sample waits that was cancelled because its engine's weights were too old.
 	engineRefusedDelay = 150 * time.Millisecond
 	// retryDelay is the wait before a sample whose run broke off may start again.
 	retryDelay = 10 * time.Millisecond
--- a/internal/batchrun/submit_test.go
+++ b/internal/batchrun/submit_test.go
@@ -16,10 +16,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-// A trainer hands a batch in while the store does writes seconds late and leaves
-// them unanswered. A daemon that answers "not run" makes the trainer give the step
-// up; then the write takes effect, and engines run a batch that nobody reads. The
-// cause is taking no answer for a refusal.
+// Guards against reporting a batch as not run because its append wasn't answered. The store
+// performs the write seconds later: the trainer would have given the step up, and engines would
+// run a batch that nobody reads.
 func TestUnansweredAppendIsNotReportedAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -30,7 +29,7 @@
 		g.Expect(w.vms[0].daemon().Submit(context.Background(), "a", head, items, requests)).To(Succeed())
 		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency, Late: func(topic string) time.Duration {
 			if topic != batchTopic {
-				return 0 // the requests' blobs arrive, the batch itself is late
+				return 0 // the requests are written in time; only the batch's record is late
 			}
 			return 5 * time.Second
 		}})
@@ -40,13 +39,13 @@
 		g.Expect(errors.Is(err, ErrNotRun)).To(BeFalse())
 		time.Sleep(6 * time.Second)
 		_, err = w.vms[1].daemon().Results(context.Background(), "b", 0, 0)
-		g.Expect(err).NotTo(HaveOccurred(), "the write took effect after all")
+		g.Expect(err).NotTo(HaveOccurred(), "the write has taken effect")
 	})
 }
 
-// The same batch comes through two daemons in one moment, since the trainer's
-// first connection broke. Both find it unknown and write it. It must be run and
-// listed once.
+// Guards against running a batch twice that is submitted to two daemons at the same time, as after
+// the trainer's first connection broke. Both daemons find it unknown and append it. Each sample
+// must run once and have one result.
 func TestConcurrentSubmissionsAreAcceptedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -70,9 +69,9 @@
 	})
 }
 
-// A trainer asks a daemon whose connection to the store fell silent for results
-// that it read elsewhere a second ago. The daemon's view lacks them. It must say
-// that it isn't sure, never that there are none.
+// Guards against a daemon that reports a batch as not found because its connection to the store has
+// stalled and its view lacks the batch, which the trainer knows from another daemon. It must answer
+// with ErrUnsure.
 func TestDaemonOutOfContactReportsUnsure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -90,9 +89,9 @@
 	})
 }
 
-// An engine says 500 to a sample again and again. Its trainer must see it given up
-// after the route's attempts, not earlier, and no engine may get it for ever.
-func TestFailingSampleIsGivenUpAfterItsAttempts(t *testing.T) {
+// Guards against a sample that is retried forever, or given up too early, when engines answer it
+// with status 500 each time. It must be given up after the route's maximum number of attempts.
+func TestFailingSampleIsGivenUpAfterMaxAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := newTestCluster(t, 1, 2, 2, "m0")
@@ -117,9 +116,9 @@
 	})
 }
 
-// A step comes while its engines have weights that are too old for it, and the VM
-// that ordered them last isn't the one that runs the step now. Without asking that
-// VM, the new owner waits for the lease before it may order, and the step is late.
+// Guards against a step that is late because the new owner of its partition must wait until another
+// VM's lease on an engine has expired before it may order a load. The engine's weights are too old
+// for the step. The VM with the last claim on the engine must load it on the owner's request.
 func TestLastClaimHolderLoadsForTheNewOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -134,12 +133,13 @@
 		w.publish("m0", 3)
 		w.submitBatch(g, "m0", "new", 1, 1, 3)
 		time.Sleep(testLease - 500*time.Millisecond)
-		g.Expect(w.engines.versionsOf("e0")).To(HaveKeyWithValue("m0", int64(3)), "before the lease has run out")
+		g.Expect(w.engines.versionsOf("e0")).To(HaveKeyWithValue("m0", int64(3)), "before the lease has expired")
 	})
 }
 
-// A sample of a step that ended too early comes again in the next one. What is
-// kept of its text is used if its weights are new enough there.
+// Guards against generating a sample's text from the start when the sample is resubmitted in the
+// next step, because its step ended before it was complete. The text in the log must be resumed if
+// its weights are new enough for that step.
 func TestResubmittedSampleResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -148,10 +148,10 @@
 		time.Sleep(2 * time.Second)
 		ctx := context.Background()
 		head, items, _ := newBatch("m0", "again", 1, 20, 1)
-		items = slices.DeleteFunc(items, func(i batch.Item) bool { return sampleLength(i.ID) < 35 })[:2] // still running then
+		items = slices.DeleteFunc(items, func(i batch.Item) bool { return sampleLength(i.ID) < 35 })[:2] // long enough to be running when the step ends
 		requests := requestsOf(items)
 		g.Expect(w.vms[0].daemon().Submit(ctx, "b1", head, items, requests)).To(Succeed())
-		time.Sleep(700 * time.Millisecond) // a checkpoint, and no sample done
+		time.Sleep(700 * time.Millisecond) // after a checkpoint, and before a sample is complete
 		g.Expect(w.vms[0].daemon().End(ctx, "b1")).To(Succeed())
 		g.Expect(w.vms[0].daemon().Submit(ctx, "b2", head, items, requests)).To(Succeed())
 		time.Sleep(5 * time.Second)
@@ -171,9 +171,9 @@
 	})
 }
 
-// An engine restarts between the orders of two VMs, as another incarnation at the
-// same address. Claims by incarnation let the second VM order it at once, and the
-// engine's machine hears of two holders within the lease.
+// Guards against orders of two VMs within the lease when an engine restarts between them as another
+// incarnation at the same address. When claims were by incarnation, the second VM could order it at
+// once.
 func TestClaimBlocksTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -190,9 +190,9 @@
 	})
 }
 
-// The store is away while a step's last samples run and newer weights are known. No
-// load can be ordered then; an engine that is vacated for one all the same makes its
-// samples move from engine to engine, a dozen times in a recorded day.
+// Guards against evicting samples for a load that can't be ordered, because the store is unavailable
+// while newer weights are known and a step's last samples run. The samples then moved from engine to
+// engine, a dozen times in a recorded day.
 func TestNoEngineIsEvictedWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -208,13 +208,13 @@
 		time.Sleep(2 * time.Second)
 		w.publish("m0", 2)
 		time.Sleep(3 * time.Second)
-		g.Expect(w.engines.runs).To(HaveLen(len(items)), "each sample stays where it runs")
+		g.Expect(w.engines.runs).To(HaveLen(len(items)), "each sample stays on its engine")
 	})
 }
 
-// The log keeps records for some minutes only. A VM that starts after the record of a
-// model's partition has expired would give the model another one, and the same batch
-// could be accepted in both.
+// Guards against a second partition for a model. The log keeps records for some minutes only. A VM
+// that starts after the record of a model's partition has expired would assign another partition to
+// it, and the same batch could be accepted in both.
 func TestModelKeepsItsPartitionAfterItsRecordExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -225,22 +225,22 @@
 			head, items, requests := newBatch(model, "old", 1, 1, 1)
 			g.Expect(w.vms[0].daemon().Submit(context.Background(), model, head, items, requests)).To(Succeed())
 		}
-		want, known := w.vms[0].daemon().modelPartitions.lookup("m1")
-		g.Expect(known).To(BeTrue())
+		want, ok := w.vms[0].daemon().modelPartitions.lookup("m1")
+		g.Expect(ok).To(BeTrue())
 		before := w.store.End(modelPartitionsTopic, 0)
 		time.Sleep(2 * demandInterval)
 		w.store.Trim(modelPartitionsTopic, 0, before)
 		w.killAll(w.vms[1:], 0)
 		time.Sleep(2 * time.Second)
-		got, known := w.vms[1].daemon().modelPartitions.lookup("m1")
-		g.Expect(known).To(BeTrue())
+		got, ok := w.vms[1].daemon().modelPartitions.lookup("m1")
+		g.Expect(ok).To(BeTrue())
 		g.Expect(got).To(Equal(want))
 	})
 }
 
-// An engine starts again under its ID while it is being ordered. Its count of orders
-// begins anew: an owner that waits for the old count's next, or takes the old start's
-// weights for loaded, leaves the engine without the version that the step needs.
+// Guards against an engine that never loads the version that a step needs because it restarts under
+// its ID during a load order. Its order count is reset: the owner must neither wait for the next
+// count of the old process nor take the weights of that process for loaded.
 func TestEngineRestartsUnderItsID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -251,7 +251,7 @@
 		time.Sleep(3 * time.Second)
 		g.Expect(w.engines.versionsOf("e0")).To(HaveKeyWithValue("m0", int64(2)))
 		w.publish("m0", 3)
-		time.Sleep(loadDuration / 2) // one of them loads
+		time.Sleep(loadDuration / 2) // one of the engines is loading
 		for _, id := range []string{"e0", "e1"} {
 			w.engines.restart(id, "m0", 1)
 		}
@@ -268,8 +268,8 @@
 	})
 }
 
-// An engine that fell under suspicion starts again under its ID. The suspicion was of the
-// process before: with it, a step waits seconds for engines that are ready.
+// Guards against a step that waits seconds for engines that are ready, because an engine that
+// restarted under its ID is still suspect for failures of its former process.
 func TestSuspicionEndsWithARestart(t *testing.T) {
 	g := NewWithT(t)
 	o := Options{Parts: 1, Suspects: health.NewSuspects(), Now: func() time.Duration { return 0 }}
@@ -287,9 +287,9 @@
 	g.Expect(next.gap.mean(0, gapMaxAge)).To(BeZero())
 }
 
-// The store refuses an owner's partition while it serves others. The owner needs the
-// requests of a step; asked for without a pause, it made hundreds of calls a second, which
-// count against the rate that all daemons share.
+// Guards against an owner that retries reading a step's requests without delay while the store
+// refuses its partition: it made hundreds of calls a second, which count against the rate limit that
+// all daemons share.
 func TestRequestReadsAreRetriedWithDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
