--- a/internal/batchrun/scorer_test.go
+++ b/internal/batchrun/scorer_test.go
@@ -13,37 +13,38 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// fakeScorer is the service that scores texts.
+// fakeScorer is a Scorer that checks the reward calls it gets.
 type fakeScorer struct {
-	t       *testing.T
-	engines *fakeEngines
-	takes   time.Duration
+	t            *testing.T
+	engines      *fakeEngines
+	callDuration time.Duration // how long a call takes
 
-	mu     sync.Mutex
-	calls  []fakeRewardCall
-	broken float64        // part of the calls that end without a score
-	fails  map[string]int // by sample, how many of its calls fail still
+	mu           sync.Mutex
+	calls        []fakeRewardCall // in the order in which they arrived
+	noScoreRate  float64          // fraction of the calls that end without a score
+	failuresLeft map[string]int   // by sample, how many of its next calls fail
 }
 
+// fakeRewardCall is a reward call that a fakeScorer has received.
 type fakeRewardCall struct {
-	sample string
+	sample string // ID of the sample
 	began  time.Time
 	failed bool
 }
 
-// rewardOf is the ID of a sample's reward call.
-func rewardOf(sample string) string { return "reward-" + sample }
+// rewardCallID returns the ID of a sample's reward call.
+func rewardCallID(sample string) string { return "reward-" + sample }
 
-// Score answers with a signature that names the call's number.
+// Score returns a signature with the number of the call, from 1.
 func (f *fakeScorer) Score(ctx context.Context, route routes.Route, c batch.RewardCall) Verdict {
 	sample := strings.TrimPrefix(c.ID, "reward-")
 	if c.Host != testHost || route.Name != "rewards" || string(c.Body) != "score "+sample {
-		f.t.Errorf("reward call of %s came as %+v over %s", sample, c, route.Name)
+		f.t.Errorf("sample %s has the reward call %+v on route %s", sample, c, route.Name)
 	}
 	f.mu.Lock()
-	failed := f.fails[sample] > 0
+	failed := f.failuresLeft[sample] > 0
 	if failed {
-		f.fails[sample]--
+		f.failuresLeft[sample]--
 	}
 	f.calls = append(f.calls, fakeRewardCall{sample, time.Now(), failed})
 	signature := fmt.Sprintf("signature:%d", len(f.calls))
@@ -51,20 +52,20 @@
 	select {
 	case <-ctx.Done():
 		return Verdict{Reason: "cancelled"}
-	case <-time.After(f.takes):
+	case <-time.After(f.callDuration):
 	}
 	switch {
 	case failed:
 		return Verdict{Failures: 1, Reason: "status 500"}
-	case f.engines.chance(f.broken):
-		return Verdict{Reason: "no whole answer"}
+	case f.engines.chance(f.noScoreRate):
+		return Verdict{Reason: "incomplete answer"}
 	}
 	return Verdict{Score: signature}
 }
 
-// check fails the test unless a score is the signature of a good answer to the
-// sample's own call, made after its text's last event.
-func (f *fakeScorer) check(r Result) {
+// checkScore fails the test unless a result's score is the signature of a successful answer to a
+// reward call of the sample that began after the last event of its text.
+func (f *fakeScorer) checkScore(r Result) {
 	n, err := strconv.Atoi(strings.TrimPrefix(r.Score, "signature:"))
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,14 +73,14 @@
 		f.t.Errorf("sample %s has the score %q", r.ID, r.Score)
 		return
 	}
-	call, last := f.calls[n-1], f.engines.lastEventAt(r.Text)
-	if call.sample != r.ID || call.failed || call.began.Before(last) {
-		f.t.Errorf("sample %s, last event at %s, has the score of %+v", r.ID, last, call)
+	call, textEnd := f.calls[n-1], f.engines.lastEventAt(r.Text)
+	if call.sample != r.ID || call.failed || call.began.Before(textEnd) {
+		f.t.Errorf("sample %s, whose last event was at %s, has the score of the call %+v", r.ID, textEnd, call)
 	}
 }
 
-// made counts the reward calls of a sample.
-func (f *fakeScorer) made(sample string) int {
+// callCount returns the number of reward calls of a sample.
+func (f *fakeScorer) callCount(sample string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
