--- a/internal/config/apply.go
+++ b/internal/config/apply.go
@@ -8,12 +8,12 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// apply returns the tree after a change's operations. The result shares with
-// the old tree everything that is off the operations' paths.
+// applyToBranch returns the tree after a change's operations. The result shares
+// with the old tree everything that isn't on an operation's path.
 //
-// Invariant: only the change's branch differs. An operation's path is walked
-// through the branch's typed value alone, and no segment leads upwards.
-func apply(t *Tree, branch Branch, ops []Op) (*Tree, *Error) {
+// Invariant: only the given branch differs. An operation's path is resolved within
+// the typed value of the branch, and no path segment refers to a parent.
+func applyToBranch(t *Tree, branch Branch, ops []Op) (*Tree, *Error) {
 	if team, ok := branch.Team(); ok {
 		return applyToTeam(t, team, ops)
 	}
@@ -41,13 +41,13 @@
 	return next, nil
 }
 
-// applyOps applies operations in their order. The second result is false when
-// the last one deleted the whole branch.
+// applyOps applies operations in order to a branch, whose path in the tree is
+// root. The second result is false if the last one deleted the whole branch.
 func applyOps(v reflect.Value, root string, ops []Op) (reflect.Value, bool, *Error) {
 	exists := true
 	for _, op := range ops {
 		var err *Error
-		v, err = edit(v, splitPath(op.Path), root, op)
+		v, err = applyOp(v, splitPath(op.Path), root, op)
 		if err != nil {
 			return v, false, err
 		}
@@ -63,43 +63,45 @@
 	return strings.Split(path, "/")
 }
 
-// edit returns a copy of v in which the operation took effect at the path below
-// it. Structs and maps on the path are copied one level deep.
-func edit(v reflect.Value, below []string, path string, op Op) (reflect.Value, *Error) {
-	if len(below) == 0 {
-		return replacement(v.Type(), path, op)
+// applyOp returns a copy of v with the operation applied at the path given by
+// segments, relative to v. Structs and maps on that path are copied one level deep.
+// path is that of v in the tree.
+func applyOp(v reflect.Value, segments []string, path string, op Op) (reflect.Value, *Error) {
+	if len(segments) == 0 {
+		return opValue(v.Type(), path, op)
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		return editField(v, below, path, op)
+		return applyOpToField(v, segments, path, op)
 	case reflect.Map:
-		return editEntry(v, below, path, op)
+		return applyOpToEntry(v, segments, path, op)
 	default:
-		return v, fault(join(path, truncate(below[0], maxNameBytes)), "no such setting: "+path+" has nothing below it")
+		return v, newError(joinPath(path, truncate(segments[0], maxNameBytes)), "no such setting: "+path+" has nothing below it")
 	}
 }
 
-// replacement is the value that an operation puts at its path.
-func replacement(t reflect.Type, path string, op Op) (reflect.Value, *Error) {
-	v := newValue(t)
+// opValue returns the value of type t that an operation sets at its path: the
+// default for a deletion.
+func opValue(t reflect.Type, path string, op Op) (reflect.Value, *Error) {
+	v := newDefaultValue(t)
 	if op.Delete {
 		return v, nil
 	}
 	return v, decodeStrict(op.Value, path, v.Addr().Interface())
 }
 
-func editField(v reflect.Value, below []string, path string, op Op) (reflect.Value, *Error) {
-	field, ok := fieldByName(v.Type(), below[0])
+func applyOpToField(v reflect.Value, segments []string, path string, op Op) (reflect.Value, *Error) {
+	field, ok := fieldByJSONName(v.Type(), segments[0])
 	if !ok {
-		return v, unknownField(path, below[0], v.Type())
+		return v, unknownField(path, segments[0], v.Type())
 	}
 	next := reflect.New(v.Type()).Elem()
 	next.Set(v)
-	if op.Delete && len(below) == 1 {
-		next.Field(field).Set(newValue(v.Type()).Field(field))
+	if op.Delete && len(segments) == 1 {
+		next.Field(field).Set(newDefaultValue(v.Type()).Field(field))
 		return next, nil
 	}
-	value, err := edit(v.Field(field), below[1:], join(path, below[0]), op)
+	value, err := applyOp(v.Field(field), segments[1:], joinPath(path, segments[0]), op)
 	if err != nil {
 		return v, err
 	}
@@ -107,27 +109,27 @@
 	return next, nil
 }
 
-func editEntry(v reflect.Value, below []string, path string, op Op) (reflect.Value, *Error) {
-	name := below[0]
-	path = join(path, truncate(name, maxNameBytes))
+func applyOpToEntry(v reflect.Value, segments []string, path string, op Op) (reflect.Value, *Error) {
+	name := segments[0]
+	path = joinPath(path, truncate(name, maxNameBytes))
 	if !validName(name) {
-		return v, fault(path, "name "+nameAllowed)
+		return v, newError(path, "name "+nameRule)
 	}
 	key := reflect.ValueOf(name).Convert(v.Type().Key())
 	old := v.MapIndex(key)
-	whole := len(below) == 1
-	if !old.IsValid() && (op.Delete || !whole) {
-		return v, fault(path, "no such entry")
+	targetsEntry := len(segments) == 1
+	if !old.IsValid() && (op.Delete || !targetsEntry) {
+		return v, newError(path, "no such entry")
 	}
 	next := cloneMap(v)
-	if whole && op.Delete {
+	if targetsEntry && op.Delete {
 		next.SetMapIndex(key, reflect.Value{})
 		return next, nil
 	}
 	if !old.IsValid() {
-		old = newValue(v.Type().Elem())
+		old = newDefaultValue(v.Type().Elem())
 	}
-	value, err := edit(old, below[1:], path, op)
+	value, err := applyOp(old, segments[1:], path, op)
 	if err != nil {
 		return v, err
 	}
--- a/internal/config/auth.go
+++ b/internal/config/auth.go
@@ -11,9 +11,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// keyIndex finds keys by the first bytes of their hash. Who may see how long a
-// lookup takes learns bits of a hash of his own guess, never of a stored one:
-// whole hashes are compared in constant time.
+// keyIndex finds keys by the first 8 bytes of their hash. The duration of a lookup
+// depends on the hash of the secret that the caller sent and doesn't leak stored
+// hashes: whole hashes are compared in constant time.
 type keyIndex map[uint64][]keyOwner
 
 type keyOwner struct {
@@ -22,7 +22,8 @@
 	role Role
 }
 
-// Authenticate finds whose secret it is and what it may do.
+// Authenticate returns the team and role of the key with the given secret; false if
+// there is none.
 func (t *Tree) Authenticate(secret string) (ident.Team, Role, bool) {
 	index := t.keys
 	if index == nil {
@@ -37,7 +38,7 @@
 	return "", "", false
 }
 
-// Allows says whether a key of this role may do what the wanted role may.
+// Allows reports whether a key with role r may do what a key with the wanted role may.
 func (r Role) Allows(wanted Role) bool {
 	have, need := slices.Index(rolesAscending, r), slices.Index(rolesAscending, wanted)
 	return need >= 0 && have >= need
@@ -45,14 +46,15 @@
 
 var rolesAscending = []Role{RoleCaller, RoleTrainer, RoleOperator}
 
-// indexKeys fails when one secret opens two branches: which one a request means
-// would depend on the order of a map. The last team is the one that a change
-// touches: it comes last, so that the error names its key and not the other's.
-func indexKeys(t *Tree, last ident.Team) (keyIndex, *Error) {
+// indexKeys fails if two keys have the same secret: which team a request belongs to
+// would depend on map iteration order. changed is the team that a change modifies,
+// "" for none. It is indexed last, so that the error names its key and not another
+// team's.
+func indexKeys(t *Tree, changed ident.Team) (keyIndex, *Error) {
 	index := keyIndex{}
 	teams := slices.Sorted(maps.Keys(t.Teams))
-	teams = slices.DeleteFunc(teams, func(team ident.Team) bool { return team == last })
-	for _, team := range append(teams, last) {
+	teams = slices.DeleteFunc(teams, func(team ident.Team) bool { return team == changed })
+	for _, team := range append(teams, changed) {
 		for _, name := range slices.Sorted(maps.Keys(t.Teams[team].Keys)) {
 			if err := index.add(team, name, t.Teams[team].Keys[name]); err != nil {
 				return index, err
@@ -67,13 +69,13 @@
 	var owner keyOwner
 	n, err := hex.Decode(owner.hash[:], []byte(truncate(key.SHA256, 2*sha256.Size)))
 	if err != nil || n != sha256.Size {
-		return fault(path, sha256Allowed)
+		return newError(path, sha256Rule)
 	}
 	owner.team, owner.role = team, key.Role
 	prefix := hashPrefix(owner.hash)
 	for _, other := range x[prefix] {
 		if other.hash == owner.hash {
-			return fault(path, "must be unique: another key has this hash")
+			return newError(path, "must be unique: another key has this hash")
 		}
 	}
 	x[prefix] = append(x[prefix], owner)
--- a/internal/config/branch.go
+++ b/internal/config/branch.go
@@ -8,12 +8,12 @@
 
 const (
 	maxNameBytes = 63
-	nameAllowed  = "must match [a-z0-9][a-z0-9._-]{0,62}"
+	nameRule     = "must match [a-z0-9][a-z0-9._-]{0,62}"
 	teamsPrefix  = "teams/"
 )
 
-// validName is nameAllowed. It is no regular expression since each change of the
-// fleet checks the names of all upstreams.
+// validName reports whether a name follows nameRule. It doesn't use a regular
+// expression, because every change to the fleet checks the names of all upstreams.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
@@ -28,23 +28,23 @@
 	return true
 }
 
-// Branch is the part of the tree that one change may touch: "fleet" or
+// Branch names the part of the tree that one change may modify: "fleet" or
 // "teams/<team>".
 type Branch string
 
-// FleetBranch is the branch of what all teams share.
+// FleetBranch is the branch of the settings that all teams share.
 const FleetBranch Branch = "fleet"
 
 // TeamBranch returns the branch of a team.
 func TeamBranch(team ident.Team) Branch { return Branch(teamsPrefix + string(team)) }
 
-// Team returns the team that the branch belongs to; false for the fleet's.
+// Team returns the team whose branch it is; false for the fleet's.
 func (b Branch) Team() (ident.Team, bool) {
 	team, ok := strings.CutPrefix(string(b), teamsPrefix)
 	return ident.Team(team), ok
 }
 
-// Validate says whether a branch of that name may exist.
+// Validate checks the branch's name. Error: *Error.
 func (b Branch) Validate() error { return asError(b.validate()) }
 
 func (b Branch) validate() *Error {
@@ -53,7 +53,7 @@
 	}
 	team, ok := b.Team()
 	if !ok || !validName(string(team)) {
-		return valueFault("branch", string(b), `must be "fleet" or "teams/<team>", and the team's name `+nameAllowed)
+		return newValueError("branch", string(b), `must be "fleet" or "teams/<team>", and the team's name `+nameRule)
 	}
 	return nil
 }
--- a/internal/config/branchfile.go
+++ b/internal/config/branchfile.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	maxFileDepth = 16
-	filePath     = "file"
+	maxFileDepth  = 16
+	fileErrorPath = "file"
 )
 
-// ParseBranchFile reads an operator's file, YAML or JSON, that holds a whole
-// branch. Whether it fits the branch is for Check to say. Error: *Error.
+// ParseBranchFile parses an operator's YAML or JSON file with a whole branch. It
+// doesn't validate the settings; State.Check does. Error: *Error.
 func ParseBranchFile(data []byte) ([]Op, error) {
 	raw, err := parseObject(data, MaxRecordBytes)
 	if err != nil {
@@ -22,59 +22,61 @@
 	return []Op{{Value: raw}}, nil
 }
 
-// parseObject reads one object, YAML or JSON, of at most so many bytes.
+// parseObject converts a YAML or JSON document that is one object, of at most limit
+// bytes, to JSON.
 func parseObject(data []byte, limit int) (json.RawMessage, *Error) {
 	if len(data) > limit {
-		return nil, valueFault(filePath, len(data), fmt.Sprintf("must have at most %d bytes", limit))
+		return nil, newValueError(fileErrorPath, len(data), fmt.Sprintf("must have at most %d bytes", limit))
 	}
 	var document yaml.Node
 	if err := yaml.Unmarshal(data, &document); err != nil {
-		return nil, fault(filePath, truncate("must be YAML or JSON: "+err.Error(), maxVerdictReason))
+		return nil, newError(fileErrorPath, truncate("must be YAML or JSON: "+err.Error(), maxVerdictReason))
 	}
 	if len(document.Content) != 1 || document.Content[0].Kind != yaml.MappingNode {
-		return nil, fault(filePath, "must hold one object")
+		return nil, newError(fileErrorPath, "must hold one object")
 	}
-	value, fileErr := plainValue(document.Content[0], "", maxFileDepth)
+	value, fileErr := jsonValue(document.Content[0], "", maxFileDepth)
 	if fileErr != nil {
 		return nil, fileErr
 	}
 	raw, err := json.Marshal(value)
 	if err != nil {
-		return nil, fault(filePath, truncate(err.Error(), maxVerdictReason))
+		return nil, newError(fileErrorPath, truncate(err.Error(), maxVerdictReason))
 	}
 	return raw, nil
 }
 
-// plainValue turns a YAML node into what encoding/json takes. Anchors are
-// refused: a few lines of them stand for gigabytes.
-func plainValue(node *yaml.Node, path string, depth int) (any, *Error) {
+// jsonValue converts a YAML node to a value that encoding/json can encode. It rejects
+// anchors, because a few lines with them can expand to gigabytes. path is that of the
+// node in the file, and depth the nesting that is still allowed.
+func jsonValue(node *yaml.Node, path string, depth int) (any, *Error) {
 	if depth == 0 {
-		return nil, fault(join(filePath, path), fmt.Sprintf("must be nested at most %d deep", maxFileDepth))
+		return nil, newError(joinPath(fileErrorPath, path), fmt.Sprintf("must be nested at most %d deep", maxFileDepth))
 	}
 	switch node.Kind {
 	case yaml.MappingNode:
-		return plainObject(node, path, depth)
+		return jsonObject(node, path, depth)
 	case yaml.SequenceNode:
-		return plainList(node, path, depth)
+		return jsonList(node, path, depth)
 	case yaml.ScalarNode:
-		return plainScalar(node, path)
+		return jsonScalar(node, path)
 	default:
-		return nil, fault(join(filePath, path), "must not use anchors")
+		return nil, newError(joinPath(fileErrorPath, path), "must not use anchors")
 	}
 }
 
-func plainObject(node *yaml.Node, path string, depth int) (any, *Error) {
+func jsonObject(node *yaml.Node, path string, depth int) (any, *Error) {
 	object := make(map[string]any, len(node.Content)/2)
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		name := node.Content[i]
-		entry := join(path, truncate(name.Value, maxNameBytes))
+		entry := joinPath(path, truncate(name.Value, maxNameBytes))
 		if name.Kind != yaml.ScalarNode {
-			return nil, fault(join(filePath, entry), "name must be a string")
+			return nil, newError(joinPath(fileErrorPath, entry), "name must be a string")
 		}
-		if _, twice := object[name.Value]; twice {
-			return nil, fault(join(filePath, entry), "must stand once")
+		if _, duplicate := object[name.Value]; duplicate {
+			return nil, newError(joinPath(fileErrorPath, entry), "must not appear twice")
 		}
-		value, err := plainValue(node.Content[i+1], entry, depth-1)
+		value, err := jsonValue(node.Content[i+1], entry, depth-1)
 		if err != nil {
 			return nil, err
 		}
@@ -83,10 +85,10 @@
 	return object, nil
 }
 
-func plainList(node *yaml.Node, path string, depth int) (any, *Error) {
+func jsonList(node *yaml.Node, path string, depth int) (any, *Error) {
 	list := make([]any, len(node.Content))
 	for i, element := range node.Content {
-		value, err := plainValue(element, fmt.Sprintf("%s/%d", path, i), depth-1)
+		value, err := jsonValue(element, fmt.Sprintf("%s/%d", path, i), depth-1)
 		if err != nil {
 			return nil, err
 		}
@@ -95,13 +97,14 @@
 	return list, nil
 }
 
-// plainScalar takes numbers, booleans and null as such, all else as text.
-func plainScalar(node *yaml.Node, path string) (any, *Error) {
+// jsonScalar converts numbers, booleans and null to their types and all other scalars
+// to strings.
+func jsonScalar(node *yaml.Node, path string) (any, *Error) {
 	var value any
 	switch node.ShortTag() {
 	case "!!int", "!!float", "!!bool", "!!null":
 		if err := node.Decode(&value); err != nil {
-			return nil, fault(join(filePath, path), "must be a plain value")
+			return nil, newError(joinPath(fileErrorPath, path), "must be a valid number, boolean or null")
 		}
 		return value, nil
 	default:
--- a/internal/config/canonical.go
+++ b/internal/config/canonical.go
@@ -6,35 +6,35 @@
 	"reflect"
 )
 
-// decodeCanonical decodes a document that is to the byte what encoding/json would
-// write of its value, as snapshots, peers' states and most changes are. It
-// returns false, and leaves the target alone, for any other one.
+// decodeCanonical decodes a document that is byte for byte the encoding/json output
+// for its value, as snapshots, peers' states and most changes are. For any other
+// document it returns false and leaves the target unchanged.
 //
-// It gives what the strict decoder gives, at a fraction of the memory: whatever
-// encoding/json lets pass (unknown fields, names in another case, names twice,
-// null for a scalar, bytes that aren't UTF-8) isn't written back the same.
-// Where a value is written back the same and the strict decoder would still
-// change or refuse it, asDecoded says so.
-func decodeCanonical(raw []byte, into reflect.Value) bool {
-	fresh := reflect.New(into.Type())
-	if json.Unmarshal(raw, fresh.Interface()) != nil || !asDecoded(fresh.Elem()) {
+// The result equals that of the strict decoder, with a fraction of the memory: input
+// that only encoding/json accepts (unknown fields, names in another case, duplicate
+// names, null for a scalar, invalid UTF-8) isn't encoded back to the same bytes.
+// keptByStrictDecode covers the values that are, although the strict decoder would
+// change or reject them.
+func decodeCanonical(raw []byte, target reflect.Value) bool {
+	decoded := reflect.New(target.Type())
+	if json.Unmarshal(raw, decoded.Interface()) != nil || !keptByStrictDecode(decoded.Elem()) {
 		return false
 	}
-	written, err := json.Marshal(fresh.Interface())
-	if err != nil || !bytes.Equal(raw, written) {
+	encoded, err := json.Marshal(decoded.Interface())
+	if err != nil || !bytes.Equal(raw, encoded) {
 		return false
 	}
-	into.Set(fresh.Elem())
+	target.Set(decoded.Elem())
 	return true
 }
 
-var rawMessage = reflect.TypeFor[json.RawMessage]()
+var rawMessageType = reflect.TypeFor[json.RawMessage]()
 
-// asDecoded says whether the strict decoder would leave a value as it is. It
-// makes null lists and objects empty ones, refuses null for a raw value, and
-// fills in defaults.
-func asDecoded(v reflect.Value) bool {
-	if v.Type() == rawMessage {
+// keptByStrictDecode reports whether the strict decoder would return a value
+// unchanged. That decoder turns null lists and objects into empty ones, rejects null
+// for a raw value, and fills in defaults.
+func keptByStrictDecode(v reflect.Value) bool {
+	if v.Type() == rawMessageType {
 		return !isNull(v.Bytes())
 	}
 	if _, ok := v.Interface().(json.Marshaler); ok {
@@ -42,51 +42,51 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		return v.IsNil() || asDecoded(v.Elem())
+		return v.IsNil() || keptByStrictDecode(v.Elem())
 	case reflect.Struct:
-		return structAsDecoded(v)
+		return structKeptByStrictDecode(v)
 	case reflect.Map:
-		return mapAsDecoded(v)
+		return mapKeptByStrictDecode(v)
 	case reflect.Slice:
-		return sliceAsDecoded(v)
+		return sliceKeptByStrictDecode(v)
 	default:
 		return true
 	}
 }
 
-func structAsDecoded(v reflect.Value) bool {
+func structKeptByStrictDecode(v reflect.Value) bool {
 	for i := range v.NumField() {
-		if v.Type().Field(i).IsExported() && !asDecoded(v.Field(i)) {
+		if v.Type().Field(i).IsExported() && !keptByStrictDecode(v.Field(i)) {
 			return false
 		}
 	}
-	filled := reflect.New(v.Type())
-	if _, ok := filled.Interface().(filler); !ok {
+	withDefaults := reflect.New(v.Type())
+	if _, ok := withDefaults.Interface().(zeroReplacer); !ok {
 		return true
 	}
-	filled.Elem().Set(v)
-	fillValue(filled.Elem())
-	return reflect.DeepEqual(filled.Elem().Interface(), v.Interface())
+	withDefaults.Elem().Set(v)
+	replaceValueZeros(withDefaults.Elem())
+	return reflect.DeepEqual(withDefaults.Elem().Interface(), v.Interface())
 }
 
-func mapAsDecoded(v reflect.Value) bool {
+func mapKeptByStrictDecode(v reflect.Value) bool {
 	if v.IsNil() {
 		return false
 	}
 	for entries := v.MapRange(); entries.Next(); {
-		if !asDecoded(entries.Value()) {
+		if !keptByStrictDecode(entries.Value()) {
 			return false
 		}
 	}
 	return true
 }
 
-func sliceAsDecoded(v reflect.Value) bool {
+func sliceKeptByStrictDecode(v reflect.Value) bool {
 	if v.IsNil() {
 		return false
 	}
 	for i := range v.Len() {
-		if !asDecoded(v.Index(i)) {
+		if !keptByStrictDecode(v.Index(i)) {
 			return false
 		}
 	}
--- a/internal/config/canonical_test.go
+++ b/internal/config/canonical_test.go
@@ -13,7 +13,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// canonicalRecords are documents that the log holds, written by encoding/json.
+// canonicalRecords returns records encoded by encoding/json, as the log holds them.
 func canonicalRecords() [][]byte {
 	bound := int64(3)
 	team := defaultTeam()
@@ -27,7 +27,7 @@
 	records := []Record{
 		{Change: &Change{ID: "a", Branch: FleetBranch, Ops: []Op{{Path: "x", Value: value}, {Path: "y", Delete: true}}, Author: "ayu"}},
 		{Snapshot: &Snapshot{
-			Covers: 7, Version: 6, Tree: Tree{Fleet: fleet, Teams: map[ident.Team]Team{"t": team}}, Branches: map[Branch]ident.Offset{FleetBranch: 5},
+			LastOffset: 7, Version: 6, Tree: Tree{Fleet: fleet, Teams: map[ident.Team]Team{"t": team}}, Branches: map[Branch]ident.Offset{FleetBranch: 5},
 			Verdicts: []Verdict{{ChangeID: "a", Accepted: true, Version: 5}}, History: []HistoryEntry{{Version: 5, At: time.Unix(9, 5).UTC(), Paths: []string{"x"}}},
 		}},
 	}
@@ -39,30 +39,30 @@
 	return out
 }
 
-// compare decodes both ways; what the quick way takes, the strict way must take
-// for the very same value.
-func compare(g *WithT, raw []byte) (taken bool) {
-	var quick, strict Record
-	if !decodeCanonical(raw, reflect.ValueOf(&quick).Elem()) {
-		g.Expect(quick).To(Equal(Record{}), "left alone")
+// compareDecoders reports whether the canonical decoder accepts a document. If it does,
+// the strict decoder must return the same value.
+func compareDecoders(g *WithT, raw []byte) (accepted bool) {
+	var canonical, strict Record
+	if !decodeCanonical(raw, reflect.ValueOf(&canonical).Elem()) {
+		g.Expect(canonical).To(Equal(Record{}), "a rejected document must leave the target unchanged")
 		return false
 	}
 	err := decodeValue(raw, "record", reflect.ValueOf(&strict).Elem())
 	g.Expect(err).To(BeNil(), "%s", raw)
-	g.Expect(reflect.DeepEqual(quick, strict)).To(BeTrue(), "%s", raw)
+	g.Expect(reflect.DeepEqual(canonical, strict)).To(BeTrue(), "%s", raw)
 	return true
 }
 
-func TestCanonicalTakesWhatWeWrite(t *testing.T) {
+func TestCanonicalDecodesEncodedRecords(t *testing.T) {
 	g := NewWithT(t)
 	for _, raw := range canonicalRecords() {
-		g.Expect(compare(g, raw)).To(BeTrue(), "%s", raw)
+		g.Expect(compareDecoders(g, raw)).To(BeTrue(), "%s", raw)
 	}
 }
 
-// The quick decoder must not let pass what the strict one refuses or changes: two
-// daemons of different builds would fold the same record to different states.
-func TestCanonicalLeavesTheRestToTheStrict(t *testing.T) {
+// The canonical decoder must not accept what the strict one rejects or changes: two
+// daemons of different builds would build different states from the same record.
+func TestCanonicalRejectsOtherDocuments(t *testing.T) {
 	g := NewWithT(t)
 	changes := []struct{ from, to string }{
 		{`"id"`, `"ID"`}, {`"author":"ayu"`, `"author":null`}, {`"author":"ayu"`, `"author":"ayu","author":"ayu"`},
@@ -72,56 +72,59 @@
 		{`"path":"y"`, `"path":"y","value":null`}, {`"production_reserve":0.3`, `"production_reserve":0.30`}, {`"verdicts":[`, `"verdicts":null,"x":[`},
 	}
 	for _, c := range changes {
-		left := false
+		rejected := false
 		for _, raw := range canonicalRecords() {
 			changed := strings.Replace(string(raw), c.from, c.to, 1)
-			if changed != string(raw) { // inside an operation's raw value nothing is decoded yet
-				left = !compare(g, []byte(changed)) || left
+			if changed != string(raw) {
+				// A change within an operation's raw value may be accepted: that value
+				// is decoded later.
+				rejected = !compareDecoders(g, []byte(changed)) || rejected
 			}
 		}
-		g.Expect(left).To(BeTrue(), c.to)
+		g.Expect(rejected).To(BeTrue(), c.to)
 	}
 }
 
-// Random cuts, copies and swaps of documents, some of which stay canonical.
-func TestCanonicalAgreesWithTheStrict(t *testing.T) {
+// Compares the decoders on documents with randomly deleted, copied, swapped or replaced
+// members, some of which remain canonical.
+func TestCanonicalMatchesStrictOnMutations(t *testing.T) {
 	g := NewWithT(t)
-	taken := 0
+	accepted := 0
 	for seed := range uint64(20_000) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		if compare(g, mutate(r, canonicalRecords()[seed%2])) {
-			taken++
+		if compareDecoders(g, mutate(r, canonicalRecords()[seed%2])) {
+			accepted++
 		}
 	}
-	g.Expect(taken).To(BeNumerically(">", 100), "the comparison compares something")
+	g.Expect(accepted).To(BeNumerically(">", 100), "too few documents were accepted and compared")
 }
 
-var pieces = []string{"null", "0", `""`, "{}", "[]", "true", "1", "-0", "1.5", `"a"`, ",", `"e1":{},`}
+var replacementValues = []string{"null", "0", `""`, "{}", "[]", "true", "1", "-0", "1.5", `"a"`, ",", `"e1":{},`}
 
 func mutate(r *rand.Rand, raw []byte) []byte {
-	words := strings.SplitAfter(string(raw), ",")
+	members := strings.SplitAfter(string(raw), ",")
 	for range 1 + r.IntN(2) {
-		i, j := r.IntN(len(words)), r.IntN(len(words))
+		i, j := r.IntN(len(members)), r.IntN(len(members))
 		switch r.IntN(4) {
 		case 0:
-			words[i], words[j] = words[j], words[i]
+			members[i], members[j] = members[j], members[i]
 		case 1:
-			words[i] = ""
+			members[i] = ""
 		case 2:
-			words[i] += words[j]
+			members[i] += members[j]
 		case 3:
-			if name, _, ok := strings.Cut(words[i], ":"); ok {
-				words[i] = name + ":" + pieces[r.IntN(len(pieces))] + ","
+			if name, _, ok := strings.Cut(members[i], ":"); ok {
+				members[i] = name + ":" + replacementValues[r.IntN(len(replacementValues))] + ","
 			}
 		}
 	}
-	return []byte(strings.Join(words, ""))
+	return []byte(strings.Join(members, ""))
 }
 
-// FuzzCanonical compares both decoders on whatever stands in the log.
+// FuzzCanonical compares the decoders on arbitrary input.
 func FuzzCanonical(f *testing.F) {
 	for _, raw := range canonicalRecords() {
 		f.Add(raw)
 	}
-	f.Fuzz(func(t *testing.T, raw []byte) { compare(NewWithT(t), raw) })
+	f.Fuzz(func(t *testing.T, raw []byte) { compareDecoders(NewWithT(t), raw) })
 }
--- a/internal/config/change.go
+++ b/internal/config/change.go
@@ -13,22 +13,22 @@
 
 var changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// validate checks what can be said of a change without the tree.
+// validate checks the parts of a change that don't depend on the tree.
 func (c Change) validate() *Error {
 	if !changeIDPattern.MatchString(c.ID) {
-		return valueFault("change/id", c.ID, "must be 1 to 64 letters, digits, dots, dashes or underscores")
+		return newValueError("change/id", c.ID, "must be 1 to 64 letters, digits, dots, dashes or underscores")
 	}
 	if err := c.Branch.validate(); err != nil {
 		return err
 	}
 	if c.Base < 0 {
-		return valueFault("change/base", c.Base, "must be 0 or more")
+		return newValueError("change/base", c.Base, "must be 0 or more")
 	}
 	if len(c.Author) > maxAuthorBytes {
-		return valueFault("change/author", c.Author, fmt.Sprintf("must have at most %d bytes", maxAuthorBytes))
+		return newValueError("change/author", c.Author, fmt.Sprintf("must have at most %d bytes", maxAuthorBytes))
 	}
 	if len(c.Ops) == 0 || len(c.Ops) > maxOps {
-		return valueFault("change/ops", len(c.Ops), fmt.Sprintf("must be 1 to %d operations", maxOps))
+		return newValueError("change/ops", len(c.Ops), fmt.Sprintf("must be 1 to %d operations", maxOps))
 	}
 	for _, op := range c.Ops {
 		if err := op.validate(c.Branch); err != nil {
@@ -40,15 +40,15 @@
 
 func (op Op) validate(branch Branch) *Error {
 	if len(op.Path) > maxOpPathBytes {
-		return valueFault(string(branch), op.Path, fmt.Sprintf("path must have at most %d bytes", maxOpPathBytes))
+		return newValueError(string(branch), op.Path, fmt.Sprintf("path must have at most %d bytes", maxOpPathBytes))
 	}
 	if op.Delete == (len(op.Value) > 0) {
-		return fault(join(string(branch), op.Path), "must have either a value or delete")
+		return newError(joinPath(string(branch), op.Path), "must have either a value or delete")
 	}
 	return nil
 }
 
-// paths returns the first few paths that the change touches.
+// paths returns the first maxHistoryPaths paths that the change modifies.
 func (c Change) paths() []string {
 	paths := make([]string, 0, maxHistoryPaths)
 	for _, op := range c.Ops[:min(len(c.Ops), maxHistoryPaths)] {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -10,29 +10,31 @@
 	"strings"
 )
 
-// maxDecodedValues bounds the values in one document. Two bytes of JSON can
-// stand for a struct of hundreds, so a bound on bytes alone doesn't bound memory.
+// maxDecodedValues bounds the number of values in one document. Two bytes of JSON can
+// decode to a struct of hundreds of bytes, so a limit on the input size alone doesn't
+// bound memory.
 const maxDecodedValues = 300_000
 
-// decodeStrict decodes JSON and refuses what encoding/json lets pass: unknown
-// fields, names in another case, and null for a scalar. Errors carry the path.
-func decodeStrict(raw []byte, path string, into any) *Error {
+// decodeStrict decodes JSON into the value that target points to. It rejects what
+// encoding/json accepts: unknown fields, names in another case, and null for a
+// scalar. path is that of the value in the tree; errors contain it.
+func decodeStrict(raw []byte, path string, target any) *Error {
 	if bytes.Count(raw, []byte{','}) > maxDecodedValues {
-		return fault(path, fmt.Sprintf("must hold at most %d values", maxDecodedValues))
+		return newError(path, fmt.Sprintf("must hold at most %d values", maxDecodedValues))
 	}
-	v := reflect.ValueOf(into).Elem()
+	v := reflect.ValueOf(target).Elem()
 	if decodeCanonical(raw, v) {
 		return nil
 	}
 	if !json.Valid(raw) {
-		return fault(path, "must be valid JSON")
+		return newError(path, "must be valid JSON")
 	}
 	return decodeValue(raw, path, v)
 }
 
 func decodeValue(raw json.RawMessage, path string, v reflect.Value) *Error {
 	if _, ok := v.Addr().Interface().(json.Unmarshaler); ok {
-		return decodeLeaf(raw, path, v)
+		return decodeScalar(raw, path, v)
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -44,7 +46,7 @@
 	case reflect.Slice:
 		return decodeSlice(raw, path, v)
 	default:
-		return decodeLeaf(raw, path, v)
+		return decodeScalar(raw, path, v)
 	}
 }
 
@@ -63,19 +65,19 @@
 		return err
 	}
 	if isNull(raw) {
-		return fault(path, "must be an object, not null")
+		return newError(path, "must be an object, not null")
 	}
-	presetValue(v)
+	setValueDefaults(v)
 	for _, name := range slices.Sorted(maps.Keys(members)) {
-		field, ok := fieldByName(v.Type(), name)
+		field, ok := fieldByJSONName(v.Type(), name)
 		if !ok {
 			return unknownField(path, name, v.Type())
 		}
-		if err := decodeValue(members[name], join(path, name), v.Field(field)); err != nil {
+		if err := decodeValue(members[name], joinPath(path, name), v.Field(field)); err != nil {
 			return err
 		}
 	}
-	fillValue(v)
+	replaceValueZeros(v)
 	return nil
 }
 
@@ -87,7 +89,7 @@
 	v.Set(reflect.MakeMapWithSize(v.Type(), len(members)))
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		value := reflect.New(v.Type().Elem()).Elem()
-		if err := decodeValue(members[name], join(path, truncate(name, maxNameBytes)), value); err != nil {
+		if err := decodeValue(members[name], joinPath(path, truncate(name, maxNameBytes)), value); err != nil {
 			return err
 		}
 		v.SetMapIndex(reflect.ValueOf(name).Convert(v.Type().Key()), value)
@@ -98,7 +100,7 @@
 func decodeSlice(raw json.RawMessage, path string, v reflect.Value) *Error {
 	var elements []json.RawMessage
 	if json.Unmarshal(raw, &elements) != nil {
-		return fault(path, "must be a list")
+		return newError(path, "must be a list")
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(elements), len(elements)))
 	for i, element := range elements {
@@ -109,14 +111,14 @@
 	return nil
 }
 
-func decodeLeaf(raw json.RawMessage, path string, v reflect.Value) *Error {
+func decodeScalar(raw json.RawMessage, path string, v reflect.Value) *Error {
 	if !isNull(raw) && json.Unmarshal(raw, v.Addr().Interface()) == nil {
 		return nil
 	}
-	return fault(path, "must be "+leafName(v.Kind()))
+	return newError(path, "must be "+scalarTypeName(v.Kind()))
 }
 
-func leafName(kind reflect.Kind) string {
+func scalarTypeName(kind reflect.Kind) string {
 	switch kind {
 	case reflect.String:
 		return "a string"
@@ -131,19 +133,19 @@
 	}
 }
 
-// objectMembers returns the members of an object; null has none.
+// objectMembers returns the members of a JSON object; null has none.
 func objectMembers(raw json.RawMessage, path string) (map[string]json.RawMessage, *Error) {
 	var members map[string]json.RawMessage
 	if json.Unmarshal(raw, &members) != nil {
-		return nil, fault(path, "must be an object")
+		return nil, newError(path, "must be an object")
 	}
 	return members, nil
 }
 
 func isNull(raw json.RawMessage) bool { return string(bytes.TrimSpace(raw)) == "null" }
 
-// fieldByName finds a field by its name in JSON.
-func fieldByName(t reflect.Type, name string) (int, bool) {
+// fieldByJSONName returns the index of the field with a JSON name.
+func fieldByJSONName(t reflect.Type, name string) (int, bool) {
 	for i := range t.NumField() {
 		if jsonName(t.Field(i)) == name && name != "" {
 			return i, true
@@ -165,10 +167,10 @@
 		}
 	}
 	reason := "unknown field, must be one of " + strings.Join(allowed, ", ")
-	return fault(join(path, truncate(name, maxNameBytes)), reason)
+	return newError(joinPath(path, truncate(name, maxNameBytes)), reason)
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -6,74 +6,74 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// What an absent setting means.
+// Defaults of the settings.
 const (
-	DefaultProductionReserve = 0.3
-	DefaultStalenessWeight   = 0.5
-	DefaultModelMaxTokens    = 4096
-	DefaultRouteTimeout      = 30_000 // milliseconds
-	DefaultWeight            = 1.0
-	DefaultMaxQueue          = 1000
-	DefaultMaxBodyBytes      = 1 << 20
+	DefaultProductionReserve  = 0.3
+	DefaultStalenessWeight    = 0.5
+	DefaultModelMaxTokens     = 4096
+	DefaultRouteTimeoutMillis = 30_000 // milliseconds
+	DefaultWeight             = 1.0
+	DefaultMaxQueue           = 1000
+	DefaultMaxBodyBytes       = 1 << 20
 )
 
-// presetter sets the defaults of fields for which an explicit 0 has a meaning
-// of its own. It runs before a value is decoded.
-type presetter interface{ preset() }
+// defaultsSetter sets the defaults of fields for which an explicit 0 is a valid value.
+// It is called before a value is decoded.
+type defaultsSetter interface{ setDefaults() }
 
-// filler replaces zeros that have no meaning of their own by the default. It
-// runs after a value was decoded.
-type filler interface{ fill() }
+// zeroReplacer replaces 0 by the default in fields for which 0 isn't a valid value. It
+// is called after a value was decoded.
+type zeroReplacer interface{ replaceZeros() }
 
-func (f *Fleet) preset() { f.ProductionReserve = DefaultProductionReserve }
+func (f *Fleet) setDefaults() { f.ProductionReserve = DefaultProductionReserve }
 
-func (t *Team) preset() {
+func (t *Team) setDefaults() {
 	t.StalenessWeight = DefaultStalenessWeight
-	t.Limits.fill()
+	t.Limits.replaceZeros()
 }
 
-func (m *Model) fill() { fillZero(&m.MaxTokens, DefaultModelMaxTokens) }
+func (m *Model) replaceZeros() { setIfZero(&m.MaxTokens, DefaultModelMaxTokens) }
 
-func (r *Route) fill() { fillZero(&r.TimeoutMillis, DefaultRouteTimeout) }
+func (r *Route) replaceZeros() { setIfZero(&r.TimeoutMillis, DefaultRouteTimeoutMillis) }
 
-func (l *Limits) fill() {
-	fillZero(&l.Weight, DefaultWeight)
-	fillZero(&l.MaxQueue, DefaultMaxQueue)
-	fillZero(&l.MaxBodyBytes, DefaultMaxBodyBytes)
+func (l *Limits) replaceZeros() {
+	setIfZero(&l.Weight, DefaultWeight)
+	setIfZero(&l.MaxQueue, DefaultMaxQueue)
+	setIfZero(&l.MaxBodyBytes, DefaultMaxBodyBytes)
 }
 
-func fillZero[T int | int64 | float64](v *T, to T) {
+func setIfZero[T int | int64 | float64](v *T, value T) {
 	if *v == 0 {
-		*v = to
+		*v = value
 	}
 }
 
-func defaultFleet() Fleet { return newValue(reflect.TypeFor[Fleet]()).Interface().(Fleet) }
+func defaultFleet() Fleet { return newDefaultValue(reflect.TypeFor[Fleet]()).Interface().(Fleet) }
 
-func defaultTeam() Team { return newValue(reflect.TypeFor[Team]()).Interface().(Team) }
+func defaultTeam() Team { return newDefaultValue(reflect.TypeFor[Team]()).Interface().(Team) }
 
 func defaultTree() *Tree {
 	return &Tree{Fleet: defaultFleet(), Teams: map[ident.Team]Team{}}
 }
 
-// newValue returns a settable value with the defaults of its type. Its maps are
+// newDefaultValue returns a settable value of type t with its defaults. Its maps are
 // empty, not nil, so that equal trees have equal JSON.
-func newValue(t reflect.Type) reflect.Value {
+func newDefaultValue(t reflect.Type) reflect.Value {
 	v := reflect.New(t).Elem()
-	presetValue(v)
-	fillValue(v)
+	setValueDefaults(v)
+	replaceValueZeros(v)
 	return v
 }
 
-func presetValue(v reflect.Value) {
-	if p, ok := v.Addr().Interface().(presetter); ok {
-		p.preset()
+func setValueDefaults(v reflect.Value) {
+	if p, ok := v.Addr().Interface().(defaultsSetter); ok {
+		p.setDefaults()
 	}
 }
 
-func fillValue(v reflect.Value) {
-	if f, ok := v.Addr().Interface().(filler); ok {
-		f.fill()
+func replaceValueZeros(v reflect.Value) {
+	if f, ok := v.Addr().Interface().(zeroReplacer); ok {
+		f.replaceZeros()
 	}
 	if v.Kind() != reflect.Struct {
 		return
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Diff returns the operations that turn the branch in a into the branch in b,
-// each as deep in the tree as it goes.
+// Diff returns the operations that turn the branch in a into the branch in b. Each
+// operation changes the smallest possible part of the tree.
 func Diff(a, b *Tree, branch Branch) []Op {
 	team, ok := branch.Team()
 	if !ok {
@@ -31,7 +31,7 @@
 	switch a.Kind() {
 	case reflect.Struct:
 		for i := range a.NumField() {
-			ops = diffValues(ops, join(path, jsonName(a.Type().Field(i))), a.Field(i), b.Field(i))
+			ops = diffValues(ops, joinPath(path, jsonName(a.Type().Field(i))), a.Field(i), b.Field(i))
 		}
 		return ops
 	case reflect.Map:
@@ -48,7 +48,7 @@
 
 func diffMaps(ops []Op, path string, a, b reflect.Value) []Op {
 	for _, key := range unionOfKeys(a, b) {
-		entry := join(path, key.String())
+		entry := joinPath(path, key.String())
 		before, after := a.MapIndex(key), b.MapIndex(key)
 		switch {
 		case !after.IsValid():
--- a/internal/config/differential_test.go
+++ b/internal/config/differential_test.go
@@ -13,20 +13,20 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// naive is the configuration as flat settings, path to JSON value, judged one
-// change after the other. checksBase off is last-write-wins.
-type naive struct {
+// referenceConfig is a simple reference implementation with flat settings. Without
+// checksBase the last write wins.
+type referenceConfig struct {
 	checksBase bool
-	settings   map[string]string
+	settings   map[string]string // JSON value by path
 	versions   map[config.Branch]ident.Offset
-	verdicts   map[string]bool
+	verdicts   map[string]bool // accepted, by change ID
 }
 
-func newNaive(checksBase bool) *naive {
-	return &naive{checksBase, map[string]string{}, map[config.Branch]ident.Offset{}, map[string]bool{}}
+func newReferenceConfig(checksBase bool) *referenceConfig {
+	return &referenceConfig{checksBase, map[string]string{}, map[config.Branch]ident.Offset{}, map[string]bool{}}
 }
 
-func (n *naive) fold(off ident.Offset, c config.Change) bool {
+func (n *referenceConfig) apply(off ident.Offset, c config.Change) bool {
 	if first, ok := n.verdicts[c.ID]; ok {
 		return first
 	}
@@ -44,7 +44,7 @@
 			next[path] = string(op.Value)
 		}
 	}
-	ok = ok && valid(next)
+	ok = ok && validSettings(next)
 	n.verdicts[c.ID] = ok
 	if ok {
 		n.settings, n.versions[c.Branch] = next, off
@@ -52,8 +52,8 @@
 	return ok
 }
 
-// valid knows the rules for what the sessions below set.
-func valid(settings map[string]string) bool {
+// validSettings implements the validation rules for the settings that randomChange sets.
+func validSettings(settings map[string]string) bool {
 	for path, value := range settings {
 		parts := strings.Split(path, "/")
 		if parts[0] != "teams" {
@@ -79,7 +79,8 @@
 	return true
 }
 
-// randomChange is on the branch's version, or now and then on an older one.
+// randomChange returns a change based on the branch's version, or sometimes on an
+// older one.
 func randomChange(rng *rand.Rand, id int, version func(config.Branch) ident.Offset) config.Change {
 	group := func() string { return fmt.Sprintf("g%d", rng.IntN(4)) }
 	branch, path, value := config.FleetBranch, "groups/"+group(), `{"kind":"engine"}`
@@ -102,11 +103,11 @@
 	if rng.IntN(4) == 0 {
 		base = max(0, base-ident.Offset(rng.IntN(4)))
 	}
-	return change(fmt.Sprintf("c%d", id-rng.IntN(2)*rng.IntN(2)), branch, base, path, value)
+	return newChange(fmt.Sprintf("c%d", id-rng.IntN(2)*rng.IntN(2)), branch, base, path, value)
 }
 
-// sameTree compares the entries of the typed tree with the flat settings.
-func sameTree(t *config.Tree, settings map[string]string) {
+// expectTreeMatches compares the entries of a tree with flat settings.
+func expectTreeMatches(t *config.Tree, settings map[string]string) {
 	GinkgoHelper()
 	count := len(t.Fleet.Groups)
 	for name, group := range t.Fleet.Groups {
@@ -126,27 +127,27 @@
 	Expect(count).To(Equal(len(settings)))
 }
 
-var _ = Describe("random sessions", func() {
-	It("agree with the naive fold, through peers and snapshots too", func() {
+var _ = Describe("random sequences of changes", func() {
+	It("give the reference result, also with states from peers and snapshots", func() {
 		accepted, rejected := 0, 0
 		for seed := range uint64(20) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			ours, plain := config.Empty(), newNaive(true)
-			viaPeer := ours
-			l := &stream{first: 1}
+			state, reference := config.Empty(), newReferenceConfig(true)
+			viaPeer := state
+			l := &fakeLog{first: 1}
 			for id := range 150 {
-				c := randomChange(rng, id, ours.BranchVersion)
-				before, off := ours, ours.Through()+1
+				c := randomChange(rng, id, state.BranchVersion)
+				before, off := state, state.Through()+1
 				l.append(config.Record{Change: &c})
 				var verdict config.Verdict
 				checked := before.Check(c)
-				ours, verdict = ours.Fold(off, l.records[off-1])
+				state, verdict = state.Fold(off, l.records[off-1])
 				viaPeer, _ = viaPeer.Fold(off, l.records[off-1])
-				Expect(verdict.Accepted).To(Equal(plain.fold(off, c)), "seed %d change %+v verdict %+v", seed, c, verdict)
+				Expect(verdict.Accepted).To(Equal(reference.apply(off, c)), "seed %d change %+v verdict %+v", seed, c, verdict)
 				Expect(checked == nil).To(Equal(verdict.Accepted))
-				Expect(ours.Tree().Validate()).To(Succeed())
-				sameTree(ours.Tree(), plain.settings)
-				applyDiff(before, ours, c.Branch)
+				Expect(state.Tree().Validate()).To(Succeed())
+				expectTreeMatches(state.Tree(), reference.settings)
+				expectDiffApplies(before, state, c.Branch)
 				if verdict.Accepted {
 					accepted++
 				} else {
@@ -156,40 +157,40 @@
 					var err error
 					viaPeer, err = config.Unmarshal(marshal(viaPeer))
 					Expect(err).NotTo(HaveOccurred())
-					snap := ours.Snapshot()
+					snap := state.Snapshot()
 					l.append(config.Record{Snapshot: &snap})
-					l.first = max(l.first, snap.Covers-ident.Offset(rng.IntN(5)))
-					ours, _ = ours.Fold(ours.Through()+1, l.records[ours.Through()])
-					viaPeer, _ = viaPeer.Fold(ours.Through(), l.records[ours.Through()-1])
+					l.first = max(l.first, snap.LastOffset-ident.Offset(rng.IntN(5)))
+					state, _ = state.Fold(state.Through()+1, l.records[state.Through()])
+					viaPeer, _ = viaPeer.Fold(state.Through(), l.records[state.Through()-1])
 				}
 			}
-			late := config.NewReader(config.Empty())
-			for !late.CaughtUp() && late.Next() <= ours.Through() {
-				late.Step(l.page(late.Next(), 1+rng.IntN(20)))
+			reader := config.NewReader(config.Empty())
+			for !reader.CaughtUp() && reader.Next() <= state.Through() {
+				reader.ApplyPage(l.page(reader.Next(), 1+rng.IntN(20)))
 			}
-			Expect(marshal(viaPeer)).To(Equal(marshal(ours)), "seed %d", seed)
-			Expect(marshal(late.State())).To(Equal(marshal(ours)), "seed %d", seed)
+			Expect(marshal(viaPeer)).To(Equal(marshal(state)), "seed %d", seed)
+			Expect(marshal(reader.State())).To(Equal(marshal(state)), "seed %d", seed)
 		}
 		Expect(accepted).To(BeNumerically(">", 500))
 		Expect(rejected).To(BeNumerically(">", 500))
 	})
 })
 
-// applyDiff checks that Diff's operations lead from one tree to the next.
-func applyDiff(before, after *config.State, branch config.Branch) {
+// expectDiffApplies checks that Diff's operations turn one tree into the next.
+func expectDiffApplies(before, after *config.State, branch config.Branch) {
 	GinkgoHelper()
 	ops := config.Diff(before.Tree(), after.Tree(), branch)
 	if len(ops) == 0 {
 		return
 	}
 	c := config.Change{ID: "diff", Branch: branch, Base: before.BranchVersion(branch), Ops: ops}
-	got, verdicts := fold(before, c)
+	got, verdicts := applyChanges(before, c)
 	Expect(verdicts[0].Accepted).To(BeTrue(), "%+v", verdicts[0])
 	Expect(config.Diff(got.Tree(), after.Tree(), branch)).To(BeEmpty())
 }
 
-// lostUpdates counts accepted changes whose author hadn't seen the accepted
-// change before it on the branch: that one was overwritten unseen.
+// lostUpdates counts accepted changes that are not based on the previous accepted
+// change to their branch: that one was overwritten by an author who hadn't seen it.
 func lostUpdates(changes []config.Change, accepted func(ident.Offset, config.Change) bool) int {
 	lost, versions := 0, map[config.Branch]ident.Offset{}
 	for i, c := range changes {
@@ -205,13 +206,14 @@
 	return lost
 }
 
-var _ = Describe("racing operators", func() {
-	// Each of two operators reads the branch, then writes it; their reads and
-	// writes interleave at random. A lost update shows as a setting that goes back
-	// although its operator was told that it is in force.
-	It("never lose an update; last-write-wins does, found by the same check", func() {
+var _ = Describe("concurrent operators", func() {
+	// Two operators each read a branch and then write it, with their reads and writes
+	// interleaved at random. A lost update is a setting that reverts although its
+	// operator was told that it is in effect. The same check finds lost updates under
+	// last-write-wins.
+	It("never lose an update, unlike under last-write-wins", func() {
 		rng := rand.New(rand.NewPCG(1, 4))
-		s, lww := config.Empty(), newNaive(false)
+		s, lastWriteWins := config.Empty(), newReferenceConfig(false)
 		var changes []config.Change
 		versions := []ident.Offset{0, 0}
 		for id := range 300 {
@@ -219,16 +221,16 @@
 			if rng.IntN(2) == 0 {
 				versions[operator] = s.BranchVersion("fleet")
 			}
-			c := change(fmt.Sprintf("c%d", id), "fleet", versions[operator], fmt.Sprintf("groups/g%d", operator), `{"kind":"engine"}`)
-			s, _ = fold(s, c)
+			c := newChange(fmt.Sprintf("c%d", id), "fleet", versions[operator], fmt.Sprintf("groups/g%d", operator), `{"kind":"engine"}`)
+			s, _ = applyChanges(s, c)
 			changes = append(changes, c)
 		}
 		replay := config.Empty()
 		Expect(lostUpdates(changes, func(_ ident.Offset, c config.Change) bool {
 			var verdicts []config.Verdict
-			replay, verdicts = fold(replay, c)
+			replay, verdicts = applyChanges(replay, c)
 			return verdicts[0].Accepted
 		})).To(BeZero())
-		Expect(lostUpdates(changes, lww.fold)).To(BeNumerically(">", 50))
+		Expect(lostUpdates(changes, lastWriteWins.apply)).To(BeNumerically(">", 50))
 	})
 })
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,10 +1,11 @@
-// Package config is the tree of settings and its fold over the platform's log.
+// Package config defines the settings tree and the deterministic state machine
+// that builds it from the records of the platform's log.
 //
-// The log's order decides: each Change names the version of the branch that it
-// was made on, the fold accepts the first change on a version and rejects every
-// other one, and all daemons that read the same records hold the same State.
+// The log's order resolves conflicts: each Change names the version of the branch
+// that it is based on. The first valid change on a version is accepted and every
+// other one on that version is rejected, so all daemons that have read the same
+// records hold the same State.
 //
-// The package is pure. It has no clock, no I/O and no goroutine, and no result
-// depends on the order of a map. A State never changes once it is returned; it
-// may be read from any number of goroutines.
+// The package uses no clock, I/O or goroutines, and no result depends on map
+// iteration order. A State is immutable and safe for concurrent use.
 package config
--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -8,124 +8,125 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Fold returns the state after the record at an offset. The caller brings the
-// records in the log's order and leaves none out (see Reader). A record that is
-// folded in already changes nothing; one that can't be decoded is skipped, and
-// so is a snapshot, since what it covers is folded in already.
+// Fold returns the state after the record at offset off was applied. The caller
+// must pass records in log order without omissions (see Reader). A record that
+// was already applied changes nothing. One that can't be decoded is skipped, and
+// so is a snapshot, since the records it covers are already applied.
 func (s *State) Fold(off ident.Offset, data []byte) (*State, Verdict) {
 	record, err := DecodeRecord(data)
-	return s.fold(off, record, err)
+	return s.applyRecord(off, record, err)
 }
 
-func (s *State) fold(off ident.Offset, record Record, decodeErr error) (*State, Verdict) {
-	if off <= s.through {
+func (s *State) applyRecord(off ident.Offset, record Record, decodeErr error) (*State, Verdict) {
+	if off <= s.appliedOffset {
 		return s, Verdict{}
 	}
 	if decodeErr == nil && record.Restore != nil {
-		return s.foldRestore(off, *record.Restore)
+		return s.applyRestore(off, *record.Restore)
 	}
 	next := *s
-	next.through = off
+	next.appliedOffset = off
 	switch {
 	case decodeErr != nil:
 		return &next, Verdict{Reason: truncate(decodeErr.Error(), maxVerdictReason)}
 	case record.Change == nil:
 		return &next, Verdict{}
 	}
-	verdict := next.foldChange(off, *record.Change)
+	verdict := next.applyChange(off, *record.Change)
 	return &next, verdict
 }
 
-// foldChange works on a fresh shallow copy: it replaces the maps of s and never
-// writes into them.
-func (s *State) foldChange(off ident.Offset, c Change) Verdict {
+// applyChange modifies s, which must be a shallow copy that no reader holds yet.
+// It replaces the maps of s and never writes to them.
+func (s *State) applyChange(off ident.Offset, c Change) Verdict {
 	if first, ok := s.Verdict(c.ID); ok {
 		return first
 	}
-	out, fault := s.judge(c)
-	if fault != nil {
-		verdict := s.rejection(c, fault)
+	result, cause := s.evaluate(c)
+	if cause != nil {
+		verdict := s.rejectedVerdict(c, cause)
 		if changeIDPattern.MatchString(c.ID) {
 			s.verdicts = s.verdicts.push(verdict, maxVerdicts)
 		}
 		return verdict
 	}
-	s.accept(off, c, out)
+	s.accept(off, c, result)
 	verdict := Verdict{ChangeID: c.ID, Accepted: true, Version: off}
 	s.verdicts = s.verdicts.push(verdict, maxVerdicts)
 	return verdict
 }
 
-func (s *State) rejection(c Change, fault *Error) Verdict {
+func (s *State) rejectedVerdict(c Change, cause *Error) Verdict {
 	return Verdict{
 		ChangeID: truncate(c.ID, maxNameBytes+1),
-		Version:  s.branches[c.Branch],
-		Reason:   truncate(fault.Detail(), maxVerdictReason),
-		Path:     truncate(fault.Path, maxVerdictPath),
+		Version:  s.branchVersions[c.Branch],
+		Reason:   truncate(cause.Detail(), maxVerdictReason),
+		Path:     truncate(cause.Path, maxVerdictPath),
 	}
 }
 
-// judged is the tree after a change, and the bytes of the branch's JSON there.
-type judged struct {
-	tree *Tree
-	size int
+// changedTree is the tree after a change to one branch.
+type changedTree struct {
+	tree       *Tree
+	branchSize int // bytes of the changed branch's JSON
 }
 
-// judge decides on a change without folding it in.
-func (s *State) judge(c Change) (judged, *Error) {
+// evaluate validates a change and returns the resulting tree without modifying s.
+func (s *State) evaluate(c Change) (changedTree, *Error) {
 	if err := c.validate(); err != nil {
-		return judged{}, err
+		return changedTree{}, err
 	}
-	if err := s.judgeBase(c); err != nil {
-		return judged{}, err
+	if err := s.checkBase(c); err != nil {
+		return changedTree{}, err
 	}
-	tree, err := apply(s.tree, c.Branch, c.Ops)
+	tree, err := applyToBranch(s.tree, c.Branch, c.Ops)
 	if err != nil {
-		return judged{}, err
+		return changedTree{}, err
 	}
-	if err := validateAfter(tree, c.Branch); err != nil {
-		return judged{}, err
+	if err := validateChangedBranch(tree, c.Branch); err != nil {
+		return changedTree{}, err
 	}
-	if err := validateStays(s.tree, tree, c.Branch); err != nil {
-		return judged{}, err
+	if err := validateDataCentresUnchanged(s.tree, tree, c.Branch); err != nil {
+		return changedTree{}, err
 	}
 	if team, ok := c.Branch.Team(); ok {
 		tree.keys, err = indexKeys(tree, team)
 	}
 	if err != nil {
-		return judged{}, err
+		return changedTree{}, err
 	}
-	return s.judgeSize(tree, c.Branch)
+	return s.checkSize(tree, c.Branch)
 }
 
-// judgeBase guards against a lost update: of two changes made on one version,
-// the log's order lets the first pass, and the second would overwrite what its
-// author never saw.
-func (s *State) judgeBase(c Change) *Error {
-	current := s.branches[c.Branch]
+// checkBase rejects a change that isn't based on the branch's current version.
+// Without it, the second of two changes based on one version would overwrite an
+// update that its author never saw.
+func (s *State) checkBase(c Change) *Error {
+	current := s.branchVersions[c.Branch]
 	switch {
 	case c.Base < current:
-		return fault(string(c.Branch), fmt.Sprintf("made on version %d, but version %d is newer", c.Base, current))
+		return newError(string(c.Branch), fmt.Sprintf("made on version %d, but version %d is newer", c.Base, current))
 	case c.Base > current:
-		return fault(string(c.Branch), fmt.Sprintf("made on version %d, but the branch is at version %d", c.Base, current))
+		return newError(string(c.Branch), fmt.Sprintf("made on version %d, but the branch is at version %d", c.Base, current))
 	}
 	return nil
 }
 
-// judgeSize keeps a snapshot of the tree within one record of the log.
-func (s *State) judgeSize(tree *Tree, branch Branch) (judged, *Error) {
-	size := branchBytes(tree, branch)
-	total := size - s.sizes[branch]
-	for _, bytes := range s.sizes {
+// checkSize bounds the tree's size, so that a snapshot of it fits into one record.
+func (s *State) checkSize(tree *Tree, branch Branch) (changedTree, *Error) {
+	size := encodedBranchSize(tree, branch)
+	total := size - s.branchSizes[branch]
+	for _, bytes := range s.branchSizes {
 		total += bytes
 	}
 	if total > maxTreeBytes {
-		return judged{}, fault(string(branch), fmt.Sprintf("tree would have %d bytes, must have at most %d", total, maxTreeBytes))
+		return changedTree{}, newError(string(branch), fmt.Sprintf("tree would have %d bytes, must have at most %d", total, maxTreeBytes))
 	}
-	return judged{tree: tree, size: size}, nil
+	return changedTree{tree: tree, branchSize: size}, nil
 }
 
-func branchBytes(t *Tree, branch Branch) int {
+// encodedBranchSize returns the bytes of a branch's JSON, 0 if it doesn't exist.
+func encodedBranchSize(t *Tree, branch Branch) int {
 	var value any = t.Fleet
 	if team, ok := branch.Team(); ok {
 		settings, exists := t.Teams[team]
@@ -138,49 +139,50 @@
 	return len(data)
 }
 
-func (s *State) accept(off ident.Offset, c Change, out judged) {
+func (s *State) accept(off ident.Offset, c Change, result changedTree) {
 	s.version = off
-	s.tree = out.tree
-	s.branches = maps.Clone(s.branches)
-	s.branches[c.Branch] = off
-	s.sizes = maps.Clone(s.sizes)
-	s.sizes[c.Branch] = out.size
-	if out.size == 0 {
-		delete(s.sizes, c.Branch)
-		s.dropOldTombstone()
+	s.tree = result.tree
+	s.branchVersions = maps.Clone(s.branchVersions)
+	s.branchVersions[c.Branch] = off
+	s.branchSizes = maps.Clone(s.branchSizes)
+	s.branchSizes[c.Branch] = result.branchSize
+	if result.branchSize == 0 {
+		delete(s.branchSizes, c.Branch)
+		s.pruneTombstones()
 	}
 	s.history = s.history.push(HistoryEntry{
 		Version: off, Branch: c.Branch, ChangeID: c.ID, Author: c.Author, At: c.At, Paths: c.paths(),
 	}, maxHistory)
 }
 
-// dropOldTombstone bounds the versions kept of deleted branches. Offsets differ,
-// so the oldest one is the same at every daemon.
-func (s *State) dropOldTombstone() {
+// pruneTombstones drops the oldest version kept for a deleted branch when there
+// are too many of them. Offsets are unique, so every daemon drops the same one.
+func (s *State) pruneTombstones() {
 	var oldest Branch
 	count := 0
-	for branch, version := range s.branches {
-		if _, exists := s.sizes[branch]; exists {
+	for branch, version := range s.branchVersions {
+		if _, exists := s.branchSizes[branch]; exists {
 			continue
 		}
 		count++
-		if oldest == "" || version < s.branches[oldest] {
+		if oldest == "" || version < s.branchVersions[oldest] {
 			oldest = branch
 		}
 	}
 	if count > maxTombstones {
-		delete(s.branches, oldest)
+		delete(s.branchVersions, oldest)
 	}
 }
 
-// Check says what Fold would say of a change now. Error: *Error.
+// Check returns the reason why a change is rejected at this state, nil if it is
+// accepted. A change whose verdict is known keeps that verdict. Error: *Error.
 func (s *State) Check(c Change) error {
 	if v, ok := s.Verdict(c.ID); ok {
 		if v.Accepted {
 			return nil
 		}
-		return fault(v.Path, v.Reason)
+		return newError(v.Path, v.Reason)
 	}
-	_, err := s.judge(c)
+	_, err := s.evaluate(c)
 	return asError(err)
 }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -8,11 +8,11 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/config"
 )
 
-// seedRecords are records as the log holds them, and near misses.
-func seedRecords(f *testing.F) {
+// addSeedRecords adds valid and almost valid records to the corpus.
+func addSeedRecords(f *testing.F) {
 	RegisterTestingT(f)
-	s := base()
-	c := change("c", "fleet", 0, "", fleetValue)
+	s := baseState()
+	c := newChange("c", "fleet", 0, "", fleetValue)
 	f.Add(encode(config.Record{Change: &c}))
 	f.Add(marshal(s))
 	f.Add(marshal(config.Empty()))
@@ -22,23 +22,23 @@
 	}
 }
 
-// FuzzDecodeRecord folds whatever stands in the log onto a state.
+// FuzzDecodeRecord applies arbitrary log data to a state.
 func FuzzDecodeRecord(f *testing.F) {
-	seedRecords(f)
+	addSeedRecords(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		g := NewWithT(t)
 		RegisterTestingT(t)
-		s, _ := base().Fold(3, data)
+		s, _ := baseState().Fold(3, data)
 		g.Expect(s.Through()).To(BeEquivalentTo(3))
 		g.Expect(s.Tree().Validate()).To(Succeed())
-		again, _ := base().Fold(3, data)
+		again, _ := baseState().Fold(3, data)
 		g.Expect(marshal(again)).To(Equal(marshal(s)))
 	})
 }
 
-// FuzzUnmarshal takes whatever a peer sends.
+// FuzzUnmarshal decodes arbitrary data as a peer's state.
 func FuzzUnmarshal(f *testing.F) {
-	seedRecords(f)
+	addSeedRecords(f)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		g := NewWithT(t)
 		s, err := config.Unmarshal(data)
@@ -57,7 +57,7 @@
 	})
 }
 
-// FuzzParseBranchFile takes whatever an operator's file holds.
+// FuzzParseBranchFile parses arbitrary data as an operator's file.
 func FuzzParseBranchFile(f *testing.F) {
 	for _, seed := range []string{fleetValue, teamValue, "groups:\n  g: {kind: engine}\n", "a: &x [1]\nb: *x", "a: 1\na: 2", "? [1]\n: 2", "x: .nan", "x: 0x1f", "- 1", "", "\x00"} {
 		f.Add([]byte(seed))
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -6,146 +6,152 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// maxPendingBytes bounds the records that wait for a snapshot.
+// maxPendingBytes bounds the data of the records that wait for a gap to be closed.
 const maxPendingBytes = 16 << 20
 
-// RawRecord is one record of the log.
+// RawRecord is one record of the log, not decoded yet.
 type RawRecord struct {
 	Offset ident.Offset
-	Time   time.Time // the log's wall clock
+	Time   time.Time // when the log appended it, by the log's wall clock
 	Data   []byte
 }
 
-// Page is what one read of the log returned.
+// Page is the result of one read of the log.
 type Page struct {
-	First   ident.Offset // oldest offset still kept
-	Next    ident.Offset // offset that the next append will get
+	First   ident.Offset // oldest offset in the log
+	Next    ident.Offset // offset of the next append
 	Records []RawRecord
 }
 
-// Reader turns pages of the log into states.
+// Reader builds states from pages of the log.
 //
-// Behind a gap, records that retention took before they were read, no change
-// can be judged. The reader keeps what it reads there until a snapshot, or a
-// peer's state, covers the gap; until then its state stays what it was.
+// If records expire from the log before they were read, the reader is in a gap: it
+// can't decide about later changes. It buffers the records that it reads until a
+// snapshot, a restore or a peer's state replaces the missing ones, and keeps its
+// old state until then.
 //
-// Invariant: the state's Through never falls.
+// Invariant: the state's applied offset never decreases.
 type Reader struct {
-	state *State
-	next  ident.Offset // where to read from
-	end   ident.Offset // the log's next offset, as last seen
+	state      *State       // newest state
+	nextOffset ident.Offset // to read from
+	logEnd     ident.Offset // the log's next offset, as of the last read
 
-	gap     bool
-	start   ident.Offset // behind the gap: offset from which on all is pending
-	pending []RawRecord
-	bytes   int // of pending
+	inGap        bool
+	pendingFrom  ident.Offset // in a gap: every record read from this offset on is in pending
+	pending      []RawRecord
+	pendingBytes int // sum of the data in pending
 
-	oldest keptFrom
-	asked  bool // for a snapshot, since the last one
+	replayStart       replayStart
+	snapshotRequested bool // by a record since the last snapshot
 }
 
-// NewReader returns a reader that goes on from a state.
-func NewReader(s *State) *Reader { return &Reader{state: s, next: s.through + 1} }
+// NewReader returns a reader that continues after a state.
+func NewReader(s *State) *Reader { return &Reader{state: s, nextOffset: s.appliedOffset + 1} }
 
-// State returns the newest state.
 func (r *Reader) State() *State { return r.state }
 
 // Next returns the offset to read from.
-func (r *Reader) Next() ident.Offset { return r.next }
-
-// InGap says that records were lost that no snapshot or peer has made up for.
-func (r *Reader) InGap() bool { return r.gap }
-
-// CaughtUp says that the state held every record when the log was last read.
-func (r *Reader) CaughtUp() bool { return !r.gap && r.end > 0 && r.next >= r.end }
-
-// Step takes a page that was read from Next, or from an earlier offset. After
-// an offset past retention it is a page without records.
-func (r *Reader) Step(page Page) {
-	if page.First > r.next {
-		r.openGap(page.First)
+func (r *Reader) Next() ident.Offset { return r.nextOffset }
+
+// InGap reports whether records expired before they were read and nothing has
+// replaced them yet.
+func (r *Reader) InGap() bool { return r.inGap }
+
+// CaughtUp reports whether the state includes every record that the log had at the
+// last read.
+func (r *Reader) CaughtUp() bool { return !r.inGap && r.logEnd > 0 && r.nextOffset >= r.logEnd }
+
+// ApplyPage processes a page that was read from Next or from an earlier offset. If
+// that offset has expired, the page has no records and First is the oldest offset
+// left.
+func (r *Reader) ApplyPage(page Page) {
+	if page.First > r.nextOffset {
+		r.enterGap(page.First)
 	}
 	for _, record := range page.Records {
-		if record.Offset >= r.next {
-			r.next = record.Offset + 1
-			r.take(record)
+		if record.Offset >= r.nextOffset {
+			r.nextOffset = record.Offset + 1
+			r.applyRecord(record)
 		}
 	}
-	r.end = max(r.end, page.Next)
+	r.logEnd = max(r.logEnd, page.Next)
 }
 
-func (r *Reader) openGap(first ident.Offset) {
-	r.gap = true
-	r.start, r.next = first, first
-	r.pending, r.bytes = nil, 0
+func (r *Reader) enterGap(first ident.Offset) {
+	r.inGap = true
+	r.pendingFrom, r.nextOffset = first, first
+	r.pending, r.pendingBytes = nil, 0
 }
 
-func (r *Reader) take(raw RawRecord) {
+func (r *Reader) applyRecord(raw RawRecord) {
 	record, err := DecodeRecord(raw.Data)
-	if r.gap {
-		r.hold(raw)
-		r.tryFill(raw, record)
+	if r.inGap {
+		r.bufferPending(raw)
+		r.tryCloseGap(raw, record)
 		return
 	}
-	r.state, _ = r.state.fold(raw.Offset, record, err)
-	r.oldest.observe(raw, record)
-	r.asked = record.Ask != nil || r.asked && !record.answersAsk(raw.Offset)
+	r.state, _ = r.state.applyRecord(raw.Offset, record, err)
+	r.replayStart.update(raw, record)
+	r.snapshotRequested = record.SnapshotRequest != nil || r.snapshotRequested && !record.answersSnapshotRequest(raw.Offset)
 }
 
-// hold keeps a record behind the gap. When they are too many the gap grows.
-func (r *Reader) hold(raw RawRecord) {
+// bufferPending keeps a record until the gap is closed. Above maxPendingBytes it
+// drops the oldest records, which widens the gap.
+func (r *Reader) bufferPending(raw RawRecord) {
 	r.pending = append(r.pending, raw)
-	r.bytes += len(raw.Data)
-	for r.bytes > maxPendingBytes {
-		r.bytes -= len(r.pending[0].Data)
-		r.start = r.pending[0].Offset + 1
+	r.pendingBytes += len(raw.Data)
+	for r.pendingBytes > maxPendingBytes {
+		r.pendingBytes -= len(r.pending[0].Data)
+		r.pendingFrom = r.pending[0].Offset + 1
 		r.pending = r.pending[1:]
 	}
 }
 
-// tryFill fills the gap when the record is a snapshot that covers it, or a
-// restore in force.
-func (r *Reader) tryFill(raw RawRecord, record Record) {
+// tryCloseGap closes the gap if the record is a snapshot that includes the missing
+// records, or a restore that takes effect.
+func (r *Reader) tryCloseGap(raw RawRecord, record Record) {
 	if record.Restore != nil {
-		if s, err := record.Restore.state(raw.Offset); err == nil {
-			r.oldest.set(raw.Offset, raw.Time)
-			r.adopt(s)
+		if s, err := record.Restore.newState(raw.Offset); err == nil {
+			r.replayStart.set(raw.Offset, raw.Time)
+			r.advanceTo(s)
 		}
 		return
 	}
 	snap := record.Snapshot
-	if snap == nil || snap.Covers < r.start-1 || snap.Covers >= raw.Offset {
+	if snap == nil || snap.LastOffset < r.pendingFrom-1 || snap.LastOffset >= raw.Offset {
 		return
 	}
 	s, err := FromSnapshot(*snap)
 	if err != nil {
 		return
 	}
-	r.oldest.set(snap.Covers+1, raw.Time)
-	r.adopt(s)
+	r.replayStart.set(snap.LastOffset+1, raw.Time)
+	r.advanceTo(s)
 }
 
-// Adopt takes a peer's state if it is newer. One that doesn't reach over the
-// gap is taken too, but leaves the gap open.
-func (r *Reader) Adopt(s *State) bool {
-	if s.through <= r.state.through {
+// UpdateIfNewer replaces the state by a peer's state if that has a larger applied
+// offset, and reports whether it did. A newer state that doesn't include all missing
+// records is used too, but leaves the gap open.
+func (r *Reader) UpdateIfNewer(s *State) bool {
+	if s.appliedOffset <= r.state.appliedOffset {
 		return false
 	}
-	r.oldest.forget()
-	r.adopt(s)
+	r.replayStart.reset()
+	r.advanceTo(s)
 	return true
 }
 
-// adopt moves to a newer state and replays what is pending behind it.
-func (r *Reader) adopt(s *State) {
+// advanceTo sets a newer state. If it closes the gap, the pending records are
+// applied to it.
+func (r *Reader) advanceTo(s *State) {
 	r.state = s
-	if r.gap && s.through < r.start-1 {
+	if r.inGap && s.appliedOffset < r.pendingFrom-1 {
 		return
 	}
 	pending := r.pending
-	r.gap, r.pending, r.bytes = false, nil, 0
+	r.inGap, r.pending, r.pendingBytes = false, nil, 0
 	for _, raw := range pending {
 		r.state, _ = r.state.Fold(raw.Offset, raw.Data)
 	}
-	r.next = max(r.next, r.state.through+1)
+	r.nextOffset = max(r.nextOffset, r.state.appliedOffset+1)
 }
--- a/internal/config/reader_test.go
+++ b/internal/config/reader_test.go
@@ -10,19 +10,19 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// stream is a log of records from offset first on.
-type stream struct {
+// fakeLog is a log in memory that has expired the records before offset first.
+type fakeLog struct {
 	first   ident.Offset
-	records [][]byte // from offset 1 on
+	records [][]byte // from offset 1 on; those of expired records may be nil
 }
 
-func (l *stream) append(records ...config.Record) {
+func (l *fakeLog) append(records ...config.Record) {
 	for _, r := range records {
 		l.records = append(l.records, encode(r))
 	}
 }
 
-func (l *stream) page(from ident.Offset, limit int) config.Page {
+func (l *fakeLog) page(from ident.Offset, limit int) config.Page {
 	page := config.Page{First: l.first, Next: ident.Offset(len(l.records) + 1)}
 	for off := max(from, l.first); off < page.Next && len(page.Records) < limit; off++ {
 		page.Records = append(page.Records, config.RawRecord{Offset: off, Time: epoch, Data: l.records[off-1]})
@@ -32,87 +32,89 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// retained is a log whose snapshot covers 2 and whose records 1 to 2 are gone.
-func retained() (*stream, *config.State) {
-	s := base()
+// logWithExpiredRecords returns a log whose records 1 and 2 have expired and whose
+// snapshot, at offset 4, includes the records up to 2. The state is that of the whole
+// log.
+func logWithExpiredRecords() (*fakeLog, *config.State) {
+	s := baseState()
 	snap := s.Snapshot()
-	a, b := change("a", "teams/coop", 2, "staleness_weight", "0.1"), change("b", "teams/coop", 3, "staleness_weight", "0.2")
-	l := &stream{first: 3, records: make([][]byte, 2)}
+	a, b := newChange("a", "teams/coop", 2, "staleness_weight", "0.1"), newChange("b", "teams/coop", 3, "staleness_weight", "0.2")
+	l := &fakeLog{first: 3, records: make([][]byte, 2)}
 	l.append(config.Record{Change: &a}, config.Record{Snapshot: &snap}, config.Record{Change: &b})
-	s, _ = fold(s, a)
+	s, _ = applyChanges(s, a)
 	s, _ = s.Fold(4, l.records[3])
-	s, _ = fold(s, b)
+	s, _ = applyChanges(s, b)
 	return l, s
 }
 
 var _ = Describe("Reader", func() {
-	// All daemons are replaced after the first records ran out of retention. A
-	// change before the snapshot in the log, but not covered by it, must count.
-	It("starts from a retained tail with the snapshot and replays what it doesn't cover", func() {
-		l, want := retained()
+	// All daemons are replaced after the first records have expired. A change that is
+	// before the snapshot in the log, but not included in it, must not be lost.
+	It("starts from a log with expired records and applies those that the snapshot doesn't include", func() {
+		l, want := logWithExpiredRecords()
 		for _, limit := range []int{1, 2, 10} {
 			r := config.NewReader(config.Empty())
 			for !r.CaughtUp() {
-				r.Step(l.page(r.Next(), limit))
+				r.ApplyPage(l.page(r.Next(), limit))
 			}
 			Expect(marshal(r.State())).To(Equal(marshal(want)))
 		}
 	})
 
-	// A daemon frozen for longer than the retention wakes: its next offset is
-	// gone. It must not fold the tail onto its old state.
-	It("keeps its state behind a gap until a snapshot or a peer covers it", func() {
-		l, want := retained()
-		frozen, _ := fold(config.Empty(), change("fleet-1", "fleet", 0, "", fleetValue))
+	// A daemon was frozen for longer than the retention, and its next offset has
+	// expired. It must not apply later records to its old state.
+	It("keeps its state in a gap until a snapshot or a peer's state closes it", func() {
+		l, want := logWithExpiredRecords()
+		frozen, _ := applyChanges(config.Empty(), newChange("fleet-1", "fleet", 0, "", fleetValue))
 		r := config.NewReader(frozen)
-		r.Step(config.Page{First: 3, Next: 6})
+		r.ApplyPage(config.Page{First: 3, Next: 6})
 		Expect(r.InGap()).To(BeTrue())
-		r.Step(l.page(3, 1))
+		r.ApplyPage(l.page(3, 1))
 		Expect(r.State()).To(BeIdenticalTo(frozen))
-		Expect(r.Adopt(base())).To(BeTrue())
+		Expect(r.UpdateIfNewer(baseState())).To(BeTrue())
 		Expect(r.InGap()).To(BeFalse())
 		Expect(r.State().Through()).To(BeEquivalentTo(3))
-		r.Step(l.page(r.Next(), 10))
+		r.ApplyPage(l.page(r.Next(), 10))
 		Expect(marshal(r.State())).To(Equal(marshal(want)))
 	})
 
-	// The only snapshot kept is older than the daemon's own state. Taken, the
-	// daemon would go back.
-	It("passes over a snapshot that doesn't reach the gap", func() {
+	// The only snapshot in the log is older than the daemon's own state. Using it would
+	// revert the daemon to an older state.
+	It("ignores a snapshot that doesn't include the missing records", func() {
 		old := config.Empty().Snapshot()
-		l, _ := retained()
+		l, _ := logWithExpiredRecords()
 		l.first, l.records[3] = 4, encode(config.Record{Snapshot: &old})
-		frozen, _ := fold(config.Empty(), change("fleet-1", "fleet", 0, "", fleetValue))
+		frozen, _ := applyChanges(config.Empty(), newChange("fleet-1", "fleet", 0, "", fleetValue))
 		r := config.NewReader(frozen)
-		r.Step(l.page(r.Next(), 10))
+		r.ApplyPage(l.page(r.Next(), 10))
 		Expect(r.InGap()).To(BeTrue())
 		Expect(r.State()).To(BeIdenticalTo(frozen))
 	})
 
-	It("never moves back", func() {
-		_, newest := retained()
+	It("never returns to an older state", func() {
+		_, newest := logWithExpiredRecords()
 		r := config.NewReader(newest)
-		Expect(r.Adopt(base())).To(BeFalse())
-		Expect(r.Adopt(newest)).To(BeFalse())
-		r.Step(config.Page{First: 1, Next: 1})
+		Expect(r.UpdateIfNewer(baseState())).To(BeFalse())
+		Expect(r.UpdateIfNewer(newest)).To(BeFalse())
+		r.ApplyPage(config.Page{First: 1, Next: 1})
 		Expect(r.State()).To(BeIdenticalTo(newest))
 	})
 
-	It("says that a snapshot is due at a third of the retention", func() {
-		l := &stream{first: 1}
+	It("reports that a snapshot is due at a third of the retention", func() {
+		l := &fakeLog{first: 1}
 		for _, id := range []string{"a", "b"} {
-			c := change(id, "fleet", 0, "", fleetValue)
+			c := newChange(id, "fleet", 0, "", fleetValue)
 			l.append(config.Record{Change: &c})
 		}
 		r := config.NewReader(config.Empty())
-		r.Step(l.page(1, 10))
-		keep := config.Retention{Records: 9, Age: 3 * time.Hour}
-		Expect(r.SnapshotDue(epoch, keep)).To(BeFalse())
-		Expect(r.SnapshotDue(epoch.Add(time.Hour), keep)).To(BeTrue())
+		r.ApplyPage(l.page(1, 10))
+		retention := config.Retention{Records: 9, Age: 3 * time.Hour}
+		Expect(r.SnapshotDue(epoch, retention)).To(BeFalse())
+		Expect(r.SnapshotDue(epoch.Add(time.Hour), retention)).To(BeTrue())
 		Expect(r.SnapshotDue(epoch, config.Retention{Records: 6})).To(BeTrue())
 		snap := r.State().Snapshot()
 		l.append(config.Record{Snapshot: &snap})
-		r.Step(l.page(r.Next(), 10))
+		r.ApplyPage(l.page(r.Next(), 10))
 		Expect(r.SnapshotDue(epoch, config.Retention{Records: 6})).To(BeFalse())
 	})
 })
--- a/internal/config/restore_test.go
+++ b/internal/config/restore_test.go
@@ -12,48 +12,49 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// restore is made from an operator's file with the fleet's branch alone.
-func restore(id string, off ident.Offset, reserve float64) config.Record {
+// restoreRecord returns a restore from an operator's file that sets only the fleet's
+// reserve.
+func restoreRecord(id string, off ident.Offset, reserve float64) config.Record {
 	GinkgoHelper()
 	tree, err := config.ParseTreeFile(fmt.Appendf(nil, `{"fleet":{"production_reserve":%g}}`, reserve))
 	Expect(err).NotTo(HaveOccurred())
 	return config.Record{Restore: &config.Restore{ID: id, Offset: off, Tree: tree, Author: "ayu"}}
 }
 
-func reserveOf(s *config.State) float64 { return s.Tree().Fleet.ProductionReserve }
+func productionReserve(s *config.State) float64 { return s.Tree().Fleet.ProductionReserve }
 
-// forgotten is a log whose first records are gone, and no snapshot of them is left.
-func forgotten() *stream { return &stream{first: 4, records: make([][]byte, 3)} }
+// expiredLog returns a log whose first three records have expired without a snapshot.
+func expiredLog() *fakeLog { return &fakeLog{first: 4, records: make([][]byte, 3)} }
 
-func readAll(r *config.Reader, l *stream) *config.State {
+func readAll(r *config.Reader, l *fakeLog) *config.State {
 	for r.Next() <= ident.Offset(len(l.records)) {
-		r.Step(l.page(r.Next(), 2))
+		r.ApplyPage(l.page(r.Next(), 2))
 	}
 	return r.State()
 }
 
 var _ = Describe("Restore", func() {
-	// All daemons were replaced while the log was down, and it came back empty. Two
-	// operators each restore from their own file; both are told that the next offset
-	// is 4, and both appends succeed. One file is in force, everywhere the same one.
-	It("of two at once lets the first in the log win, for a daemon with any state or none", func() {
-		l := forgotten()
-		l.append(restore("ayu", 4, 0.1), restore("budi", 4, 0.2))
-		c := change("next", "fleet", 4, "production_reserve", "0.4")
+	// All daemons were replaced while the log was down, and its records had expired when
+	// it came back. Two operators each restore from their own file. Both see 4 as the
+	// next offset, and both appends succeed. All daemons must use the same file.
+	It("lets the first of two concurrent restores win, for daemons with any state or none", func() {
+		l := expiredLog()
+		l.append(restoreRecord("ayu", 4, 0.1), restoreRecord("budi", 4, 0.2))
+		c := newChange("next", "fleet", 4, "production_reserve", "0.4")
 		l.append(config.Record{Change: &c})
-		old, _ := fold(config.Empty(), change("fleet-1", "fleet", 0, "", fleetValue))
-		whole, _ := fold(base(), change("fleet-2", "fleet", 1, "production_reserve", "0.5"))
+		old, _ := applyChanges(config.Empty(), newChange("fleet-1", "fleet", 0, "", fleetValue))
+		complete, _ := applyChanges(baseState(), newChange("fleet-2", "fleet", 1, "production_reserve", "0.5"))
 		want := readAll(config.NewReader(config.Empty()), l)
-		Expect(reserveOf(want)).To(Equal(0.4))
+		Expect(productionReserve(want)).To(Equal(0.4))
 		Expect(want.History("fleet", 9)).To(HaveLen(2))
-		for _, s := range []*config.State{old, base(), whole} {
+		for _, s := range []*config.State{old, baseState(), complete} {
 			Expect(marshal(readAll(config.NewReader(s), l))).To(Equal(marshal(want)))
 		}
 	})
 
-	It("has its own offset for the version of each branch, so that none falls", func() {
-		s, _ := fold(base(), change("fleet-2", "fleet", 1, "production_reserve", "0.5"))
-		s, v := s.Fold(4, encode(restore("ayu", 4, 0.1)))
+	It("sets each branch's version to its own offset, so that no version decreases", func() {
+		s, _ := applyChanges(baseState(), newChange("fleet-2", "fleet", 1, "production_reserve", "0.5"))
+		s, v := s.Fold(4, encode(restoreRecord("ayu", 4, 0.1)))
 		Expect(v).To(Equal(config.Verdict{ChangeID: "ayu", Accepted: true, Version: 4}))
 		Expect([]ident.Offset{s.Version(), s.Through(), s.BranchVersion("fleet")}).To(HaveEach(BeEquivalentTo(4)))
 		Expect(s.Tree().Teams).To(BeEmpty())
@@ -62,60 +63,59 @@
 		Expect(marshal(back)).To(Equal(marshal(s)))
 	})
 
-	// A daemon that slept through it all offers its old state to a daemon that has
-	// just been restored, or gets there first. Neither way may the old one stay, nor
-	// may a daemon that has the restore go back.
-	It("isn't undone by a late peer's state", func() {
-		l := forgotten()
-		l.append(restore("ayu", 4, 0.1))
-		for _, late := range []*config.State{base(), func() *config.State { s, _ := base().Fold(3, nil); return s }()} {
+	// A daemon that was suspended sends its old state to another daemon, after or before
+	// that one reads the restore. The restored state must win in both cases.
+	It("isn't reverted by a peer's outdated state", func() {
+		l := expiredLog()
+		l.append(restoreRecord("ayu", 4, 0.1))
+		for _, outdated := range []*config.State{baseState(), func() *config.State { s, _ := baseState().Fold(3, nil); return s }()} {
 			first, second := config.NewReader(config.Empty()), config.NewReader(config.Empty())
 			want := readAll(first, l)
-			Expect(first.Adopt(late)).To(BeFalse())
-			second.Step(config.Page{First: 4, Next: 4})
-			Expect(second.Adopt(late)).To(BeTrue())
+			Expect(first.UpdateIfNewer(outdated)).To(BeFalse())
+			second.ApplyPage(config.Page{First: 4, Next: 4})
+			Expect(second.UpdateIfNewer(outdated)).To(BeTrue())
 			Expect(marshal(readAll(second, l))).To(Equal(marshal(want)))
 			Expect(first.InGap() || second.InGap()).To(BeFalse())
 		}
 	})
 
-	// A daemon still holds the configuration and reads the log, but no peer of it
-	// can be reached by the one that is being restored. It is asked through the log;
-	// its snapshot fills the gap, and the restore, made meanwhile, is void.
-	It("gives way to a daemon that still holds the configuration", func() {
-		l := forgotten()
-		holder, _ := base().Fold(3, nil)
-		with, without := config.NewReader(holder), config.NewReader(config.Empty())
-		keep := config.Retention{} // none is due by itself
-		with.Step(l.page(4, 9))
-		l.append(config.Record{Ask: &config.Ask{ID: "ayu"}})
-		readAll(with, l)
-		readAll(without, l)
-		Expect(with.SnapshotDue(epoch, keep)).To(BeTrue())
-		Expect(without.SnapshotDue(epoch, keep)).To(BeFalse())
-		snap := with.State().Snapshot()
-		l.append(config.Record{Snapshot: &snap}, restore("ayu", 5, 0.1))
-		Expect(marshal(readAll(without, l))).To(Equal(marshal(readAll(with, l))))
-		Expect(with.SnapshotDue(epoch, keep)).To(BeFalse())
-		Expect(with.State().BranchVersion("teams/coop")).To(BeEquivalentTo(2))
+	// One daemon still has the configuration and reads the log, but isn't reachable by
+	// the daemon that is being restored. It gets a snapshot request through the log. Its
+	// snapshot closes the gap, and the restore that is appended meanwhile has no effect.
+	It("has no effect if a daemon that has the configuration appends a snapshot first", func() {
+		l := expiredLog()
+		holder, _ := baseState().Fold(3, nil)
+		withState, withoutState := config.NewReader(holder), config.NewReader(config.Empty())
+		retention := config.Retention{} // unlimited: a snapshot is due only on request
+		withState.ApplyPage(l.page(4, 9))
+		l.append(config.Record{SnapshotRequest: &config.SnapshotRequest{ID: "ayu"}})
+		readAll(withState, l)
+		readAll(withoutState, l)
+		Expect(withState.SnapshotDue(epoch, retention)).To(BeTrue())
+		Expect(withoutState.SnapshotDue(epoch, retention)).To(BeFalse())
+		snap := withState.State().Snapshot()
+		l.append(config.Record{Snapshot: &snap}, restoreRecord("ayu", 5, 0.1))
+		Expect(marshal(readAll(withoutState, l))).To(Equal(marshal(readAll(withState, l))))
+		Expect(withState.SnapshotDue(epoch, retention)).To(BeFalse())
+		Expect(withState.State().BranchVersion("teams/coop")).To(BeEquivalentTo(2))
 	})
 
-	It("is void everywhere when its tree breaks the schema", func() {
-		l := forgotten()
-		bad := restore("ayu", 4, 0.1)
+	It("has no effect on any daemon if its tree is invalid", func() {
+		l := expiredLog()
+		bad := restoreRecord("ayu", 4, 0.1)
 		bad.Restore.Tree.Fleet.ProductionReserve = 2
 		l.append(bad)
 		r := config.NewReader(config.Empty())
 		Expect(readAll(r, l).Version()).To(BeZero())
 		Expect(r.InGap()).To(BeTrue())
-		whole, _ := base().Fold(3, nil)
-		s, v := whole.Fold(4, l.records[3])
+		complete, _ := baseState().Fold(3, nil)
+		s, v := complete.Fold(4, l.records[3])
 		Expect(v.Path).To(Equal("fleet/production_reserve"))
-		Expect(s.Version()).To(Equal(whole.Version()))
+		Expect(s.Version()).To(Equal(complete.Version()))
 	})
 
-	It("takes the tree as config get prints it, with --json or without", func() {
-		tree := base().Tree()
+	It("accepts the output of config get, with or without --json", func() {
+		tree := baseState().Tree()
 		plain, _ := json.Marshal(tree)
 		wrapped := fmt.Appendf(nil, `{"version":2,"branch_version":0,"tree":%s}`, plain)
 		for _, file := range [][]byte{plain, wrapped} {
@@ -131,28 +131,28 @@
 		}
 	})
 
-	// Changes, snapshots and restores, in force and void, in any order; readers begin
-	// at any offset, with no state or with a peer's. At each offset whoever has no
-	// gap must hold what the fold of the whole log holds.
-	It("keeps the fold the same for every reader of random logs", func() {
-		inForce, void, compared := 0, 0, 0
+	// Random logs of changes, snapshots and restores, some without effect, are read from
+	// any offset with an empty state or that of a peer. Every reader that isn't in a gap
+	// must have the state that results from the whole log.
+	It("leads to the same state for every reader of random logs", func() {
+		effective, ineffective, compared := 0, 0, 0
 		for seed := range uint64(40) {
 			rng := rand.New(rand.NewPCG(seed, 5))
-			l, states := &stream{first: 1}, []*config.State{config.Empty()}
+			l, states := &fakeLog{first: 1}, []*config.State{config.Empty()}
 			for id := range 60 {
 				s := states[id]
 				off := s.Through() + 1
 				c := randomChange(rng, id, s.BranchVersion)
 				snap := s.Snapshot()
 				record := []config.Record{{Change: &c}, {Change: &c}, {Snapshot: &snap},
-					restore(fmt.Sprintf("r%d", id-rng.IntN(2)), off-ident.Offset(min(rng.IntN(3), int(off-1))), 0.1)}[rng.IntN(4)]
+					restoreRecord(fmt.Sprintf("r%d", id-rng.IntN(2)), off-ident.Offset(min(rng.IntN(3), int(off-1))), 0.1)}[rng.IntN(4)]
 				l.append(record)
 				next, v := s.Fold(off, l.records[off-1])
 				states = append(states, next)
 				if record.Restore != nil && v.Accepted {
-					inForce++
+					effective++
 				} else if record.Restore != nil {
-					void++
+					ineffective++
 				}
 				Expect(next.Version()).To(BeNumerically(">=", s.Version()))
 			}
@@ -160,7 +160,7 @@
 				l.first = ident.Offset(1 + rng.IntN(60))
 				r := config.NewReader(states[rng.IntN(int(l.first))])
 				for r.Next() <= 60 {
-					r.Step(l.page(r.Next(), 1+rng.IntN(5)))
+					r.ApplyPage(l.page(r.Next(), 1+rng.IntN(5)))
 					if !r.InGap() {
 						compared++
 						Expect(marshal(r.State())).To(Equal(marshal(states[r.State().Through()])), "seed %d", seed)
@@ -168,8 +168,8 @@
 				}
 			}
 		}
-		Expect(inForce).To(BeNumerically(">", 100))
-		Expect(void).To(BeNumerically(">", 100))
+		Expect(effective).To(BeNumerically(">", 100))
+		Expect(ineffective).To(BeNumerically(">", 100))
 		Expect(compared).To(BeNumerically(">", 1000))
 	})
 })
--- a/internal/config/retention.go
+++ b/internal/config/retention.go
@@ -6,32 +6,34 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// snapshotShare: a snapshot is due when the oldest record that a new daemon
-// needs has used up one part in so many of the log's retention. The rest is for
-// outages and for writers that die.
-const snapshotShare = 3
+// snapshotRetentionDivisor sets when a snapshot is due: when the oldest record that
+// a new daemon needs is older than the log's retention divided by this. The remaining
+// time is a reserve for outages and for snapshot writers that crash.
+const snapshotRetentionDivisor = 3
 
-// Retention says how long the log keeps a record. 0 is without bound.
+// Retention is how long the log keeps a record, as a number of records and as an
+// age. 0 is unlimited.
 type Retention struct {
 	Records int64
 	Age     time.Duration
 }
 
-// keptFrom tracks the oldest record that a daemon without a state needs: the
-// newest snapshot, or what it doesn't cover. The zero value is unknown.
-type keptFrom struct {
-	offset ident.Offset
-	at     time.Time
+// replayStart is the oldest record that a daemon without a state has to read: the
+// first one that the newest snapshot doesn't include (at the latest the snapshot
+// itself), a restore, or the first record of the log. The zero value is unknown.
+type replayStart struct {
+	offset     ident.Offset
+	appendedAt time.Time
 }
 
-func (k *keptFrom) set(off ident.Offset, at time.Time) { k.offset, k.at = off, at }
+func (k *replayStart) set(off ident.Offset, at time.Time) { k.offset, k.appendedAt = off, at }
 
-func (k *keptFrom) forget() { *k = keptFrom{} }
+func (k *replayStart) reset() { *k = replayStart{} }
 
-// observe notes a record that was folded in. For a snapshot it takes the time
-// of the record itself: what the snapshot doesn't cover is older by the moment
-// that its writer took to append it.
-func (k *keptFrom) observe(raw RawRecord, record Record) {
+// update processes a record that was applied. For a snapshot it uses the time of
+// the snapshot's own record: the records that it doesn't include are older than that
+// only by the time its writer took to append it.
+func (k *replayStart) update(raw RawRecord, record Record) {
 	if r := record.Restore; r != nil && r.Offset == raw.Offset {
 		if r.Check() == nil {
 			k.set(raw.Offset, raw.Time)
@@ -39,37 +41,38 @@
 		return
 	}
 	snap := record.Snapshot
-	if snap == nil || snap.Covers >= raw.Offset || snap.Covers+1 < k.offset {
+	if snap == nil || snap.LastOffset >= raw.Offset || snap.LastOffset+1 < k.offset {
 		if k.offset == 0 && raw.Offset == 1 {
 			k.set(raw.Offset, raw.Time)
 		}
 		return
 	}
 	if _, err := FromSnapshot(*snap); err == nil {
-		k.set(snap.Covers+1, raw.Time)
+		k.set(snap.LastOffset+1, raw.Time)
 	}
 }
 
-// answersAsk says that daemons in a gap have a state behind the record.
-func (r Record) answersAsk(off ident.Offset) bool {
+// answersSnapshotRequest reports whether a record at offset off gives daemons in a
+// gap a state, so that an earlier snapshot request is settled.
+func (r Record) answersSnapshotRequest(off ident.Offset) bool {
 	return r.Snapshot != nil || r.Restore != nil && r.Restore.Offset == off
 }
 
-// SnapshotDue says whether somebody should append a snapshot. A state taken
-// from a peer says nothing of the log's snapshots, so then one is due.
-func (r *Reader) SnapshotDue(now time.Time, keep Retention) bool {
-	if !r.CaughtUp() || r.state.through == 0 {
+// SnapshotDue reports whether a snapshot should be appended to the log. After a state
+// came from a peer it is unknown which snapshots the log has, so one is due.
+func (r *Reader) SnapshotDue(now time.Time, retention Retention) bool {
+	if !r.CaughtUp() || r.state.appliedOffset == 0 {
 		return false
 	}
-	if r.asked && r.state.version > 0 {
+	if r.snapshotRequested && r.state.version > 0 {
 		return true
 	}
-	if r.oldest.offset == 0 {
-		return keep.Records > 0 || keep.Age > 0
+	if r.replayStart.offset == 0 {
+		return retention.Records > 0 || retention.Age > 0
 	}
-	records := int64(r.next - r.oldest.offset)
-	if keep.Records > 0 && records*snapshotShare >= keep.Records {
+	records := int64(r.nextOffset - r.replayStart.offset)
+	if retention.Records > 0 && records*snapshotRetentionDivisor >= retention.Records {
 		return true
 	}
-	return keep.Age > 0 && now.Sub(r.oldest.at)*snapshotShare >= keep.Age
+	return retention.Age > 0 && now.Sub(r.replayStart.appendedAt)*snapshotRetentionDivisor >= retention.Age
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -8,34 +8,36 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Snapshot is a whole State. In the log it stands for every record up to Covers.
+// Snapshot is the serialized form of a State. In the log it replaces every record up
+// to and including LastOffset.
 type Snapshot struct {
-	Covers   ident.Offset            `json:"covers"`
-	Version  ident.Offset            `json:"version"`
-	Tree     Tree                    `json:"tree"`
-	Branches map[Branch]ident.Offset `json:"branches"`
-	Verdicts []Verdict               `json:"verdicts"` // newest first
-	History  []HistoryEntry          `json:"history"`  // newest first
+	LastOffset ident.Offset            `json:"covers"`
+	Version    ident.Offset            `json:"version"`
+	Tree       Tree                    `json:"tree"`
+	Branches   map[Branch]ident.Offset `json:"branches"`
+	Verdicts   []Verdict               `json:"verdicts"` // newest first
+	History    []HistoryEntry          `json:"history"`  // newest first
 }
 
-// preset gives an absent tree its defaults: a nil map would have other bytes.
-func (snap *Snapshot) preset() { snap.Tree = *defaultTree() }
+// setDefaults sets the default tree, for a record without one: nil maps would be
+// encoded differently from empty ones.
+func (snap *Snapshot) setDefaults() { snap.Tree = *defaultTree() }
 
-// Snapshot returns the whole state. Its parts are shared and must not be changed.
+// Snapshot returns the state as a snapshot. It shares its maps with the state, so
+// the caller must not modify them.
 func (s *State) Snapshot() Snapshot {
 	return Snapshot{
-		Covers:   s.through,
-		Version:  s.version,
-		Tree:     *s.tree,
-		Branches: s.branches,
-		Verdicts: slices.AppendSeq([]Verdict{}, s.verdicts.newest(maxVerdicts)),
-		History:  slices.AppendSeq([]HistoryEntry{}, s.history.newest(maxHistory)),
+		LastOffset: s.appliedOffset,
+		Version:    s.version,
+		Tree:       *s.tree,
+		Branches:   s.branchVersions,
+		Verdicts:   slices.AppendSeq([]Verdict{}, s.verdicts.newest(maxVerdicts)),
+		History:    slices.AppendSeq([]HistoryEntry{}, s.history.newest(maxHistory)),
 	}
 }
 
-// FromSnapshot returns the state that a snapshot holds, after checking all of
-// it: a daemon must not act on a tree that the fold would have refused. Error:
-// *Error.
+// FromSnapshot validates a snapshot and returns its state. A daemon must not use a
+// tree that it would have rejected as a change. Error: *Error.
 func FromSnapshot(snap Snapshot) (*State, error) {
 	if err := snap.validate(); err != nil {
 		return nil, err
@@ -47,28 +49,28 @@
 	}
 	tree.keys = index
 	s := &State{
-		through:  snap.Covers,
-		version:  snap.Version,
-		tree:     &tree,
-		branches: maps.Clone(snap.Branches),
-		sizes:    map[Branch]int{},
-		verdicts: recentOf(snap.Verdicts),
-		history:  recentOf(snap.History),
+		appliedOffset:  snap.LastOffset,
+		version:        snap.Version,
+		tree:           &tree,
+		branchVersions: maps.Clone(snap.Branches),
+		branchSizes:    map[Branch]int{},
+		verdicts:       newRecentList(snap.Verdicts),
+		history:        newRecentList(snap.History),
 	}
-	for branch := range s.branches {
-		if size := branchBytes(&tree, branch); size > 0 {
-			s.sizes[branch] = size
+	for branch := range s.branchVersions {
+		if size := encodedBranchSize(&tree, branch); size > 0 {
+			s.branchSizes[branch] = size
 		}
 	}
 	return s, nil
 }
 
 func (snap Snapshot) validate() error {
-	if snap.Version < 0 || snap.Version > snap.Covers {
-		return valueFault("snapshot/version", snap.Version, fmt.Sprintf("must be 0 to %d, the offset covered", snap.Covers))
+	if snap.Version < 0 || snap.Version > snap.LastOffset {
+		return newValueError("snapshot/version", snap.Version, fmt.Sprintf("must be 0 to %d, the last offset of the snapshot", snap.LastOffset))
 	}
 	if len(snap.Verdicts) > maxVerdicts || len(snap.History) > maxHistory {
-		return fault("snapshot", fmt.Sprintf("must hold at most %d verdicts and %d changes", maxVerdicts, maxHistory))
+		return newError("snapshot", fmt.Sprintf("must hold at most %d verdicts and %d changes", maxVerdicts, maxHistory))
 	}
 	if err := snap.validateBranches(); err != nil {
 		return err
@@ -78,7 +80,7 @@
 
 func (snap Snapshot) validateBranches() error {
 	if len(snap.Branches) > maxTeams+maxTombstones+1 {
-		return fault("snapshot/branches", "must hold fewer versions")
+		return newError("snapshot/branches", "holds too many versions")
 	}
 	for _, branch := range slices.Sorted(maps.Keys(snap.Branches)) {
 		version := snap.Branches[branch]
@@ -86,31 +88,32 @@
 			return err
 		}
 		if version <= 0 || version > snap.Version {
-			return valueFault("snapshot/branches/"+string(branch), version, fmt.Sprintf("must be 1 to %d", snap.Version))
+			return newValueError("snapshot/branches/"+string(branch), version, fmt.Sprintf("must be 1 to %d", snap.Version))
 		}
 	}
 	for _, team := range slices.Sorted(maps.Keys(snap.Tree.Teams)) {
 		if snap.Branches[TeamBranch(team)] == 0 {
-			return fault("snapshot/branches", "must hold a version of "+string(TeamBranch(team)))
+			return newError("snapshot/branches", "must hold a version of "+string(TeamBranch(team)))
 		}
 	}
 	return nil
 }
 
-// Marshal returns the state for a peer. Equal states have equal bytes.
+// Marshal encodes the state for a peer. Equal states have equal bytes.
 func (s *State) Marshal() ([]byte, error) {
 	snap := s.Snapshot()
 	return EncodeRecord(Record{Snapshot: &snap})
 }
 
-// Unmarshal reads a peer's state. Errors: *Error, ErrNoSnapshot, ErrTooLarge.
+// Unmarshal decodes and validates a peer's state. Errors: *Error, ErrNotSnapshot,
+// ErrTooLarge.
 func Unmarshal(data []byte) (*State, error) {
 	record, err := DecodeRecord(data)
 	if err != nil {
 		return nil, err
 	}
 	if record.Snapshot == nil {
-		return nil, ErrNoSnapshot
+		return nil, ErrNotSnapshot
 	}
 	return FromSnapshot(*record.Snapshot)
 }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -6,7 +6,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Bounds on what a State remembers. A snapshot of it must fit into one record.
+// Bounds on what a State retains, so that a snapshot of it fits into one record.
 const (
 	maxVerdicts   = 2000
 	maxHistory    = 512
@@ -18,63 +18,65 @@
 	maxHistoryPaths  = 4
 )
 
-// Verdict is what the fold said of a change.
+// Verdict is the outcome of a change or restore.
 type Verdict struct {
 	ChangeID string `json:"change_id"`
 	Accepted bool   `json:"accepted"`
-	// Version is the change's own when it was accepted, else the branch's
-	// version that it was judged against.
+	// Version is the change's own offset if it was accepted, else the version of
+	// its branch at the time of the decision.
 	Version ident.Offset `json:"version"`
 	Reason  string       `json:"reason,omitempty"` // why it was rejected
-	Path    string       `json:"path,omitempty"`   // in the tree, where the fault is
+	Path    string       `json:"path,omitempty"`   // of the invalid setting in the tree
 }
 
-// HistoryEntry is an accepted change, without its values.
+// HistoryEntry describes an accepted change, without its values.
 type HistoryEntry struct {
 	Version  ident.Offset `json:"version"`
 	Branch   Branch       `json:"branch"`
 	ChangeID string       `json:"change_id"`
 	Author   string       `json:"author"`
 	At       time.Time    `json:"at"`
-	Paths    []string     `json:"paths"` // the first few that it touched, below the branch
+	Paths    []string     `json:"paths"` // first maxHistoryPaths changed paths, relative to the branch
 }
 
-// State is the fold of the log up to an offset. It is immutable.
+// State is the configuration after all log records up to an offset were applied.
+// It is immutable.
 //
-// Invariants: Through never falls from one state to the next; Version and every
-// branch's version are at most Through; the tree is valid.
+// Invariants: the applied offset never decreases from one state to the next; the
+// version and every branch version are at most the applied offset; the tree is
+// valid.
 type State struct {
-	through  ident.Offset
-	version  ident.Offset
-	tree     *Tree
-	branches map[Branch]ident.Offset // of deleted branches too
-	sizes    map[Branch]int          // bytes of JSON, of existing branches
-	verdicts recent[Verdict]
-	history  recent[HistoryEntry]
+	appliedOffset  ident.Offset
+	version        ident.Offset // offset of the newest accepted change
+	tree           *Tree
+	branchVersions map[Branch]ident.Offset // includes deleted branches
+	branchSizes    map[Branch]int          // bytes of JSON; existing branches only
+	verdicts       recentList[Verdict]
+	history        recentList[HistoryEntry]
 }
 
 // Empty returns the state before the first record.
 func Empty() *State {
 	tree := defaultTree()
 	tree.keys = keyIndex{}
-	return &State{tree: tree, branches: map[Branch]ident.Offset{}, sizes: map[Branch]int{}}
+	return &State{tree: tree, branchVersions: map[Branch]ident.Offset{}, branchSizes: map[Branch]int{}}
 }
 
-// Through returns the offset up to which every record is folded in.
-func (s *State) Through() ident.Offset { return s.through }
+// Through returns the offset up to and including which every record is applied.
+func (s *State) Through() ident.Offset { return s.appliedOffset }
 
 // Version returns the offset of the newest accepted change, 0 for none.
 func (s *State) Version() ident.Offset { return s.version }
 
 // BranchVersion returns the offset of the newest accepted change to a branch, 0
 // for none. A deleted branch keeps the version of its deletion, so that a change
-// made before can't bring it back.
-func (s *State) BranchVersion(b Branch) ident.Offset { return s.branches[b] }
+// based on an earlier version can't recreate it.
+func (s *State) BranchVersion(b Branch) ident.Offset { return s.branchVersions[b] }
 
-// Tree returns the tree, with defaults filled in. It must not be changed.
+// Tree returns the tree with defaults filled in. The caller must not modify it.
 func (s *State) Tree() *Tree { return s.tree }
 
-// Verdict returns what was said of a change. The newest 2000 are kept.
+// Verdict returns the verdict on a change. The newest 2000 verdicts are kept.
 func (s *State) Verdict(changeID string) (Verdict, bool) {
 	for v := range s.verdicts.newest(maxVerdicts) {
 		if v.ChangeID == changeID {
--- a/internal/config/suite_test.go
+++ b/internal/config/suite_test.go
@@ -28,8 +28,9 @@
 		"jobs":{"nightly":{"model":"clerk","scorer":"judge","group_size":8,"max_tokens":64}}}`
 )
 
-// change is a change with one operation that sets a value, or deletes for "".
-func change(id string, branch config.Branch, base ident.Offset, path, value string) config.Change {
+// newChange returns a change with one operation that sets path to value, or deletes it
+// if value is "".
+func newChange(id string, branch config.Branch, base ident.Offset, path, value string) config.Change {
 	op := config.Op{Path: path, Value: json.RawMessage(value), Delete: value == ""}
 	return config.Change{ID: id, Branch: branch, Base: base, Ops: []config.Op{op}, Author: "ayu"}
 }
@@ -41,8 +42,8 @@
 	return data
 }
 
-// fold folds changes in at the offsets that follow the state.
-func fold(s *config.State, changes ...config.Change) (*config.State, []config.Verdict) {
+// applyChanges applies changes at the offsets after the state.
+func applyChanges(s *config.State, changes ...config.Change) (*config.State, []config.Verdict) {
 	GinkgoHelper()
 	var verdicts []config.Verdict
 	for _, c := range changes {
@@ -53,12 +54,12 @@
 	return s, verdicts
 }
 
-// base is a state with a fleet at version 1 and the team coop at version 2.
-func base() *config.State {
+// baseState returns a state with the fleet at version 1 and the team coop at version 2.
+func baseState() *config.State {
 	GinkgoHelper()
-	s, verdicts := fold(config.Empty(),
-		change("fleet-1", "fleet", 0, "", fleetValue),
-		change("coop-1", "teams/coop", 0, "", teamValue))
+	s, verdicts := applyChanges(config.Empty(),
+		newChange("fleet-1", "fleet", 0, "", fleetValue),
+		newChange("coop-1", "teams/coop", 0, "", teamValue))
 	for _, v := range verdicts {
 		Expect(v.Accepted).To(BeTrue(), "%+v", v)
 	}
--- a/internal/config/treefile.go
+++ b/internal/config/treefile.go
@@ -1,17 +1,17 @@
 package config
 
-// maxTreeFileBytes bounds an operator's file with a whole tree.
+// maxTreeFileBytes is the largest file with a whole tree.
 const maxTreeFileBytes = maxTreeBytes + MaxRecordBytes
 
-// ParseTreeFile reads an operator's file, YAML or JSON, that holds the whole
-// tree: as "config get" prints it, or the daemon's whole answer around it as
-// "config get --json" does. Error: *Error.
+// ParseTreeFile parses and validates an operator's YAML or JSON file with the whole
+// tree: either the tree itself, as "config get" prints it, or the daemon's response
+// that contains it, as "config get --json" prints it. Error: *Error.
 func ParseTreeFile(data []byte) (Tree, error) {
 	raw, err := parseObject(data, maxTreeFileBytes)
 	if err != nil {
 		return Tree{}, err
 	}
-	members, err := objectMembers(raw, filePath) // raw holds one object
+	members, err := objectMembers(raw, fileErrorPath) // parseObject returned one object
 	if err != nil {
 		return Tree{}, err
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -12,30 +12,31 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
-	MaxProductionReserve = 0.9
-	MaxStalenessBound    = 1_000_000 // versions
-	MaxTokens            = 1 << 20   // an answer or a sample
-	MaxGroupSize         = 4096      // samples a prompt
-	MaxConcurrency       = 100_000   // requests in flight in one upstream
-	MaxRouteTimeout      = 3_600_000 // milliseconds
-	MaxWeight            = 1000
-	MaxQueue             = 1_000_000 // requests
-	MaxBodyBytes         = 64 << 20
+	MaxProductionReserve  = 0.9
+	MaxStalenessBound     = 1_000_000 // versions
+	MaxTokens             = 1 << 20   // per answer or sample
+	MaxGroupSize          = 4096      // samples per prompt
+	MaxConcurrency        = 100_000   // requests in flight per upstream
+	MaxRouteTimeoutMillis = 3_600_000 // milliseconds
+	MaxWeight             = 1000
+	MaxQueue              = 1_000_000 // requests
+	MaxBodyBytes          = 64 << 20
 
 	maxRoutePathBytes = 256
 	maxGroups         = 4096
-	maxUpstreams      = 65_536 // in one group
+	maxUpstreams      = 65_536 // per group
 	maxTeams          = 1024
-	maxTeamEntries    = 1024 // of each kind, in one team
+	maxTeamEntries    = 1024 // per team, for each of keys, models, routes and jobs
 )
 
-const sha256Allowed = "must be the SHA-256 of the secret as 64 lower-case hex digits"
+const sha256Rule = "must be the SHA-256 of the secret as 64 lower-case hex digits"
 
 var sha256Pattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// Validate checks the whole tree. Error: *Error, the first fault by its path.
+// Validate checks the whole tree. Error: *Error, for the first invalid setting in a
+// fixed order.
 func (t *Tree) Validate() error {
 	if err := validateFleet(t.Fleet); err != nil {
 		return err
@@ -47,9 +48,10 @@
 	return asError(err)
 }
 
-// validateAfter checks what a change to one branch can have made wrong: a
-// team's branch refers to the fleet's alone, so a team's change breaks no other.
-func validateAfter(t *Tree, changed Branch) *Error {
+// validateChangedBranch checks what a change to one branch can have made invalid. A
+// team's branch refers only to the fleet's, so a change to a team can't invalidate
+// another team, and a change to the fleet can invalidate any of them.
+func validateChangedBranch(t *Tree, changed Branch) *Error {
 	team, ok := changed.Team()
 	if !ok {
 		if err := validateFleet(t.Fleet); err != nil {
@@ -57,7 +59,7 @@
 		}
 		return validateTeams(t)
 	}
-	if err := countAtMost("teams", len(t.Teams), maxTeams); err != nil {
+	if err := checkCount("teams", len(t.Teams), maxTeams); err != nil {
 		return err
 	}
 	if _, exists := t.Teams[team]; !exists {
@@ -67,77 +69,78 @@
 }
 
 func validateTeams(t *Tree) *Error {
-	if err := countAtMost("teams", len(t.Teams), maxTeams); err != nil {
+	if err := checkCount("teams", len(t.Teams), maxTeams); err != nil {
 		return err
 	}
-	return eachEntry("teams", t.Teams, func(_ string, name ident.Team, _ Team) *Error {
+	return checkEntries("teams", t.Teams, func(_ string, name ident.Team, _ Team) *Error {
 		return validateTeam(t, name)
 	})
 }
 
 func validateFleet(f Fleet) *Error {
 	const path = string(FleetBranch)
-	if err := inRange(path+"/production_reserve", f.ProductionReserve, 0, MaxProductionReserve); err != nil {
+	if err := checkRange(path+"/production_reserve", f.ProductionReserve, 0, MaxProductionReserve); err != nil {
 		return err
 	}
-	if err := countAtMost(path+"/groups", len(f.Groups), maxGroups); err != nil {
+	if err := checkCount(path+"/groups", len(f.Groups), maxGroups); err != nil {
 		return err
 	}
-	if err := eachEntry(path+"/groups", f.Groups, validateGroup); err != nil {
+	if err := checkEntries(path+"/groups", f.Groups, validateGroup); err != nil {
 		return err
 	}
-	return validateSharedNames(path+"/groups", f.Groups)
+	return validateUpstreamNames(path+"/groups", f.Groups)
 }
 
 func validateGroup(path, _ string, g Group) *Error {
-	if err := oneOf(path+"/kind", g.Kind, KindEngine, KindService, KindScorer); err != nil {
+	if err := checkOneOf(path+"/kind", g.Kind, KindEngine, KindService, KindScorer); err != nil {
 		return err
 	}
-	if err := countAtMost(path+"/upstreams", len(g.Upstreams), maxUpstreams); err != nil {
+	if err := checkCount(path+"/upstreams", len(g.Upstreams), maxUpstreams); err != nil {
 		return err
 	}
-	return eachEntry(path+"/upstreams", g.Upstreams, validateUpstream)
+	return checkEntries(path+"/upstreams", g.Upstreams, validateUpstream)
 }
 
 func validateUpstream(path string, _ ident.Upstream, u Upstream) *Error {
 	address, err := netip.ParseAddrPort(u.Address)
 	if err != nil || address.Port() == 0 || address.Addr().Zone() != "" {
-		return valueFault(path+"/address", u.Address, "must be ip:port")
+		return newValueError(path+"/address", u.Address, "must be ip:port")
 	}
 	if !validName(string(u.DataCentre)) {
-		return valueFault(path+"/data_centre", string(u.DataCentre), nameAllowed)
+		return newValueError(path+"/data_centre", string(u.DataCentre), nameRule)
 	}
-	return inRange(path+"/max_concurrency", u.MaxConcurrency, 0, MaxConcurrency)
+	return checkRange(path+"/max_concurrency", u.MaxConcurrency, 0, MaxConcurrency)
 }
 
-// validateSharedNames refuses one name for two upstreams: leases, health and
-// the list of VMs know an upstream by its name alone.
-func validateSharedNames(path string, groups map[string]Group) *Error {
-	type place struct {
+// validateUpstreamNames rejects different upstreams with the same name: leases,
+// health records and the VM list identify an upstream by its name alone.
+func validateUpstreamNames(path string, groups map[string]Group) *Error {
+	type occurrence struct {
 		group string
 		kind  Kind
 		Upstream
 	}
-	seen := map[ident.Upstream]place{}
-	return eachEntry(path, groups, func(path, group string, g Group) *Error {
-		return eachEntry(path+"/upstreams", g.Upstreams, func(path string, name ident.Upstream, u Upstream) *Error {
+	seen := map[ident.Upstream]occurrence{}
+	return checkEntries(path, groups, func(path, group string, g Group) *Error {
+		return checkEntries(path+"/upstreams", g.Upstreams, func(path string, name ident.Upstream, u Upstream) *Error {
 			other, ok := seen[name]
 			if ok && (other.Upstream != u || other.kind != g.Kind) {
-				return fault(path, fmt.Sprintf("must be the same as in group %s, or have another name", other.group))
+				return newError(path, fmt.Sprintf("must be the same as in group %s, or have another name", other.group))
 			}
-			seen[name] = place{group: group, kind: g.Kind, Upstream: u}
+			seen[name] = occurrence{group: group, kind: g.Kind, Upstream: u}
 			return nil
 		})
 	})
 }
 
-// eachEntry checks the names and values of a map in the names' order, so that
-// every daemon finds the same fault first.
-func eachEntry[K ~string, V any](path string, entries map[K]V, check func(path string, name K, value V) *Error) *Error {
+// checkEntries validates the names and values of a map in the order of the names, so
+// that every daemon returns the same error. path is that of the map, and the path
+// passed to check that of the entry.
+func checkEntries[K ~string, V any](path string, entries map[K]V, check func(path string, name K, value V) *Error) *Error {
 	for _, name := range slices.Sorted(maps.Keys(entries)) {
-		entryPath := join(path, truncate(string(name), maxNameBytes))
+		entryPath := joinPath(path, truncate(string(name), maxNameBytes))
 		if !validName(string(name)) {
-			return fault(entryPath, "name "+nameAllowed)
+			return newError(entryPath, "name "+nameRule)
 		}
 		if err := check(entryPath, name, entries[name]); err != nil {
 			return err
@@ -146,21 +149,21 @@
 	return nil
 }
 
-func inRange[T cmp.Ordered](path string, value, low, high T) *Error {
+func checkRange[T cmp.Ordered](path string, value, low, high T) *Error {
 	if value >= low && value <= high {
 		return nil
 	}
-	return valueFault(path, value, fmt.Sprintf("must be %v to %v", low, high))
+	return newValueError(path, value, fmt.Sprintf("must be %v to %v", low, high))
 }
 
-func countAtMost(path string, count, limit int) *Error {
+func checkCount(path string, count, limit int) *Error {
 	if count <= limit {
 		return nil
 	}
-	return fault(path, fmt.Sprintf("holds %d entries, must hold at most %d", count, limit))
+	return newError(path, fmt.Sprintf("holds %d entries, must hold at most %d", count, limit))
 }
 
-func oneOf[T ~string](path string, value T, allowed ...T) *Error {
+func checkOneOf[T ~string](path string, value T, allowed ...T) *Error {
 	if slices.Contains(allowed, value) {
 		return nil
 	}
@@ -168,5 +171,5 @@
 	for i, name := range allowed {
 		names[i] = string(name)
 	}
-	return valueFault(path, string(value), "must be one of "+strings.Join(names, ", "))
+	return newValueError(path, string(value), "must be one of "+strings.Join(names, ", "))
 }
--- a/internal/confsync/restore.go
+++ b/internal/confsync/restore.go
@@ -68,7 +68,7 @@
 // it doesn't, nobody answers, as if nobody held the configuration. So it counts
 // as a failure.
 func (s *Store) ask(ctx context.Context, id string) error {
-	data, err := config.EncodeRecord(config.Record{Ask: &config.Ask{ID: id}})
+	data, err := config.EncodeRecord(config.Record{SnapshotRequest: &config.SnapshotRequest{ID: id}})
 	if err != nil {
 		return err
 	}
--- a/internal/confsync/snapshot.go
+++ b/internal/confsync/snapshot.go
@@ -55,7 +55,7 @@
 		return
 	}
 	countSnapshots.Add(1)
-	w.store.logger.Info().Int64("covers", int64(snap.Covers)).Msg("configuration snapshot appended")
+	w.store.logger.Info().Int64("covers", int64(snap.LastOffset)).Msg("configuration snapshot appended")
 }
 
 func (s *Store) snapshotDue(now time.Time) bool {
--- a/internal/confsync/store.go
+++ b/internal/confsync/store.go
@@ -56,7 +56,7 @@
 func (s *Store) Offer(state *config.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.reader.Adopt(state) {
+	if !s.reader.UpdateIfNewer(state) {
 		return false
 	}
 	countPeerStates.Add(1)
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasInGap := s.reader.InGap()
-	s.reader.Step(page)
+	s.reader.ApplyPage(page)
 	s.lastRead = s.options.Now()
 	if inGap := s.reader.InGap(); inGap != wasInGap {
 		s.logger.Warn().Bool("gap", inGap).Int64("first", int64(page.First)).Msg("configuration behind the log's retention")
