--- a/internal/confsync/backoff.go
+++ b/internal/confsync/backoff.go
@@ -4,14 +4,15 @@
 	"time"
 )
 
-// backoff is a jittered exponential pause between failed attempts.
+// backoff computes exponential pauses with jitter between failed attempts.
 type backoff struct {
 	base, max time.Duration
 	random    func() float64
 	failures  int
 }
 
-// next returns the next pause: half of the step is fixed, half is random.
+// next returns the next pause: half of the exponential step plus a random part of up
+// to the other half.
 func (b *backoff) next() time.Duration {
 	step := b.base
 	for range b.failures {
--- a/internal/confsync/doc.go
+++ b/internal/confsync/doc.go
@@ -1,7 +1,7 @@
-// Package confsync keeps a daemon's configuration at the newest state: it
-// follows the platform's log, takes newer states from peers, publishes changes
-// and appends snapshots before the log's retention ends.
+// Package confsync keeps a daemon's configuration up to date: it follows the
+// platform's log, accepts newer states from peers, publishes changes and appends
+// snapshots before the log's records expire.
 //
-// The decisions are package config's. This package brings the I/O, the timers
-// and the lock; a Store may be used from any number of goroutines.
+// Package config makes the decisions. This package does the I/O and provides the
+// timers and the lock; a Store is safe for concurrent use.
 package confsync
--- a/internal/confsync/errors.go
+++ b/internal/confsync/errors.go
@@ -8,13 +8,13 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// PublishError says that no verdict on a change is known.
+// PublishError is returned if the verdict on a change isn't known.
 type PublishError struct {
-	// Outcome is NotRun when the change is in no log and never will be. When it
-	// is Unknown, the change may still come into force; its ID finds the verdict,
-	// and publishing it again under the same ID does no harm.
+	// Outcome is NotRun if the change isn't in the log and never will be. If it is
+	// Unknown, the change may still take effect; State.Verdict returns its verdict by
+	// its ID, and publishing it again with the same ID is safe.
 	Outcome    outcome.Outcome
-	RetryAfter time.Duration // 0: coming back doesn't help by itself
+	RetryAfter time.Duration // 0: a retry alone doesn't help
 	Err        error
 }
 
@@ -23,16 +23,17 @@
 	if e.Outcome == outcome.NotRun {
 		return fmt.Sprintf("publish: not run: %v", e.Err)
 	}
-	return fmt.Sprintf("publish: outcome unknown, the change may still come into force: %v", e.Err)
+	return fmt.Sprintf("publish: outcome unknown, the change may still take effect: %v", e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *PublishError) Unwrap() error { return e.Err }
 
 var (
-	// ErrLogUnavailable says that the log can't be read or appended to.
+	// ErrLogUnavailable is returned if the log can't be read or appended to.
 	ErrLogUnavailable = errors.New("configuration log unavailable")
-	// ErrBehind says that records were lost to retention and no peer's state or
-	// snapshot has come yet, so that no change can be judged.
-	ErrBehind = errors.New("configuration behind the log's retention")
+	// ErrRecordsMissing is returned if records expired before they were read and no
+	// snapshot or peer's state has replaced them yet, so that changes can't be
+	// validated.
+	ErrRecordsMissing = errors.New("configuration behind the log's retention")
 )
--- a/internal/confsync/fake_test.go
+++ b/internal/confsync/fake_test.go
@@ -16,34 +16,34 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/infra"
 )
 
-// fakeLog is the platform's log in memory, with faults.
+// fakeLog is an in-memory log with injected faults.
 type fakeLog struct {
-	mu      sync.Mutex
-	records []infra.Record
-	first   ident.Offset
-	grown   chan struct{}
+	mu       sync.Mutex
+	records  []infra.Record
+	first    ident.Offset  // oldest offset in the log
+	appended chan struct{} // closed and replaced by each append
 
-	down         bool
-	readsDown    bool
-	silentReads  int // so many reads get no answer
-	loseAnswers  int // so many appends take effect without an answer
-	loseRequests int // so many appends have no effect and no answer
-	appends      int // that took effect
-	failedReads  int
-	onAppend     func() // runs before an append takes effect
+	down            bool
+	readsDown       bool
+	unansweredReads int // number of next reads that get no response
+	lostResponses   int // number of next appends that take effect but get no response
+	lostRequests    int // number of next appends that neither take effect nor get a response
+	appends         int // number of appends that took effect
+	failedReads     int
+	beforeAppend    func() // called once, before the next append takes effect
 }
 
-func newFakeLog() *fakeLog { return &fakeLog{first: 1, grown: make(chan struct{})} }
+func newFakeLog() *fakeLog { return &fakeLog{first: 1, appended: make(chan struct{})} }
 
-func (l *fakeLog) set(change func()) {
+func (l *fakeLog) withLock(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
 func (l *fakeLog) Append(_ context.Context, _ string, records [][]byte) (ident.Offset, error) {
-	if hook := l.onAppend; hook != nil {
-		l.onAppend = nil
+	if hook := l.beforeAppend; hook != nil {
+		l.beforeAppend = nil
 		hook()
 	}
 	l.mu.Lock()
@@ -51,8 +51,8 @@
 	if l.down {
 		return 0, infra.ErrUnavailable
 	}
-	if l.loseRequests > 0 {
-		l.loseRequests--
+	if l.lostRequests > 0 {
+		l.lostRequests--
 		return 0, infra.ErrUnknown
 	}
 	off := ident.Offset(len(l.records) + 1)
@@ -60,10 +60,10 @@
 		l.records = append(l.records, infra.Record{Offset: ident.Offset(len(l.records) + 1), Time: time.Now(), Data: data})
 	}
 	l.appends++
-	close(l.grown)
-	l.grown = make(chan struct{})
-	if l.loseAnswers > 0 {
-		l.loseAnswers--
+	close(l.appended)
+	l.appended = make(chan struct{})
+	if l.lostResponses > 0 {
+		l.lostResponses--
 		return 0, infra.ErrUnknown
 	}
 	return off, nil
@@ -72,8 +72,8 @@
 func (l *fakeLog) Read(ctx context.Context, _ string, from ident.Offset, limit int, wait time.Duration) (infra.Page, error) {
 	deadline := time.After(wait)
 	for {
-		page, grown, silent, err := l.look(from, limit)
-		if silent {
+		page, appended, unanswered, err := l.readPage(from, limit)
+		if unanswered {
 			<-ctx.Done()
 			return infra.Page{}, ctx.Err()
 		}
@@ -81,7 +81,7 @@
 			return page, err
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-deadline:
 			return page, nil
 		case <-ctx.Done():
@@ -90,13 +90,13 @@
 	}
 }
 
-func (l *fakeLog) look(from ident.Offset, limit int) (page infra.Page, grown <-chan struct{}, silent bool, err error) {
+func (l *fakeLog) readPage(from ident.Offset, limit int) (page infra.Page, appended <-chan struct{}, unanswered bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	page = infra.Page{First: l.first, Next: ident.Offset(len(l.records) + 1)}
 	switch {
-	case l.silentReads > 0:
-		l.silentReads--
+	case l.unansweredReads > 0:
+		l.unansweredReads--
 		return page, nil, true, nil
 	case l.down || l.readsDown:
 		l.failedReads++
@@ -107,11 +107,12 @@
 	for off := from; off < page.Next && len(page.Records) < limit; off++ {
 		page.Records = append(page.Records, l.records[off-1])
 	}
-	return page, l.grown, false, nil
+	return page, l.appended, false, nil
 }
 
-// bubble runs a test under a fake clock. Followers end with it.
-func bubble(t *testing.T, test func(g *WithT, ctx context.Context, log *fakeLog)) {
+// runInBubble runs a test in a synctest bubble, with a fake clock. The context ends
+// with the test, and with it the stores that follow the log.
+func runInBubble(t *testing.T, test func(g *WithT, ctx context.Context, log *fakeLog)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer synctest.Wait()
@@ -120,17 +121,17 @@
 	})
 }
 
-// follower returns a store that follows the log.
-func follower(ctx context.Context, log infra.Log, options confsync.Options) *confsync.Store {
+// startFollower returns a new store and follows the log with it until ctx ends.
+func startFollower(ctx context.Context, log infra.Log, options confsync.Options) *confsync.Store {
 	s := confsync.New(log, zerolog.Nop(), options)
 	go s.Follow(ctx)
 	return s
 }
 
-// change sets the fleet's reserve.
-func change(id string, base ident.Offset, reserve string) config.Change {
+// newChange returns a change that sets the fleet's production reserve.
+func newChange(id string, base ident.Offset, reserve string) config.Change {
 	ops := []config.Op{{Path: "production_reserve", Value: []byte(reserve)}}
 	return config.Change{ID: id, Branch: config.FleetBranch, Base: base, Ops: ops}
 }
 
-func reserve(s *confsync.Store) float64 { return s.Current().Tree().Fleet.ProductionReserve }
+func productionReserve(s *confsync.Store) float64 { return s.Current().Tree().Fleet.ProductionReserve }
--- a/internal/confsync/follow.go
+++ b/internal/confsync/follow.go
@@ -15,72 +15,73 @@
 
 // Follow reads the log until the context ends.
 func (s *Store) Follow(ctx context.Context) {
-	failures := backoff{base: s.options.BackoffBase, max: s.options.BackoffMax, random: s.options.Random}
+	readBackoff := backoff{base: s.options.BackoffBase, max: s.options.BackoffMax, random: s.options.Random}
 	snapshots := snapshotWriter{store: s}
-	// The daemons of a data centre that come back together would read the whole
-	// retained stream in one moment.
+	// Daemons that start at the same time, as after the outage of a data centre, would
+	// otherwise all read the whole stream at once.
 	pause.For(ctx, time.Duration(s.options.Random()*float64(s.options.StartSpread)))
-	up := true
+	logUp := true
 	for ctx.Err() == nil {
 		began := s.options.Now()
 		progress, err := s.readOnce(ctx, s.options.ReadWait)
 		if ctx.Err() != nil {
 			return
 		}
-		if up != (err == nil) {
-			up = err == nil
-			s.logger.Warn().Bool("up", up).AnErr("cause", err).Msg("configuration log")
+		if logUp != (err == nil) {
+			logUp = err == nil
+			s.logger.Warn().Bool("up", logUp).AnErr("cause", err).Msg("availability of the configuration log changed")
 		}
 		if err != nil {
-			pause.For(ctx, failures.next())
+			pause.For(ctx, readBackoff.next())
 			continue
 		}
-		failures.reset()
-		snapshots.check(ctx)
+		readBackoff.reset()
+		snapshots.writeIfDue(ctx)
 		if !progress {
 			s.pauseAfterEmptyRead(ctx, began)
 		}
 	}
 }
 
-// pauseAfterEmptyRead keeps a log that answers without waiting from being asked
-// in a tight loop.
+// pauseAfterEmptyRead prevents a tight loop of reads if the log answers empty reads
+// without waiting. began is when the read began.
 func (s *Store) pauseAfterEmptyRead(ctx context.Context, began time.Time) {
 	if left := s.options.BackoffBase - s.options.Now().Sub(began); left > 0 {
 		pause.For(ctx, left)
 	}
 }
 
-// readOnce reads one page and folds it in. It returns whether the reader moved.
+// readOnce reads one page and applies it. It reports whether the next offset advanced.
 //
-// A connection can go silent for good while new ones work: the read then neither
-// answers nor fails. Hence the deadline on our side.
+// A connection can stop responding permanently while new ones work, so that a read
+// neither returns nor fails. The client-side deadline covers that.
 func (s *Store) readOnce(ctx context.Context, wait time.Duration) (progress bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+s.options.ReadGrace)
 	defer cancel()
-	from := s.next()
+	from := s.nextOffset()
 	countReads.Add(1)
-	page, err := s.log.Read(ctx, infra.StreamConfig, from, pageLimit, wait)
+	page, err := s.log.Read(ctx, infra.StreamConfig, from, maxPageRecords, wait)
 	switch {
 	case err == nil:
 	case errors.Is(err, infra.ErrExpired) && page.First > from:
-		countExpired.Add(1)
+		countReadsExpired.Add(1)
 		page.Records = nil
 	default:
 		countReadFailures.Add(1)
 		return false, fmt.Errorf("%w: %w", ErrLogUnavailable, err)
 	}
-	s.step(toConfigPage(page))
-	return s.next() > from, nil
+	s.applyPage(toConfigPage(page))
+	return s.nextOffset() > from, nil
 }
 
-func (s *Store) next() ident.Offset {
+func (s *Store) nextOffset() ident.Offset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reader.Next()
 }
 
-// catchUp reads to the log's present end. Errors: ErrLogUnavailable, ErrBehind.
+// catchUp reads to the log's current end. Errors: ErrLogUnavailable,
+// ErrRecordsMissing.
 func (s *Store) catchUp(ctx context.Context) error {
 	for {
 		progress, err := s.readOnce(ctx, 0)
@@ -91,7 +92,7 @@
 			return nil
 		}
 		if !progress {
-			return ErrBehind
+			return ErrRecordsMissing
 		}
 	}
 }
--- a/internal/confsync/follow_test.go
+++ b/internal/confsync/follow_test.go
@@ -15,149 +15,150 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-var zerologNop = zerolog.Nop()
+var nopLogger = zerolog.Nop()
 
-// inForceWithin is the users' bound.
-const inForceWithin = 9 * time.Second
+// maxApplyDelay is the required bound on the time from a change to its use by every
+// daemon.
+const maxApplyDelay = 9 * time.Second
 
-// publish publishes so many changes, one on the other. It waits first until the
-// store has read what others published.
-func publish(g *WithT, ctx context.Context, s *confsync.Store, count int) {
+// publishChanges publishes count changes, each based on the previous one. Before each it
+// waits until the store has read the changes that others published.
+func publishChanges(g *WithT, ctx context.Context, s *confsync.Store, count int) {
 	for range count {
 		synctest.Wait()
 		base := s.Current().BranchVersion(config.FleetBranch)
-		v, err := s.Publish(ctx, change(fmt.Sprintf("c%d", base), base, fmt.Sprintf("0.%d", 1+base%8)))
+		v, err := s.Publish(ctx, newChange(fmt.Sprintf("c%d", base), base, fmt.Sprintf("0.%d", 1+base%8)))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(v.Accepted).To(BeTrue(), v.Reason)
 	}
 }
 
-// The log's open connection goes silent just before a change is published. The
-// daemon would act on old settings for ever; it must find out in seconds.
+// The connection to the log stops responding just before a change is published. Without
+// a read deadline the daemon would keep its old settings forever.
 func TestFollowSilentConnection(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		log.silentReads = 1
-		s := follower(ctx, log, confsync.Options{})
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		log.unansweredReads = 1
+		s := startFollower(ctx, log, confsync.Options{})
 		time.Sleep(time.Millisecond)
-		_, _ = log.Append(ctx, "config", [][]byte{encoded(change("ayu", 0, "0.1"))})
-		time.Sleep(inForceWithin)
-		g.Expect(reserve(s)).To(Equal(0.1))
+		_, _ = log.Append(ctx, "config", [][]byte{encodeChange(newChange("ayu", 0, "0.1"))})
+		time.Sleep(maxApplyDelay)
+		g.Expect(productionReserve(s)).To(Equal(0.1))
 	})
 }
 
-// The log is down for an hour. Reads go on with pauses, not in a tight loop,
-// and the first read after the outage brings the change.
+// The log is down for an hour. Reads must be retried with backoff, not in a tight loop,
+// and the first read after the outage must return the change.
 func TestFollowOutage(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
 		log.down = true
-		s := follower(ctx, log, confsync.Options{})
+		s := startFollower(ctx, log, confsync.Options{})
 		time.Sleep(time.Hour)
 		log.mu.Lock()
 		g.Expect(log.failedReads).To(BeNumerically("~", 2400, 700))
 		log.down = false
 		log.mu.Unlock()
-		_, _ = log.Append(ctx, "config", [][]byte{encoded(change("ayu", 0, "0.1"))})
+		_, _ = log.Append(ctx, "config", [][]byte{encodeChange(newChange("ayu", 0, "0.1"))})
 		time.Sleep(confsync.DefaultBackoffMax)
-		g.Expect(reserve(s)).To(Equal(0.1))
+		g.Expect(productionReserve(s)).To(Equal(0.1))
 	})
 }
 
-// The log is down and a daemon is restarted. One peer has the newest state,
-// another one that was frozen offers an old one after it.
+// A daemon restarts while the log is down. One peer sends it the newest state, then
+// another one, which was frozen, sends an old one that must be ignored.
 func TestRestartDuringOutage(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		old, newest := follower(ctx, log, confsync.Options{}), follower(ctx, log, confsync.Options{})
-		publish(g, ctx, old, 1)
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		old, newest := startFollower(ctx, log, confsync.Options{}), startFollower(ctx, log, confsync.Options{})
+		publishChanges(g, ctx, old, 1)
 		oldState := old.Current()
-		publish(g, ctx, newest, 2)
-		log.set(func() { log.down = true })
-		s := follower(ctx, log, confsync.Options{})
+		publishChanges(g, ctx, newest, 2)
+		log.withLock(func() { log.down = true })
+		s := startFollower(ctx, log, confsync.Options{})
 		changed := s.Changed()
 		g.Expect(s.Offer(newest.Current())).To(BeTrue())
 		g.Expect(changed).To(BeClosed())
 		g.Expect(s.Offer(oldState)).To(BeFalse())
 		g.Expect(s.Current().Version()).To(BeEquivalentTo(3))
-		log.set(func() { log.down = false })
-		time.Sleep(inForceWithin)
-		publish(g, ctx, newest, 1)
-		time.Sleep(inForceWithin)
+		log.withLock(func() { log.down = false })
+		time.Sleep(maxApplyDelay)
+		publishChanges(g, ctx, newest, 1)
+		time.Sleep(maxApplyDelay)
 		g.Expect(s.Current().Version()).To(BeEquivalentTo(4))
 	})
 }
 
-// A daemon sleeps through changes (SIGSTOP), its pending read gets no answer,
-// and meanwhile retention takes the records that it needs next. Awake, it acts
-// on the newest settings within seconds, by the snapshot.
-func TestFrozenDaemonWakes(t *testing.T) {
+// A daemon is suspended (SIGSTOP) while changes are published. Its pending read gets no
+// response, and in one case the records that it needs next expire. After it resumes, it
+// must use the newest settings within seconds, in that case from the snapshot.
+func TestFrozenDaemonCatchesUp(t *testing.T) {
 	for _, expired := range []bool{false, true} {
-		bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-			awake := follower(ctx, log, confsync.Options{
+		runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+			awake := startFollower(ctx, log, confsync.Options{
 				Retention: config.Retention{Records: 9}, IsSnapshotWriter: func() bool { return true },
 			})
-			publish(g, ctx, awake, 1)
+			publishChanges(g, ctx, awake, 1)
 			beforeFreeze := awake.Current()
-			publish(g, ctx, awake, 5)
-			time.Sleep(time.Minute) // the snapshot is written
-			publish(g, ctx, awake, 1)
-			log.set(func() {
-				log.silentReads = 1
+			publishChanges(g, ctx, awake, 5)
+			time.Sleep(time.Minute) // until the snapshot is written
+			publishChanges(g, ctx, awake, 1)
+			log.withLock(func() {
+				log.unansweredReads = 1
 				if expired {
 					log.first = 6
 				}
 			})
-			frozen := confsync.New(log, zerologNop, confsync.Options{})
+			frozen := confsync.New(log, nopLogger, confsync.Options{})
 			g.Expect(frozen.Offer(beforeFreeze)).To(BeTrue())
 			go frozen.Follow(ctx)
-			time.Sleep(inForceWithin)
-			g.Expect(marshal(g, frozen)).To(Equal(marshal(g, awake)))
+			time.Sleep(maxApplyDelay)
+			g.Expect(marshalState(g, frozen)).To(Equal(marshalState(g, awake)))
 		})
 	}
 }
 
-// Nothing changes for weeks, longer than the retention. The snapshot must be
-// written again and again, or a fleet that is replaced as a whole starts empty.
+// Nothing changes for longer than the retention. If the snapshot weren't written again
+// and again, daemons that start later would have an empty configuration.
 func TestSnapshotsOutliveRetention(t *testing.T) {
 	for _, writers := range []int{0, 1, 2} {
-		bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-			const keep = 6 * time.Hour
+		runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+			const retention = 6 * time.Hour
 			options := confsync.Options{
-				ReadWait: 30 * time.Second, Retention: config.Retention{Age: keep}, IsSnapshotWriter: func() bool { return true },
+				ReadWait: 30 * time.Second, Retention: config.Retention{Age: retention}, IsSnapshotWriter: func() bool { return true },
 			}
-			s := follower(ctx, log, confsync.Options{ReadWait: 30 * time.Second})
-			publish(g, ctx, s, 2)
+			s := startFollower(ctx, log, confsync.Options{ReadWait: 30 * time.Second})
+			publishChanges(g, ctx, s, 2)
 			for range writers {
-				follower(ctx, log, options)
+				startFollower(ctx, log, options)
 			}
 			for hour := range 100 {
 				time.Sleep(time.Hour)
-				log.set(func() {
+				log.withLock(func() {
 					log.down = hour%20 > 17 // outages of two hours
-					log.expire(keep)
+					log.expire(retention)
 				})
 			}
-			log.set(func() { log.down = false })
-			restarted := follower(ctx, log, confsync.Options{})
-			time.Sleep(inForceWithin)
-			kept := restarted.Current().Version() == s.Current().Version()
-			g.Expect(kept).To(Equal(writers > 0), "%d writers", writers)
+			log.withLock(func() { log.down = false })
+			restarted := startFollower(ctx, log, confsync.Options{})
+			time.Sleep(maxApplyDelay)
+			upToDate := restarted.Current().Version() == s.Current().Version()
+			g.Expect(upToDate).To(Equal(writers > 0), "%d writers", writers)
 			g.Expect(log.appends).To(BeNumerically("<=", 2+60*writers))
 		})
 	}
 }
 
-// A rack comes back and thirty daemons start in one moment. Each reads the whole
-// retained stream, and the log would get it all at once. With a spread it never
-// sees half of them in a tenth of a second, and all are up to date after it.
-func TestStartsTogether(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		first := follower(ctx, log, confsync.Options{})
-		publish(g, ctx, first, 3)
+// Thirty daemons start at the same time, for example after the outage of a rack, and each
+// reads the whole stream. With a start spread, the log must never get half of these reads
+// within a tenth of a second, and all daemons must be up to date after the spread.
+func TestSimultaneousStarts(t *testing.T) {
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		first := startFollower(ctx, log, confsync.Options{})
+		publishChanges(g, ctx, first, 3)
 		const daemons, spread = 30, 2 * time.Second
 		var stores []*confsync.Store
 		for range daemons {
-			stores = append(stores, follower(ctx, log, confsync.Options{StartSpread: spread}))
+			stores = append(stores, startFollower(ctx, log, confsync.Options{StartSpread: spread}))
 		}
-		up := func() (n int) {
+		countUpToDate := func() (n int) {
 			synctest.Wait()
 			for _, s := range stores {
 				if s.Current().Version() == first.Current().Version() {
@@ -166,11 +167,11 @@
 			}
 			return n
 		}
-		most, before := 0, up()
+		most, before := 0, countUpToDate()
 		g.Expect(before).To(BeZero())
 		for range 20 {
 			time.Sleep(spread / 20)
-			now := up()
+			now := countUpToDate()
 			most, before = max(most, now-before), now
 		}
 		g.Expect(before).To(Equal(daemons))
@@ -178,14 +179,14 @@
 	})
 }
 
-// expire drops what is older than the retention.
-func (l *fakeLog) expire(keep time.Duration) {
-	for l.first <= ident.Offset(len(l.records)) && time.Since(l.records[l.first-1].Time) > keep {
+// expire drops the records that are older than the retention.
+func (l *fakeLog) expire(retention time.Duration) {
+	for l.first <= ident.Offset(len(l.records)) && time.Since(l.records[l.first-1].Time) > retention {
 		l.first++
 	}
 }
 
-func encoded(c config.Change) []byte {
+func encodeChange(c config.Change) []byte {
 	data, err := config.EncodeRecord(config.Record{Change: &c})
 	if err != nil {
 		panic(err)
@@ -193,7 +194,7 @@
 	return data
 }
 
-func marshal(g *WithT, s *confsync.Store) string {
+func marshalState(g *WithT, s *confsync.Store) string {
 	data, err := s.Current().Marshal()
 	g.Expect(err).NotTo(HaveOccurred())
 	return string(data)
--- a/internal/confsync/options.go
+++ b/internal/confsync/options.go
@@ -9,32 +9,35 @@
 
 // Defaults of Options.
 const (
-	// DefaultReadWait is how long the log holds a read back for a record.
+	// DefaultReadWait is how long the log waits for a record before it answers a read
+	// (long polling).
 	DefaultReadWait = 3 * time.Second
-	// DefaultReadGrace is what a read may take beyond its wait. An open
-	// connection that has gone silent is given up after the two together.
+	// DefaultReadGrace is how long a read may take in addition to the wait. A
+	// connection that has stopped responding is abandoned after the sum of both.
 	DefaultReadGrace = 1500 * time.Millisecond
-	// DefaultAppendTimeout bounds one append.
+	// DefaultAppendTimeout is the timeout of one append.
 	DefaultAppendTimeout = 3 * time.Second
-	// DefaultReappendAfter is how long a change whose append's answer was lost
-	// must be absent from a log that can be read before it is appended again.
+	// DefaultReappendAfter is how long a change must be absent from a readable log
+	// before it is appended again, after the response to its append was lost.
 	DefaultReappendAfter = 5 * time.Second
-	// DefaultRetryAfter is what operators are told while the log is down.
+	// DefaultRetryAfter is the retry delay that operators are told while the log is
+	// down.
 	DefaultRetryAfter = 5 * time.Second
-	// DefaultBackoffBase and DefaultBackoffMax bound the pause after a failed read.
+	// DefaultBackoffBase and DefaultBackoffMax are the bounds of the pause after a
+	// failed read.
 	DefaultBackoffBase = 100 * time.Millisecond
 	DefaultBackoffMax  = 2 * time.Second
-	// DefaultSnapshotJitter spreads the appends of daemons that both think they
-	// are the one to write.
+	// DefaultSnapshotJitter is the largest random delay of a snapshot, for several
+	// daemons that consider themselves the writer.
 	DefaultSnapshotJitter = 10 * time.Second
-	// DefaultRestoreGrace is what a restore waits, beyond the jitter, for the
-	// snapshot of a daemon that still holds the configuration.
+	// DefaultRestoreGrace is how long, in addition to the snapshot jitter, a restore
+	// waits for the snapshot of a daemon that still has the configuration.
 	DefaultRestoreGrace = 5 * time.Second
 
-	pageLimit = 256 // records a read
+	maxPageRecords = 256 // records per read
 )
 
-// Options of a Store. Zero values take the defaults.
+// Options configures a Store. Zero durations are replaced by the defaults.
 type Options struct {
 	ReadWait       time.Duration
 	ReadGrace      time.Duration
@@ -46,26 +49,26 @@
 	SnapshotJitter time.Duration
 	RestoreGrace   time.Duration
 
-	// StartSpread spreads the first reads of daemons that start together over a
-	// time; 0 reads at once.
+	// StartSpread is the largest random delay of the first read, for daemons that
+	// start at the same time; 0 is no delay.
 	StartSpread time.Duration
 
-	// Retention is how long the log keeps the stream. The zero value, without
-	// bound, writes no snapshots.
+	// Retention is how long the log keeps records. With the zero value, unlimited,
+	// snapshots are only written on request.
 	Retention config.Retention
-	// IsSnapshotWriter says whether this daemon is the one to append snapshots.
-	// Two that do are harmless; nil means never.
+	// IsSnapshotWriter reports whether this daemon is the one to append snapshots.
+	// Several writers are harmless; nil is never.
 	IsSnapshotWriter func() bool
-	// Now is the wall clock; nil takes time.Now.
+	// Now is the wall clock; nil is time.Now.
 	Now func() time.Time
-	// Random returns a number from 0 to 1 for jitter; nil takes math/rand.
+	// Random returns a random number in [0, 1) for jitter; nil is rand.Float64.
 	Random func() float64
 }
 
 func (o Options) withDefaults() Options {
 	defaults := []struct {
-		value *time.Duration
-		to    time.Duration
+		value        *time.Duration
+		defaultValue time.Duration
 	}{
 		{&o.ReadWait, DefaultReadWait},
 		{&o.ReadGrace, DefaultReadGrace},
@@ -79,7 +82,7 @@
 	}
 	for _, d := range defaults {
 		if *d.value == 0 {
-			*d.value = d.to
+			*d.value = d.defaultValue
 		}
 	}
 	if o.IsSnapshotWriter == nil {
--- a/internal/confsync/publish.go
+++ b/internal/confsync/publish.go
@@ -11,31 +11,32 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// Publish brings a change into the log and returns the fold's verdict on it,
-// once it is read back: an append's answer alone accepts nothing, since another
-// change may stand before it. A change that the newest state refuses isn't
-// appended. Error: *PublishError.
+// Publish appends a change to the log and returns the verdict on it once the change
+// has been read back. A successful append isn't enough, since another change may
+// precede it in the log. A change that the newest state rejects isn't appended.
+// Error: *PublishError.
 //
-// Until the context ends, an answer that was lost is made up for: the change is
-// looked for in the log, and appended again under its ID only while it is absent.
-// That can't apply it twice, since the fold ignores an ID that it has seen.
+// If the response to an append is lost, Publish looks for the change in the log until
+// the context ends, and appends it again with the same ID only while it is absent.
+// The change can't be applied twice, because a known ID is ignored.
 func (s *Store) Publish(ctx context.Context, change config.Change) (config.Verdict, error) {
 	data, err := config.EncodeRecord(config.Record{Change: &change})
 	if err != nil {
 		return config.Verdict{}, &PublishError{Outcome: outcome.NotRun, Err: err}
 	}
 	if err := s.catchUp(ctx); err != nil {
-		return config.Verdict{}, s.notRun(err)
+		return config.Verdict{}, s.notRunError(err)
 	}
-	if verdict, known := s.refusal(change); known {
+	if verdict, known := s.knownVerdict(change); known {
 		return verdict, nil
 	}
-	p := publication{store: s, changeID: change.ID, data: data}
+	p := publisher{store: s, changeID: change.ID, data: data}
 	return p.run(ctx)
 }
 
-// refusal returns the verdict that is known before the change is appended.
-func (s *Store) refusal(change config.Change) (config.Verdict, bool) {
+// knownVerdict returns the verdict on a change if it is known without an append: the
+// change was published before, or the current state rejects it.
+func (s *Store) knownVerdict(change config.Change) (config.Verdict, bool) {
 	state := s.Current()
 	if verdict, ok := state.Verdict(change.ID); ok {
 		return verdict, true
@@ -45,34 +46,34 @@
 		return config.Verdict{}, false
 	}
 	verdict := config.Verdict{ChangeID: change.ID, Version: state.BranchVersion(change.Branch), Reason: err.Error()}
-	var fault *config.Error
-	if errors.As(err, &fault) {
-		verdict.Path, verdict.Reason = fault.Path, fault.Detail()
+	var invalid *config.Error
+	if errors.As(err, &invalid) {
+		verdict.Path, verdict.Reason = invalid.Path, invalid.Detail()
 	}
 	return verdict, true
 }
 
-func (s *Store) notRun(err error) *PublishError {
+func (s *Store) notRunError(err error) *PublishError {
 	return &PublishError{Outcome: outcome.NotRun, RetryAfter: s.options.RetryAfter, Err: err}
 }
 
-// publication is one change on its way through the log.
-type publication struct {
+// publisher appends one encoded change or restore and waits for its verdict.
+type publisher struct {
 	store    *Store
 	changeID string
 	data     []byte
-	// maybeAppended is set for good by the first append that may have had an
-	// effect: from then on "not run" can't be said.
+	// maybeAppended is set by the first append that may have taken effect and never
+	// reset: from then on the outcome can't be NotRun.
 	maybeAppended bool
 }
 
-func (p *publication) run(ctx context.Context) (config.Verdict, error) {
+func (p *publisher) run(ctx context.Context) (config.Verdict, error) {
 	for {
 		err := p.append(ctx)
 		if err != nil && !p.maybeAppended {
-			return config.Verdict{}, p.store.notRun(err)
+			return config.Verdict{}, p.store.notRunError(err)
 		}
-		verdict, found := p.await(ctx)
+		verdict, found := p.awaitVerdict(ctx)
 		if found {
 			return verdict, nil
 		}
@@ -82,8 +83,8 @@
 	}
 }
 
-// append returns nil when the change is in the log.
-func (p *publication) append(ctx context.Context) error {
+// append appends the record once. It returns nil if the record is in the log.
+func (p *publisher) append(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -101,12 +102,12 @@
 	return err
 }
 
-// await waits for the verdict. It returns without one when the context ends, or
-// when the change was absent for a while from a log that can be read. A read that
-// fails proves nothing, so then it waits on.
-func (p *publication) await(ctx context.Context) (config.Verdict, bool) {
+// awaitVerdict waits for the verdict. It returns false if the context ends, or if the
+// change is still absent after ReappendAfter from a log that could be read to its end.
+// A failed read doesn't show that the change is absent, so it keeps waiting then.
+func (p *publisher) awaitVerdict(ctx context.Context) (config.Verdict, bool) {
 	for {
-		if verdict, ok := p.awaitFor(ctx, p.store.options.ReappendAfter); ok {
+		if verdict, ok := p.awaitVerdictFor(ctx, p.store.options.ReappendAfter); ok {
 			return verdict, true
 		}
 		if ctx.Err() != nil {
@@ -118,7 +119,8 @@
 	}
 }
 
-func (p *publication) awaitFor(ctx context.Context, d time.Duration) (config.Verdict, bool) {
+// awaitVerdictFor waits for the verdict at most for d.
+func (p *publisher) awaitVerdictFor(ctx context.Context, d time.Duration) (config.Verdict, bool) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for {
--- a/internal/confsync/publish_test.go
+++ b/internal/confsync/publish_test.go
@@ -13,32 +13,33 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// Two operators publish on one version through two daemons, and the second
-// append lands between the first's check and its append. Both appends succeed.
+// Two operators publish changes based on one version through two daemons. The second
+// append happens between the first daemon's check and its append. Both appends succeed,
+// but only the change that is first in the log may be accepted.
 func TestPublishRace(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		a, b := follower(ctx, log, confsync.Options{}), follower(ctx, log, confsync.Options{})
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		a, b := startFollower(ctx, log, confsync.Options{}), startFollower(ctx, log, confsync.Options{})
 		var second config.Verdict
-		log.onAppend = func() { second, _ = b.Publish(ctx, change("budi", 0, "0.2")) }
-		first, err := a.Publish(ctx, change("ayu", 0, "0.1"))
+		log.beforeAppend = func() { second, _ = b.Publish(ctx, newChange("budi", 0, "0.2")) }
+		first, err := a.Publish(ctx, newChange("ayu", 0, "0.1"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(second).To(Equal(config.Verdict{ChangeID: "budi", Accepted: true, Version: 1}))
 		g.Expect(first.Accepted).To(BeFalse())
 		g.Expect(first.Reason).To(ContainSubstring("version 1 is newer"))
 		g.Expect(log.appends).To(Equal(2))
 		time.Sleep(time.Second)
-		g.Expect([]float64{reserve(a), reserve(b)}).To(Equal([]float64{0.2, 0.2}))
+		g.Expect([]float64{productionReserve(a), productionReserve(b)}).To(Equal([]float64{0.2, 0.2}))
 	})
 }
 
-// The append takes effect, its answer is lost. The operator must hear that the
-// change is in force, and the change must not be there twice.
-func TestPublishAnswerLost(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		s := follower(ctx, log, confsync.Options{})
-		log.loseAnswers = 1
+// The append takes effect, but its response is lost. The operator must be told that the
+// change was accepted, and it must not be appended twice.
+func TestPublishResponseLost(t *testing.T) {
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		s := startFollower(ctx, log, confsync.Options{})
+		log.lostResponses = 1
 		began := time.Now()
-		v, err := s.Publish(ctx, change("ayu", 0, "0.1"))
+		v, err := s.Publish(ctx, newChange("ayu", 0, "0.1"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(v.Accepted).To(BeTrue())
 		g.Expect(log.appends).To(Equal(1))
@@ -46,14 +47,14 @@
 	})
 }
 
-// The append is lost on its way. Only after a readable log showed for a while
-// that the change is absent may it go in again.
+// The append doesn't reach the log. It may only be repeated after the change was absent
+// from a readable log for ReappendAfter.
 func TestPublishRequestLost(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		s := follower(ctx, log, confsync.Options{})
-		log.loseRequests = 1
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		s := startFollower(ctx, log, confsync.Options{})
+		log.lostRequests = 1
 		began := time.Now()
-		v, err := s.Publish(ctx, change("ayu", 0, "0.1"))
+		v, err := s.Publish(ctx, newChange("ayu", 0, "0.1"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(v.Accepted).To(BeTrue())
 		g.Expect(log.appends).To(Equal(1))
@@ -61,61 +62,63 @@
 	})
 }
 
-// The answer is lost and the log can't be read either: absence proves nothing,
-// so nothing is appended again, and the operator is told that it may yet come.
-func TestPublishUnknown(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		s := follower(ctx, log, confsync.Options{})
-		log.loseAnswers = 1
-		log.onAppend = func() { log.set(func() { log.readsDown = true }) }
+// The response is lost and the log can't be read either, so it is unknown whether the
+// change is in the log. It must not be appended again, and the operator must be told that
+// it may still take effect.
+func TestPublishOutcomeUnknown(t *testing.T) {
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		s := startFollower(ctx, log, confsync.Options{})
+		log.lostResponses = 1
+		log.beforeAppend = func() { log.withLock(func() { log.readsDown = true }) }
 		short, cancel := context.WithTimeout(ctx, time.Minute)
 		defer cancel()
-		_, err := s.Publish(short, change("ayu", 0, "0.1"))
+		_, err := s.Publish(short, newChange("ayu", 0, "0.1"))
 		var failed *confsync.PublishError
 		g.Expect(errors.As(err, &failed)).To(BeTrue())
 		g.Expect(failed.Outcome).To(Equal(outcome.Unknown))
-		g.Expect(err.Error()).To(ContainSubstring("may still come into force"))
+		g.Expect(err.Error()).To(ContainSubstring("may still take effect"))
 		g.Expect(log.appends).To(Equal(1))
-		log.set(func() { log.readsDown = false })
-		v, err := s.Publish(ctx, change("ayu", 0, "0.1"))
+		log.withLock(func() { log.readsDown = false })
+		v, err := s.Publish(ctx, newChange("ayu", 0, "0.1"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(v).To(Equal(config.Verdict{ChangeID: "ayu", Accepted: true, Version: 1}))
 		g.Expect(log.appends).To(Equal(1))
 	})
 }
 
-// The log is down: the refusal is "not run", and nothing is ever appended.
+// The log is down: the outcome must be NotRun, and nothing may be appended later.
 func TestPublishLogDown(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		s := follower(ctx, log, confsync.Options{})
-		refused := func() {
-			_, err := s.Publish(ctx, change("ayu", 0, "0.1"))
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		s := startFollower(ctx, log, confsync.Options{})
+		expectNotRun := func() {
+			_, err := s.Publish(ctx, newChange("ayu", 0, "0.1"))
 			var failed *confsync.PublishError
 			g.Expect(errors.As(err, &failed)).To(BeTrue())
 			g.Expect(failed.Outcome).To(Equal(outcome.NotRun))
 			g.Expect(failed.RetryAfter).To(Equal(confsync.DefaultRetryAfter))
 		}
-		log.onAppend = func() { log.set(func() { log.down = true }) }
-		refused() // goes down between the check and the append
-		refused()
-		log.set(func() { log.down = false })
+		log.beforeAppend = func() { log.withLock(func() { log.down = true }) }
+		expectNotRun() // the log goes down between the check and the append
+		expectNotRun()
+		log.withLock(func() { log.down = false })
 		time.Sleep(time.Minute)
 		g.Expect(log.appends).To(BeZero())
 		g.Expect(s.Current().Version()).To(BeZero())
 	})
 }
 
-// The change fits what this daemon knows, but not what is newest in the log.
-func TestPublishJudgesAgainstTheNewest(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		lagging := confsync.New(log, zerologNop, confsync.Options{})
-		s := follower(ctx, log, confsync.Options{})
-		_, err := s.Publish(ctx, change("ayu", 0, "0.1"))
+// The change is valid for the state of this daemon, but not for the newest state in the
+// log.
+func TestPublishChecksAgainstNewestState(t *testing.T) {
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		lagging := confsync.New(log, nopLogger, confsync.Options{})
+		s := startFollower(ctx, log, confsync.Options{})
+		_, err := s.Publish(ctx, newChange("ayu", 0, "0.1"))
 		g.Expect(err).NotTo(HaveOccurred())
-		v, err := lagging.Publish(ctx, change("budi", 0, "0.2"))
+		v, err := lagging.Publish(ctx, newChange("budi", 0, "0.2"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(v.Reason).To(ContainSubstring("version 1 is newer"))
-		v, err = lagging.Publish(ctx, change("citra", 1, "2"))
+		v, err = lagging.Publish(ctx, newChange("citra", 1, "2"))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(v).To(Equal(config.Verdict{ChangeID: "citra", Version: 1, Path: "fleet/production_reserve", Reason: "2: must be 0 to 0.9"}))
 		g.Expect(log.appends).To(Equal(1))
--- a/internal/confsync/restore.go
+++ b/internal/confsync/restore.go
@@ -12,62 +12,62 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// ErrNotBehind says that this daemon has a configuration that changes can be
-// made to, so that there is nothing to restore.
-var ErrNotBehind = errors.New("this daemon's configuration is whole; publish changes to it instead of restoring another")
+// ErrNotBehind is returned if this daemon isn't missing any records, so that changes
+// can be published and there is nothing to restore.
+var ErrNotBehind = errors.New("this daemon's configuration is complete; publish changes to it instead of restoring another")
 
-// recheck is the pause between two looks at the log.
-const recheck = 100 * time.Millisecond
+// recheckInterval is the pause between two reads of the log.
+const recheckInterval = 100 * time.Millisecond
 
-// Restore starts the configuration anew from a whole tree; see config.Restore. It
-// asks first, through the log, whether a daemon still holds the configuration,
-// and waits for its snapshot. The verdict is a rejection when another record came
-// first. Error: *PublishError, of ErrNotBehind when nothing is lost, or when a
-// daemon answered.
+// Restore replaces the whole configuration by a tree; see config.Restore. It first
+// appends a snapshot request to the log and waits for the snapshot of a daemon that
+// still has the configuration. The verdict is a rejection if another record was
+// appended first. Error: *PublishError, which wraps ErrNotBehind if no records are
+// missing or a snapshot or a peer's state has replaced them.
 //
-// Sending it again is safe in any case: once a restore is in force this refuses.
+// Repeating a restore is safe: after one has taken effect, further ones are rejected.
 func (s *Store) Restore(ctx context.Context, r config.Restore) (config.Verdict, error) {
-	r.Offset = 1 // stands in until the log's next one is known
+	r.Offset = 1 // placeholder; the log's next offset isn't known yet
 	if err := r.Check(); err != nil {
 		return config.Verdict{}, &PublishError{Outcome: outcome.NotRun, Err: err}
 	}
-	if err := s.mustBeBehind(ctx); err != nil {
+	if err := s.requireGap(ctx); err != nil {
 		return config.Verdict{}, err
 	}
-	if err := s.ask(ctx, r.ID); err != nil {
-		return config.Verdict{}, s.notRun(err)
+	if err := s.requestSnapshot(ctx, r.ID); err != nil {
+		return config.Verdict{}, s.notRunError(err)
 	}
-	s.awaitAnswer(ctx)
-	if err := s.mustBeBehind(ctx); err != nil {
+	s.awaitSnapshot(ctx)
+	if err := s.requireGap(ctx); err != nil {
 		return config.Verdict{}, err
 	}
-	r.Offset = s.next()
+	r.Offset = s.nextOffset()
 	data, err := config.EncodeRecord(config.Record{Restore: &r})
 	if err != nil {
 		return config.Verdict{}, &PublishError{Outcome: outcome.NotRun, Err: err}
 	}
-	p := publication{store: s, changeID: r.ID, data: data}
+	p := publisher{store: s, changeID: r.ID, data: data}
 	return p.runRestore(ctx, r)
 }
 
-// mustBeBehind reads to the log's end and wants the gap to be there still. It
-// fails with a *PublishError.
-func (s *Store) mustBeBehind(ctx context.Context) error {
+// requireGap reads to the log's end and returns nil if this daemon is still missing
+// records. Error: *PublishError.
+func (s *Store) requireGap(ctx context.Context) error {
 	err := s.catchUp(ctx)
 	switch {
 	case err == nil:
 		return &PublishError{Outcome: outcome.NotRun, Err: ErrNotBehind}
-	case errors.Is(err, ErrBehind):
+	case errors.Is(err, ErrRecordsMissing):
 		return nil
 	default:
-		return s.notRun(err)
+		return s.notRunError(err)
 	}
 }
 
-// ask appends the question. One whose answer was lost may stand there or not; if
-// it doesn't, nobody answers, as if nobody held the configuration. So it counts
-// as a failure.
-func (s *Store) ask(ctx context.Context, id string) error {
+// requestSnapshot appends a snapshot request. A lost response counts as a failure: if
+// the request isn't in the log, no daemon answers it, which would look as if none had
+// the configuration.
+func (s *Store) requestSnapshot(ctx context.Context, id string) error {
 	data, err := config.EncodeRecord(config.Record{SnapshotRequest: &config.SnapshotRequest{ID: id}})
 	if err != nil {
 		return err
@@ -78,9 +78,9 @@
 	return err
 }
 
-// awaitAnswer waits until a snapshot or a peer's state filled the gap, or for as
-// long as a snapshot's writer may take.
-func (s *Store) awaitAnswer(ctx context.Context) {
+// awaitSnapshot waits until a snapshot or a peer's state has closed the gap, but no
+// longer than a snapshot writer may take.
+func (s *Store) awaitSnapshot(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.SnapshotJitter+s.options.RestoreGrace)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -95,15 +95,15 @@
 	}
 }
 
-// runRestore appends the restore until the log's record at its offset is known.
-// Appending it again is harmless: at any other offset it is void.
-func (p *publication) runRestore(ctx context.Context, r config.Restore) (config.Verdict, error) {
+// runRestore appends the restore until the record at the restore's offset is known.
+// Appending it again is harmless: at any other offset it has no effect.
+func (p *publisher) runRestore(ctx context.Context, r config.Restore) (config.Verdict, error) {
 	for {
 		err := p.append(ctx)
 		if err != nil && !p.maybeAppended {
-			return config.Verdict{}, p.store.notRun(err)
+			return config.Verdict{}, p.store.notRunError(err)
 		}
-		if verdict, decided := p.awaitRestore(ctx, r); decided {
+		if verdict, decided := p.awaitRestoreVerdict(ctx, r); decided {
 			return verdict, nil
 		}
 		if ctx.Err() != nil {
@@ -112,28 +112,28 @@
 	}
 }
 
-// awaitRestore looks for what stands at the restore's offset. It gives up when
-// the context ends, or when the offset stayed empty for a while.
-func (p *publication) awaitRestore(ctx context.Context, r config.Restore) (config.Verdict, bool) {
+// awaitRestoreVerdict waits for the record at the restore's offset. It returns false if
+// the context ends, or if the offset is still unused after ReappendAfter.
+func (p *publisher) awaitRestoreVerdict(ctx context.Context, r config.Restore) (config.Verdict, bool) {
 	ctx, cancel := context.WithTimeout(ctx, p.store.options.ReappendAfter)
 	defer cancel()
 	for ctx.Err() == nil {
 		err := p.store.catchUp(ctx)
-		if (err == nil || errors.Is(err, ErrBehind)) && p.store.next() > r.Offset {
-			return p.store.verdictOnRestore(r), true
+		if (err == nil || errors.Is(err, ErrRecordsMissing)) && p.store.nextOffset() > r.Offset {
+			return p.store.restoreVerdict(r), true
 		}
-		pause.For(ctx, recheck)
+		pause.For(ctx, recheckInterval)
 	}
 	return config.Verdict{}, false
 }
 
-func (s *Store) verdictOnRestore(r config.Restore) config.Verdict {
+func (s *Store) restoreVerdict(r config.Restore) config.Verdict {
 	state := s.Current()
 	if verdict, ok := state.Verdict(r.ID); ok {
 		return verdict
 	}
 	return config.Verdict{
 		ChangeID: r.ID, Version: state.Version(), Path: "restore",
-		Reason: "another record came first in the log; look at what is in force now",
+		Reason: "another record was appended first; check the current configuration",
 	}
 }
--- a/internal/confsync/restore_test.go
+++ b/internal/confsync/restore_test.go
@@ -13,46 +13,46 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-func restore(g *WithT, id, reserve string) config.Restore {
+func newRestore(g *WithT, id, reserve string) config.Restore {
 	tree, err := config.ParseTreeFile([]byte(`{"fleet":{"production_reserve":` + reserve + `}}`))
 	g.Expect(err).NotTo(HaveOccurred())
 	return config.Restore{ID: id, Tree: tree}
 }
 
-// forget drops every record, as a log does that was out for its retention.
-func (l *fakeLog) forget() { l.set(func() { l.first = ident.Offset(len(l.records) + 1) }) }
+// expireAll drops every record, like a log that was down for longer than its retention.
+func (l *fakeLog) expireAll() { l.withLock(func() { l.first = ident.Offset(len(l.records) + 1) }) }
 
-// Every record of the log is past retention, no snapshot is left, and all daemons
-// were replaced. They stay in their gap and refuse changes. An operator restores:
-// it is in force at all of them, changes work again, and doing it twice is refused.
-func TestRestoreWhenNothingIsLeft(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		publish(g, ctx, follower(ctx, log, confsync.Options{}), 3)
-		log.forget()
-		a, b := follower(ctx, log, confsync.Options{}), follower(ctx, log, confsync.Options{})
+// All records and snapshots have expired and all daemons were replaced, so they stay in
+// the gap and reject changes. After a restore, all daemons must use its tree and accept
+// changes again, and a second restore must be rejected.
+func TestRestoreAfterAllRecordsExpired(t *testing.T) {
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		publishChanges(g, ctx, startFollower(ctx, log, confsync.Options{}), 3)
+		log.expireAll()
+		a, b := startFollower(ctx, log, confsync.Options{}), startFollower(ctx, log, confsync.Options{})
 		time.Sleep(time.Minute)
-		_, err := a.Publish(ctx, change("ayu", 0, "0.1"))
-		g.Expect(err).To(MatchError(confsync.ErrBehind))
+		_, err := a.Publish(ctx, newChange("ayu", 0, "0.1"))
+		g.Expect(err).To(MatchError(confsync.ErrRecordsMissing))
 		began := time.Now()
-		v, err := a.Restore(ctx, restore(g, "ayu", "0.1"))
+		v, err := a.Restore(ctx, newRestore(g, "ayu", "0.1"))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(v).To(Equal(config.Verdict{ChangeID: "ayu", Accepted: true, Version: 5})) // 4 is the ask
+		g.Expect(v).To(Equal(config.Verdict{ChangeID: "ayu", Accepted: true, Version: 5})) // 4 is the snapshot request
 		g.Expect(time.Since(began)).To(BeNumerically("<", 20*time.Second))
-		publish(g, ctx, b, 1)
-		time.Sleep(inForceWithin)
-		g.Expect(marshal(g, a)).To(Equal(marshal(g, b)))
-		_, err = b.Restore(ctx, restore(g, "budi", "0.2"))
+		publishChanges(g, ctx, b, 1)
+		time.Sleep(maxApplyDelay)
+		g.Expect(marshalState(g, a)).To(Equal(marshalState(g, b)))
+		_, err = b.Restore(ctx, newRestore(g, "budi", "0.2"))
 		g.Expect(err).To(MatchError(confsync.ErrNotBehind))
 	})
 }
 
-// Two operators restore at the same moment through two daemons, each from his own
-// file. One is told that his is in force, the other that it isn't, and all agree.
+// Two operators restore different files at the same time through two daemons. Exactly one
+// may be told that its restore took effect, and all daemons must have the same state.
 func TestRestoreRace(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		publish(g, ctx, follower(ctx, log, confsync.Options{}), 3)
-		log.forget()
-		a, b, c := follower(ctx, log, confsync.Options{}), follower(ctx, log, confsync.Options{}), follower(ctx, log, confsync.Options{})
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		publishChanges(g, ctx, startFollower(ctx, log, confsync.Options{}), 3)
+		log.expireAll()
+		a, b, c := startFollower(ctx, log, confsync.Options{}), startFollower(ctx, log, confsync.Options{}), startFollower(ctx, log, confsync.Options{})
 		time.Sleep(time.Minute)
 		type result struct {
 			verdict config.Verdict
@@ -60,68 +60,69 @@
 		}
 		results := make(chan result, 2)
 		for id, s := range map[string]*confsync.Store{"ayu": a, "budi": b} {
-			r := restore(g, id, map[string]string{"ayu": "0.1", "budi": "0.2"}[id])
+			r := newRestore(g, id, map[string]string{"ayu": "0.1", "budi": "0.2"}[id])
 			go func() {
 				v, err := s.Restore(ctx, r)
 				results <- result{v, err}
 			}()
 		}
 		first, second := <-results, <-results
-		won := 0
+		accepted := 0
 		for _, r := range []result{first, second} {
 			if r.err == nil && r.verdict.Accepted {
-				won++
+				accepted++
 			}
 		}
-		g.Expect(won).To(Equal(1), "%+v %+v", first, second)
-		time.Sleep(inForceWithin)
-		g.Expect(marshal(g, a)).To(Equal(marshal(g, b)))
-		g.Expect(marshal(g, a)).To(Equal(marshal(g, c)))
+		g.Expect(accepted).To(Equal(1), "%+v %+v", first, second)
+		time.Sleep(maxApplyDelay)
+		g.Expect(marshalState(g, a)).To(Equal(marshalState(g, b)))
+		g.Expect(marshalState(g, a)).To(Equal(marshalState(g, c)))
 	})
 }
 
-// One daemon still has the configuration and reads the log; its peers can't reach
-// it. An operator restores an old tree through one of them. The holder's
-// configuration must come back instead, and its settings must not move.
-func TestRestoreLeavesAHolderAlone(t *testing.T) {
-	for _, holds := range []bool{true, false} {
-		bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-			holder := follower(ctx, log, confsync.Options{IsSnapshotWriter: func() bool { return holds }})
-			publish(g, ctx, holder, 3)
-			before := reserve(holder)
-			log.forget()
-			s := follower(ctx, log, confsync.Options{})
+// One daemon still has the configuration and reads the log, but its peers can't reach it.
+// An operator restores an old tree through one of them. If the holder writes a snapshot,
+// the configuration must be recovered from that and the restore must be rejected.
+func TestRestoreYieldsToSnapshot(t *testing.T) {
+	for _, writesSnapshots := range []bool{true, false} {
+		runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+			holder := startFollower(ctx, log, confsync.Options{IsSnapshotWriter: func() bool { return writesSnapshots }})
+			publishChanges(g, ctx, holder, 3)
+			before := productionReserve(holder)
+			log.expireAll()
+			s := startFollower(ctx, log, confsync.Options{})
 			time.Sleep(time.Minute)
-			v, err := s.Restore(ctx, restore(g, "ayu", "0.85"))
-			time.Sleep(inForceWithin)
-			g.Expect(marshal(g, s)).To(Equal(marshal(g, holder)))
-			if holds {
+			v, err := s.Restore(ctx, newRestore(g, "ayu", "0.85"))
+			time.Sleep(maxApplyDelay)
+			g.Expect(marshalState(g, s)).To(Equal(marshalState(g, holder)))
+			if writesSnapshots {
 				g.Expect(err).To(MatchError(confsync.ErrNotBehind))
-				g.Expect(reserve(s)).To(Equal(before))
+				g.Expect(productionReserve(s)).To(Equal(before))
 				g.Expect(s.Current().Version()).To(BeEquivalentTo(3))
 				return
 			}
-			// The same without the snapshot: both go on from the restore.
+			// Without the snapshot, both daemons use the restored tree.
 			g.Expect(v.Accepted).To(BeTrue())
-			g.Expect(reserve(holder)).To(Equal(0.85))
+			g.Expect(productionReserve(holder)).To(Equal(0.85))
 		})
 	}
 }
 
-// The restore's append takes effect and its answer is lost, or it is lost itself.
-// The operator hears that it is in force, and it is there once.
-func TestRestoreAnswerLost(t *testing.T) {
-	for _, lose := range []func(*fakeLog){func(l *fakeLog) { l.loseAnswers = 1 }, func(l *fakeLog) { l.loseRequests = 1 }} {
-		bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-			publish(g, ctx, follower(ctx, log, confsync.Options{}), 3)
-			log.forget()
-			s := follower(ctx, log, confsync.Options{})
+// The restore's append takes effect but its response is lost, or the append is lost. In
+// both cases the operator must be told that the restore took effect, and it must be in
+// the log once.
+func TestRestoreAppendLost(t *testing.T) {
+	for _, lose := range []func(*fakeLog){func(l *fakeLog) { l.lostResponses = 1 }, func(l *fakeLog) { l.lostRequests = 1 }} {
+		runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+			publishChanges(g, ctx, startFollower(ctx, log, confsync.Options{}), 3)
+			log.expireAll()
+			s := startFollower(ctx, log, confsync.Options{})
 			time.Sleep(time.Minute)
 			go func() {
-				time.Sleep(10 * time.Second) // behind the ask
-				log.set(func() { lose(log) })
+				time.Sleep(10 * time.Second) // after the snapshot request
+				log.withLock(func() { lose(log) })
 			}()
-			v, err := s.Restore(ctx, restore(g, "ayu", "0.1"))
+			v, err := s.Restore(ctx, newRestore(g, "ayu", "0.1"))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(v.Accepted).To(BeTrue())
 			synctest.Wait()
@@ -130,16 +131,16 @@
 	}
 }
 
-// Nothing is lost: an empty log, and a log that is down, are no gap.
-func TestRestoreRefuses(t *testing.T) {
-	bubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
-		s := follower(ctx, log, confsync.Options{})
-		_, err := s.Restore(ctx, restore(g, "ayu", "0.1"))
+// No records are missing: neither an empty log nor one that is down is a gap.
+func TestRestoreWithoutGap(t *testing.T) {
+	runInBubble(t, func(g *WithT, ctx context.Context, log *fakeLog) {
+		s := startFollower(ctx, log, confsync.Options{})
+		_, err := s.Restore(ctx, newRestore(g, "ayu", "0.1"))
 		g.Expect(err).To(MatchError(confsync.ErrNotBehind))
-		_, err = s.Restore(ctx, restore(g, "", "0.1"))
+		_, err = s.Restore(ctx, newRestore(g, "", "0.1"))
 		g.Expect(err).To(MatchError(ContainSubstring("restore/id")))
-		log.set(func() { log.down = true })
-		_, err = s.Restore(ctx, restore(g, "ayu", "0.1"))
+		log.withLock(func() { log.down = true })
+		_, err = s.Restore(ctx, newRestore(g, "ayu", "0.1"))
 		g.Expect(err).To(MatchError(confsync.ErrLogUnavailable))
 		g.Expect(log.appends).To(BeZero())
 	})
--- a/internal/confsync/snapshot.go
+++ b/internal/confsync/snapshot.go
@@ -8,17 +8,17 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/infra"
 )
 
-// snapshotWriter appends the fold again before the log drops the records that
-// made it. It is checked after each read that succeeded, so the first check
-// after an outage comes with the first read.
+// snapshotWriter appends snapshots before the records expire that the state was built
+// from. writeIfDue is called after each successful read, so it is also called after the
+// first read following an outage.
 type snapshotWriter struct {
 	store *Store
-	// writeAt is when to append, the zero time while nothing is due. The pause
-	// lets a second writer see the first one's snapshot and drop its own.
+	// writeAt is when to append, the zero time while no snapshot is due. The random
+	// delay lets a second writer see the first one's snapshot and skip its own.
 	writeAt time.Time
 }
 
-func (w *snapshotWriter) check(ctx context.Context) {
+func (w *snapshotWriter) writeIfDue(ctx context.Context) {
 	now := w.store.options.Now()
 	if !w.store.options.IsSnapshotWriter() || !w.store.snapshotDue(now) {
 		w.writeAt = time.Time{}
@@ -31,8 +31,8 @@
 		return
 	}
 	w.write(ctx)
-	// Also after an append whose answer was lost: if the snapshot is there, the
-	// next reads find it and nothing is due any more.
+	// This also covers an append whose response was lost: if the snapshot is in the
+	// log, the next reads find it and none is due any more.
 	w.writeAt = now.Add(w.store.options.SnapshotJitter + w.jitter())
 }
 
@@ -51,7 +51,7 @@
 	}
 	if err != nil {
 		countSnapshotFailures.Add(1)
-		w.store.logger.Warn().Err(err).Msg("configuration snapshot not appended")
+		w.store.logger.Warn().Err(err).Msg("failed to append configuration snapshot")
 		return
 	}
 	countSnapshots.Add(1)
--- a/internal/confsync/store.go
+++ b/internal/confsync/store.go
@@ -13,8 +13,8 @@
 
 // Store holds the newest configuration.
 //
-// Invariant: Current's Through never falls. All states come through the reader,
-// under mu, and the reader keeps to it.
+// Invariant: the applied offset of the current state never decreases. All states come
+// from the reader, which guarantees this, under mu.
 type Store struct {
 	log     infra.Log
 	logger  zerolog.Logger
@@ -22,13 +22,13 @@
 
 	current atomic.Pointer[config.State]
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	reader   *config.Reader
-	changed  chan struct{}
-	lastRead time.Time // when a read of the log last succeeded
+	changed  chan struct{} // closed and replaced when current changes
+	lastRead time.Time     // time of the last successful read of the log
 }
 
-// New returns a store with an empty configuration. Follow fills it.
+// New returns a store with an empty configuration. Follow reads the log into it.
 func New(log infra.Log, logger zerolog.Logger, options Options) *Store {
 	s := &Store{
 		log:     log,
@@ -44,15 +44,16 @@
 // Current returns the newest state, never nil.
 func (s *Store) Current() *config.State { return s.current.Load() }
 
-// Changed returns a channel that is closed when the state next moves forward,
-// be it by a change that was rejected. Take it before Current.
+// Changed returns a channel that is closed when the state is next replaced, which a
+// rejected change does too. Call it before Current, so as not to miss a state.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Offer takes a peer's state if its Through is larger.
+// Offer replaces the state by a peer's state if that is newer, and reports whether it
+// did.
 func (s *Store) Offer(state *config.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,27 +61,28 @@
 		return false
 	}
 	countPeerStates.Add(1)
-	s.show()
+	s.updateCurrent()
 	return true
 }
 
-// LastRead returns when the log was last read with success, the zero time for
-// never. A daemon whose log is down acts on what it and its peers have.
+// LastRead returns the time of the last successful read of the log, zero if there was
+// none. While the log is down, a daemon uses its own state and those of its peers.
 func (s *Store) LastRead() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastRead
 }
 
-// CaughtUp says whether the state held every record at the last read.
+// CaughtUp reports whether the state includes every record that the log had at the
+// last read.
 func (s *Store) CaughtUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reader.CaughtUp()
 }
 
-// step takes a page of the log.
-func (s *Store) step(page config.Page) {
+// applyPage processes a page of the log.
+func (s *Store) applyPage(page config.Page) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasInGap := s.reader.InGap()
@@ -89,11 +91,12 @@
 	if inGap := s.reader.InGap(); inGap != wasInGap {
 		s.logger.Warn().Bool("gap", inGap).Int64("first", int64(page.First)).Msg("configuration behind the log's retention")
 	}
-	s.show()
+	s.updateCurrent()
 }
 
-// show makes the reader's state the current one and wakes who waits for it.
-func (s *Store) show() {
+// updateCurrent makes the reader's state the current one and wakes the waiters on
+// changed. The caller holds mu.
+func (s *Store) updateCurrent() {
 	before, after := s.current.Load(), s.reader.State()
 	if before == after {
 		return
@@ -102,8 +105,8 @@
 	close(s.changed)
 	s.changed = make(chan struct{})
 	gaugeVersion.Set(int64(after.Version()))
-	gaugeThrough.Set(int64(after.Through()))
+	gaugeAppliedOffset.Set(int64(after.Through()))
 	if before.Version() != after.Version() {
-		s.logger.Info().Int64("version", int64(after.Version())).Msg("configuration in force")
+		s.logger.Info().Int64("version", int64(after.Version())).Msg("configuration updated")
 	}
 }
