--- a/internal/config/tree.go
+++ b/internal/config/tree.go
@@ -28,7 +28,7 @@
 	KindScorer  Kind = "scorer"
 )
 
-// Group is a set of interchangeable upstreams.
+// Group is a set of upstreams that do the same work.
 type Group struct {
 	Kind      Kind                        `json:"kind"`
 	Upstreams map[ident.Upstream]Upstream `json:"upstreams"`
@@ -95,10 +95,10 @@
 // Job is a rollout job.
 type Job struct {
 	Model          ident.Model `json:"model"`
-	Scorer         string      `json:"scorer"`     // group of kind scorer
-	GroupSize      int         `json:"group_size"` // samples per prompt
-	StalenessBound *int64      `json:"staleness_bound,omitempty"`
-	MaxTokens      int         `json:"max_tokens"` // per sample, at most the model's
+	Scorer         string      `json:"scorer"`                    // group of kind scorer
+	GroupSize      int         `json:"group_size"`                // samples per prompt
+	StalenessBound *int64      `json:"staleness_bound,omitempty"` // in versions; nil is the model's
+	MaxTokens      int         `json:"max_tokens"`                // per sample, at most the model's
 	Cancelled      bool        `json:"cancelled,omitempty"`
 }
 
