--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -6,51 +6,52 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Fleet is the live daemons as one daemon sees them at a moment, for decisions
+// Fleet is a snapshot of the live daemons as one daemon sees them, for decisions
 // about many keys at once.
 type Fleet struct {
 	Self       ident.VM
 	DataCentre ident.DataCentre
-	// Live is sorted by VM, with this daemon among them unless it drains. In a
-	// bounded fleet it is complete for the own data centre alone.
+	// Live is sorted by VM and includes this daemon unless it is draining. In a
+	// partial mesh it is complete only for this daemon's own data centre.
 	Live []Contact
-	// Centres are the data centres with daemons, sorted. In a bounded fleet a daemon
-	// hears nobody of most other data centres, so there the list of VMs counts too: a
-	// data centre whose daemons are all dead lasts until the list says so.
+	// The data centres with daemons, sorted. In a partial mesh a daemon
+	// receives no heartbeats from most other data centres, so the VM list counts too:
+	// a data centre whose daemons are all dead stays until the list drops them.
 	Centres []ident.DataCentre
-	Bounded bool // too large to be connected with everyone
+	Bounded bool // partial mesh: the fleet is too large to connect to every daemon
 }
 
-// Fleet returns the live daemons now.
+// Fleet returns a snapshot of the live daemons.
 func (m *Members) Fleet() Fleet {
-	f := Fleet{Self: m.config.Self, DataCentre: m.config.DataCentre, Bounded: m.bounded}
+	f := Fleet{Self: m.config.Self, DataCentre: m.config.DataCentre, Bounded: m.partialMesh}
 	for _, vm := range m.Live() {
 		f.Live = append(f.Live, m.members[vm].Contact)
 	}
-	if !m.drained {
+	if !m.selfDraining {
 		self := Contact{VM: m.config.Self, DataCentre: m.config.DataCentre, Address: m.config.Address}
-		at, _ := slices.BinarySearchFunc(f.Live, self, compareContacts)
-		f.Live = slices.Insert(f.Live, at, self)
+		i, _ := slices.BinarySearchFunc(f.Live, self, compareContacts)
+		f.Live = slices.Insert(f.Live, i, self)
 	}
-	f.Centres = m.centres(f.Live)
+	f.Centres = m.dataCentres(f.Live)
 	return f
 }
 
-func (m *Members) centres(live []Contact) []ident.DataCentre {
-	var centres []ident.DataCentre
+// dataCentres returns the data centres with daemons, sorted, as a Fleet holds them.
+func (m *Members) dataCentres(live []Contact) []ident.DataCentre {
+	var dataCentres []ident.DataCentre
 	for _, c := range live {
-		centres = append(centres, c.DataCentre)
+		dataCentres = append(dataCentres, c.DataCentre)
 	}
 	for _, p := range m.members {
-		if m.bounded && p.listed && !p.leaving && !p.draining && p.DataCentre != m.config.DataCentre {
-			centres = append(centres, p.DataCentre)
+		if m.partialMesh && p.listed && !p.leaving && !p.draining && p.DataCentre != m.config.DataCentre {
+			dataCentres = append(dataCentres, p.DataCentre)
 		}
 	}
-	slices.Sort(centres)
-	return slices.Compact(centres)
+	slices.Sort(dataCentres)
+	return slices.Compact(dataCentres)
 }
 
-// Equal says whether two views hold the same daemons.
+// Equal reports whether two snapshots are the same.
 func (f Fleet) Equal(g Fleet) bool {
 	return f.Self == g.Self && f.DataCentre == g.DataCentre && f.Bounded == g.Bounded &&
 		slices.Equal(f.Live, g.Live) && slices.Equal(f.Centres, g.Centres)
@@ -67,38 +68,40 @@
 	return vms
 }
 
-// OwnsIn says whether this daemon owns a key that belongs to a data centre: the
-// daemons there share such keys out between them, and one of another data centre
-// owns none of them. A data centre without daemons has an heir, whose daemons own
-// its keys beside their own.
+// OwnsIn reports whether this daemon owns a key that belongs to a data centre. Such
+// keys are divided among the daemons of that data centre; a daemon of another data
+// centre owns none of them. The keys of a data centre without daemons are owned by
+// the daemons of another one, chosen by rendezvous hashing, besides their own.
 //
-// While data centres are parted, or lists differ, two daemons may both think that
-// they own a key. Who uses this for leases claims them in one stream of the log,
-// whose order decides: the later claim takes over, the earlier holder stops when it
-// reads that, and leaves the lease alone for some durations. That costs orders put
-// off, never two holders; see package lease.
+// During a network partition, or while VM lists differ, two daemons may both
+// consider themselves the owner of a key. Callers that take leases on this basis
+// append their claims to one stream of the log, whose order decides: the later claim
+// wins, and the earlier holder stops when it reads that claim and doesn't claim the
+// lease again for some lease durations. This delays orders, but there are never two
+// holders; see package lease.
 func (f Fleet) OwnsIn(dc ident.DataCentre, key string) bool {
-	return f.MayOwnIn(dc) && ownerAmong(f.Of(f.DataCentre), key) == f.Self
+	return f.MayOwnIn(dc) && rendezvousOwner(f.Of(f.DataCentre), key) == f.Self
 }
 
-// MayOwnIn says whether this daemon may own a key of a data centre.
-func (f Fleet) MayOwnIn(dc ident.DataCentre) bool { return f.heir(dc) == f.DataCentre }
+// MayOwnIn reports whether this daemon's data centre owns the keys of a data centre.
+func (f Fleet) MayOwnIn(dc ident.DataCentre) bool { return f.ownerDataCentre(dc) == f.DataCentre }
 
-// heir returns the data centre whose daemons own a data centre's keys: itself, or
-// one by rendezvous when it has no daemons.
-func (f Fleet) heir(dc ident.DataCentre) ident.DataCentre {
+// ownerDataCentre returns the data centre whose daemons own the keys of dc: dc itself,
+// or if it has no daemons, another one chosen by rendezvous hashing.
+func (f Fleet) ownerDataCentre(dc ident.DataCentre) ident.DataCentre {
 	if slices.Contains(f.Centres, dc) {
 		return dc
 	}
-	centres := make([]ident.VM, len(f.Centres))
-	for i, each := range f.Centres {
-		centres[i] = ident.VM(each)
+	candidates := make([]ident.VM, len(f.Centres))
+	for i, candidate := range f.Centres {
+		candidates[i] = ident.VM(candidate)
 	}
-	return ident.DataCentre(ownerAmong(centres, string(dc)))
+	return ident.DataCentre(rendezvousOwner(candidates, string(dc)))
 }
 
-// ownerAmong returns the VM with the highest score, the lower name of two; "" of none.
-func ownerAmong(vms []ident.VM, key string) (owner ident.VM) {
+// rendezvousOwner returns the VM with the highest score for the key, the first by
+// name among equals, "" if there are no VMs.
+func rendezvousOwner(vms []ident.VM, key string) (owner ident.VM) {
 	best := uint64(0)
 	for _, vm := range vms {
 		if s := score(key, vm); owner == "" || s > best || s == best && vm < owner {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -7,109 +7,116 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// forgetAfter is how long a daemon that is neither heard nor listed is still
-// dialled. It covers a region parted for minutes while the list is stale.
-const forgetAfter = 30 * time.Minute
+// removeAfter is how long a daemon stays known, and is still dialled, after it
+// was last mentioned by a heartbeat, the VM list or a peer. It covers a network
+// partition of minutes during which the list is stale.
+const removeAfter = 30 * time.Minute
 
-// avoidFor is how long a daemon that couldn't be reached is passed over.
-const avoidFor = time.Minute
+// failureCooldown is how long a daemon that couldn't be reached ranks behind all
+// others when peers are picked.
+const failureCooldown = time.Minute
 
-// Members is one daemon's view of the others. Not safe for concurrent use.
+// Members is one daemon's view of the others. It is not safe for concurrent use.
 //
 // Invariants after every Step:
-//   - a member is heard if its last heartbeat is within Timeout, its stream
-//     hasn't failed since, and it is neither draining nor leaving;
-//   - the live set is the heard members, and those that aren't dialled, aren't
-//     leaving, didn't fail lately and are vouched for by a heard one;
+//   - a member is directly live if its last heartbeat is within Timeout, its
+//     stream hasn't failed since, and it is neither draining nor leaving;
+//   - the live set is the directly live members and, in a partial mesh, also
+//     those that aren't connection targets, aren't leaving, had no recent failure
+//     and are vouched for by a directly live member;
 //   - Joined and Left alternate for each VM, Joined first;
-//   - what is dialled and not closed is Targets as of the last Tick or change.
+//   - the connections dialled and not closed are those that Targets returned at
+//     the last Tick or change.
 type Members struct {
-	config  Config
-	members map[ident.VM]*member
-	dialled []Contact // sorted; what Dial asked for and Close hasn't ended
-	bounded bool      // the fleet is too large to be connected with everyone
-	drained bool
+	config         Config
+	members        map[ident.VM]*member
+	currentTargets []Contact // sorted; dialled and not closed since
+	partialMesh    bool      // the fleet is too large to connect to every daemon
+	selfDraining   bool      // this daemon takes no new work
 
-	// moved says that the targets may differ from what is dialled.
-	moved bool
-	// quietUntil: before it no heard member times out. It lets a heartbeat of a
-	// live member, by far the most frequent event, pass without a look at all.
-	quietUntil time.Time
+	// targetsStale says that Targets may differ from currentTargets.
+	targetsStale bool
+	// noTimeoutBefore is a time before which no directly live member times out. It
+	// lets Step skip the check of all members for a heartbeat of a live member, by far
+	// the most frequent event.
+	noTimeoutBefore time.Time
 }
 
+// member is what is known of one other daemon.
 type member struct {
 	Contact
-	incarnation int64
-	seq         uint64
-	heard       time.Time // zero: never
-	known       time.Time // last time anything named it
-	failed      bool      // stream ended since the last heartbeat
-	failedAt    time.Time // last time it couldn't be reached, or its stream ended
-	draining    bool
-	listed      bool
-	leaving     bool
-	vouchers    []ident.VM // who says that it hears this one, sorted
-	live        bool
+	incarnation   int64      // of the last accepted heartbeat
+	seq           uint64     // of the last accepted heartbeat
+	lastHeartbeat time.Time  // zero: never
+	lastMentioned time.Time  // last heartbeat, list or peer report that named it
+	streamFailed  bool       // its stream ended since the last heartbeat
+	lastFailure   time.Time  // of a dial or its stream; zero: none since the last heartbeat
+	draining      bool       // according to its last heartbeat
+	listed        bool       // in the platform's VM list
+	leaving       bool       // according to that list
+	vouchedBy     []ident.VM // peers that receive its heartbeats directly, sorted
+	live          bool       // as last announced by Joined or Left
 }
 
-// New returns a view that knows only its seeds. The first Step asks to dial them.
+// New returns a view that knows only its seeds. The first Step returns a Dial for each.
 func New(config Config) *Members {
 	if config.Timeout <= 0 {
 		config.Timeout = DefaultTimeout
 	}
-	setDefault(&config.Everyone, DefaultEveryone)
-	setDefault(&config.NearPicks, DefaultNearPicks)
-	setDefault(&config.FarPicks, DefaultFarPicks)
-	setDefault(&config.FarCap, DefaultFarCap)
-	return &Members{config: config, members: map[ident.VM]*member{}, moved: true}
+	setDefault(&config.Everyone, DefaultFullMeshMax)
+	setDefault(&config.NearPicks, DefaultLocalPeers)
+	setDefault(&config.FarPicks, DefaultRemotePeersPerCentre)
+	setDefault(&config.FarCap, DefaultMaxRemotePeers)
+	return &Members{config: config, members: map[ident.VM]*member{}, targetsStale: true}
 }
 
-func setDefault(value *int, standard int) {
+func setDefault(value *int, fallback int) {
 	if *value <= 0 {
-		*value = standard
+		*value = fallback
 	}
 }
 
-// Step takes in one event. The actions are in a fixed order: Left and Joined by
-// VM, then Close and Dial by VM and address.
+// Step applies one event and returns the resulting actions in a fixed order: Left
+// and Joined by VM, then Close by VM and address, then Dial likewise.
 func (m *Members) Step(event Event, now time.Time) []Action {
 	switch e := event.(type) {
 	case Listed:
-		m.list(e.Entries, now)
+		m.applyList(e.Entries, now)
 	case Heard:
-		if m.hear(e, now) && now.Before(m.quietUntil) && !m.moved {
+		if m.applyHeartbeat(e, now) && now.Before(m.noTimeoutBefore) && !m.targetsStale {
 			return nil
 		}
 	case Vouched:
-		m.vouch(e, now)
+		m.applyVouched(e, now)
 	case StreamFailed:
 		if p := m.members[e.VM]; p != nil && p.incarnation == e.Incarnation {
-			p.failed, p.failedAt, m.moved = true, now, true
+			p.streamFailed, p.lastFailure, m.targetsStale = true, now, true
 		}
 	case Unreachable:
 		if p := m.members[e.VM]; p != nil && !p.live {
-			p.failedAt, m.moved = now, true
+			p.lastFailure, m.targetsStale = now, true
 		}
 	case Drained:
-		m.drained = true
+		m.selfDraining = true
 	case Tick:
-		m.forget(now)
-		m.moved = true // a daemon that was passed over may have its turn again
+		m.removeUnseen(now)
+		m.targetsStale = true // the failure cooldown of a daemon may have ended
 	}
-	actions := m.settleLive(now)
-	if m.moved {
-		actions = append(actions, m.settleDialled(now)...)
-		m.moved = false
+	actions := m.updateLive(now)
+	if m.targetsStale {
+		actions = append(actions, m.updateTargets(now)...)
+		m.targetsStale = false
 	}
 	return actions
 }
 
-func (m *Members) list(entries []ListEntry, now time.Time) {
+// applyList replaces the previous VM list.
+func (m *Members) applyList(entries []ListEntry, now time.Time) {
 	for _, p := range m.members {
 		p.listed, p.leaving = false, false
 	}
 	for _, e := range entries {
-		p := m.learn(e.Contact, now)
+		p := m.recordContact(e.Contact, now)
 		if p == nil {
 			continue
 		}
@@ -117,25 +124,26 @@
 	}
 }
 
-// vouch replaces what one peer vouched for before.
-func (m *Members) vouch(e Vouched, now time.Time) {
+// applyVouched replaces the previous report of the same peer.
+func (m *Members) applyVouched(e Vouched, now time.Time) {
 	for _, p := range m.members {
-		p.vouchers = slices.DeleteFunc(p.vouchers, func(vm ident.VM) bool { return vm == e.By })
+		p.vouchedBy = slices.DeleteFunc(p.vouchedBy, func(vm ident.VM) bool { return vm == e.By })
 	}
 	for _, c := range e.Contacts {
-		p := m.learn(c, now)
+		p := m.recordContact(c, now)
 		if p == nil || c.VM == e.By {
 			continue
 		}
-		if i, found := slices.BinarySearch(p.vouchers, e.By); !found {
-			p.vouchers = slices.Insert(p.vouchers, i, e.By)
+		if i, found := slices.BinarySearch(p.vouchedBy, e.By); !found {
+			p.vouchedBy = slices.Insert(p.vouchedBy, i, e.By)
 		}
 	}
 }
 
-// learn notes that a daemon exists. A heartbeat's own address is trusted over
-// that of a list, which may lag behind a VM that came back elsewhere.
-func (m *Members) learn(c Contact, now time.Time) *member {
+// recordContact records that a daemon exists and returns its member, nil for this
+// daemon itself and for an empty VM name. The address in a heartbeat takes
+// precedence over that of a list, which lags when a VM comes back at another address.
+func (m *Members) recordContact(c Contact, now time.Time) *member {
 	if c.VM == "" || c.VM == m.config.Self {
 		return nil
 	}
@@ -143,64 +151,70 @@
 	if p == nil {
 		p = &member{Contact: c}
 		m.members[c.VM] = p
-		m.moved = true
+		m.targetsStale = true
 	}
-	p.known = now
+	p.lastMentioned = now
 	if !p.live && c.Address != "" && p.Contact != c {
-		p.Contact, m.moved = c, true
+		p.Contact, m.targetsStale = c, true
 	}
 	return p
 }
 
-// hear reports whether the heartbeat changed nothing but the time.
-func (m *Members) hear(e Heard, now time.Time) (same bool) {
-	p := m.learn(e.Contact, now)
-	if p == nil || e.olderThan(p, m.gone(p, now)) {
+// applyHeartbeat reports whether the heartbeat changed nothing but its time and
+// sequence number, or was ignored.
+func (m *Members) applyHeartbeat(e Heard, now time.Time) (unchanged bool) {
+	p := m.recordContact(e.Contact, now)
+	if p == nil || e.outdatedFor(p, m.presumedDead(p, now)) {
 		return true
 	}
-	same = p.live && p.Contact == e.Contact && !p.failed && p.failedAt.IsZero() && p.draining == e.Draining &&
-		m.whyUnheard(p, now) == 0
-	m.moved = m.moved || p.Contact != e.Contact || !p.failedAt.IsZero()
+	unchanged = p.live && p.Contact == e.Contact && !p.streamFailed && p.lastFailure.IsZero() && p.draining == e.Draining &&
+		m.directDownReason(p, now) == 0
+	m.targetsStale = m.targetsStale || p.Contact != e.Contact || !p.lastFailure.IsZero()
 	p.Contact = e.Contact
 	p.incarnation, p.seq = e.Incarnation, e.Seq
-	p.heard = now
-	p.failed, p.failedAt = false, time.Time{}
+	p.lastHeartbeat = now
+	p.streamFailed, p.lastFailure = false, time.Time{}
 	p.draining = e.Draining
-	return same
+	return unchanged
 }
 
-// olderThan keeps a heartbeat of a former process, or one that was overtaken
-// on a second connection, from speaking for a VM. A start that looks older is
-// believed once the known process is gone: the VM's wall clock went back.
-func (e Heard) olderThan(p *member, gone bool) bool {
+// outdatedFor reports whether the heartbeat is to be ignored: it is from a previous
+// process of the VM, or a newer one arrived first over a second connection. dead
+// says that the known process is presumed dead: then an incarnation that looks
+// older is accepted, since the VM's wall clock may have been set back.
+func (e Heard) outdatedFor(p *member, dead bool) bool {
 	if e.Incarnation != p.incarnation {
-		return e.Incarnation < p.incarnation && !gone
+		return e.Incarnation < p.incarnation && !dead
 	}
 	return e.Seq <= p.seq
 }
 
-// gone reports whether nothing is left of the process heard last.
-func (m *Members) gone(p *member, now time.Time) bool {
-	return p.failed || now.Sub(p.heard) > m.config.Timeout
+// presumedDead reports whether the process that sent the last heartbeat has timed
+// out or lost its stream.
+func (m *Members) presumedDead(p *member, now time.Time) bool {
+	return p.streamFailed || now.Sub(p.lastHeartbeat) > m.config.Timeout
 }
 
-func (m *Members) forget(now time.Time) {
+// removeUnseen deletes members that nothing has mentioned for removeAfter.
+func (m *Members) removeUnseen(now time.Time) {
 	for vm, p := range m.members {
-		if !p.live && !p.listed && now.Sub(p.known) > forgetAfter {
+		if !p.live && !p.listed && now.Sub(p.lastMentioned) > removeAfter {
 			delete(m.members, vm)
 		}
 	}
 }
 
-func (m *Members) settleLive(now time.Time) []Action {
+// updateLive recomputes which members are live and returns Joined and Left for the
+// changes.
+func (m *Members) updateLive(now time.Time) []Action {
 	var actions []Action
-	m.quietUntil = now.Add(m.config.Timeout)
-	for _, vm := range m.sorted() {
+	m.noTimeoutBefore = now.Add(m.config.Timeout)
+	for _, vm := range m.sortedVMs() {
 		p := m.members[vm]
-		if end := p.heard.Add(m.config.Timeout); !end.Before(now) && end.Before(m.quietUntil) {
-			m.quietUntil = end
+		if expiry := p.lastHeartbeat.Add(m.config.Timeout); !expiry.Before(now) && expiry.Before(m.noTimeoutBefore) {
+			m.noTimeoutBefore = expiry
 		}
-		reason := m.whyNot(p, now)
+		reason := m.downReason(p, now)
 		live := reason == 0
 		switch {
 		case live && !p.live:
@@ -213,39 +227,41 @@
 	return actions
 }
 
-// whyNot returns 0 for a live member.
-func (m *Members) whyNot(p *member, now time.Time) Reason {
-	reason := m.whyUnheard(p, now)
-	if !m.vouchable(p, reason, now) {
+// downReason returns why a member isn't live, 0 for a live one.
+func (m *Members) downReason(p *member, now time.Time) Reason {
+	reason := m.directDownReason(p, now)
+	if !m.canBeVouchedFor(p, reason, now) {
 		return reason
 	}
-	for _, vm := range p.vouchers {
-		if voucher := m.members[vm]; voucher != nil && m.whyUnheard(voucher, now) == 0 {
+	for _, vm := range p.vouchedBy {
+		if voucher := m.members[vm]; voucher != nil && m.directDownReason(voucher, now) == 0 {
 			return 0
 		}
 	}
 	return Unvouched
 }
 
-// vouchable keeps hearsay from bringing back what this daemon itself saw go:
-// others may take seconds longer to see the same.
-func (m *Members) vouchable(p *member, reason Reason, now time.Time) bool {
+// canBeVouchedFor reports whether peers' reports may make a member live. They may
+// not for a member whose failure this daemon itself observed: peers may take seconds
+// longer to notice it.
+func (m *Members) canBeVouchedFor(p *member, reason Reason, now time.Time) bool {
 	if reason != Silent && reason != Failed {
 		return false
 	}
-	return m.bounded && !p.leaving && !m.wanted(p.VM) && m.avoided(p.VM, now) == 0
+	return m.partialMesh && !p.leaving && !m.isTarget(p.VM) && m.recentFailure(p.VM, now) == 0
 }
 
-func (m *Members) wanted(vm ident.VM) bool {
-	return slices.ContainsFunc(m.dialled, func(c Contact) bool { return c.VM == vm })
+// isTarget reports whether this daemon is to be connected to a VM.
+func (m *Members) isTarget(vm ident.VM) bool {
+	return slices.ContainsFunc(m.currentTargets, func(c Contact) bool { return c.VM == vm })
 }
 
-// whyUnheard returns 0 for a member that is heard itself.
-func (m *Members) whyUnheard(p *member, now time.Time) Reason {
+// directDownReason returns why a member isn't directly live, 0 if it is.
+func (m *Members) directDownReason(p *member, now time.Time) Reason {
 	switch {
-	case p.heard.IsZero() || now.Sub(p.heard) > m.config.Timeout:
+	case p.lastHeartbeat.IsZero() || now.Sub(p.lastHeartbeat) > m.config.Timeout:
 		return Silent
-	case p.failed:
+	case p.streamFailed:
 		return Failed
 	case p.draining:
 		return Draining
@@ -255,11 +271,11 @@
 	return 0
 }
 
-func (m *Members) sorted() []ident.VM {
-	names := make([]ident.VM, 0, len(m.members))
+func (m *Members) sortedVMs() []ident.VM {
+	vms := make([]ident.VM, 0, len(m.members))
 	for vm := range m.members {
-		names = append(names, vm)
+		vms = append(vms, vm)
 	}
-	slices.Sort(names)
-	return names
+	slices.Sort(vms)
+	return vms
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,9 +1,10 @@
-// Package membership decides which daemons are alive, which of them to stay
-// connected with, and which one owns a key. It is pure: events and the time go
-// in through Step, actions come out, and nothing is read from outside.
+// Package membership decides which daemons are live, which of them to connect to,
+// and which one owns a key. It does no I/O and reads no clock: Step takes events and
+// the time, and returns actions.
 //
-// Nothing here is agreed on between daemons. Two of them may see different
-// sets and name different owners; that costs work, never safety.
+// Daemons don't agree on the membership by consensus. Two of them may see different
+// live sets and name different owners of a key; this costs duplicate work, never
+// safety.
 package membership
 
 import (
@@ -12,75 +13,77 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Config is what a daemon knows of itself. Zero numbers mean the defaults.
+// Config describes this daemon and its limits. Numbers that are zero or less mean the
+// defaults.
 type Config struct {
 	Self       ident.VM
 	DataCentre ident.DataCentre
-	Address    string        // own peer address, never dialled
-	Seeds      []string      // peer addresses known from the settings
-	Timeout    time.Duration // a VM silent for longer isn't alive
-	Everyone   int           // a fleet with no more others than this is all connected
-	NearPicks  int           // in a larger one: picks in the own data centre
-	FarPicks   int           // picks in each other data centre
-	FarCap     int           // picks in all other data centres together
+	Address    string        // this daemon's own peer address, never dialled
+	Seeds      []string      // peer addresses from the settings
+	Timeout    time.Duration // how long a VM stays live without a heartbeat
+	Everyone   int           // most other daemons that this one connects to without picking
+	NearPicks  int           // in a larger fleet: peers picked in the own data centre
+	FarPicks   int           // peers picked in each other data centre
+	FarCap     int           // peers picked in all other data centres together
 }
 
 // Defaults of Config.
 const (
-	DefaultTimeout   = 3 * time.Second
-	DefaultEveryone  = 16
-	DefaultNearPicks = 6 // and as many pick us: of 30, each is two steps from nearly all
-	DefaultFarPicks  = 2
-	DefaultFarCap    = 3
+	DefaultTimeout              = 3 * time.Second
+	DefaultFullMeshMax          = 16
+	DefaultLocalPeers           = 6 // about as many pick this daemon: among 30, each is two hops from nearly all
+	DefaultRemotePeersPerCentre = 2
+	DefaultMaxRemotePeers       = 3
 )
 
-// Contact says where a daemon can be reached. VM is empty for a seed that
-// hasn't been spoken with yet.
+// Contact says where a daemon can be reached. VM is empty for a seed that no known
+// daemon has answered for yet.
 type Contact struct {
 	VM         ident.VM
 	DataCentre ident.DataCentre
 	Address    string
 }
 
-// Event is one of Listed, Heard, Vouched, StreamFailed, Unreachable, Drained, Tick.
+// Event is one of the types below that have the method event.
 type Event interface{ event() }
 
 type (
-	// Listed is the platform's list of our daemons. It lags, so it only says
-	// whom to try, and who is leaving.
+	// Listed is the platform's list of the fleet's VMs. It lags, so it only tells
+	// which daemons to dial and which are leaving.
 	Listed struct{ Entries []ListEntry }
-	// ListEntry is one line of it.
+	// ListEntry is one VM of the list.
 	ListEntry struct {
 		Contact
-		Leaving bool
+		Leaving bool // the platform marks the VM as leaving
 	}
-	// Heard is a heartbeat. Incarnation is the start of the sender's process
-	// and Seq its count of heartbeats; older ones than the newest are ignored.
+	// Heard is a heartbeat. Incarnation is the start time of the sender's process
+	// and Seq counts that process's heartbeats; one that isn't newer than the last
+	// accepted one is ignored.
 	Heard struct {
 		Contact
 		Incarnation int64
 		Seq         uint64
-		Draining    bool
+		Draining    bool // the sender takes no new work
 	}
-	// Vouched names all daemons that a peer itself hears. Like Listed it says
-	// whom to try. Those that this daemon isn't to connect with count as live
-	// while a live peer vouches for them.
+	// Vouched names all daemons whose heartbeats a peer receives directly. Like
+	// Listed it tells which daemons to dial. In a partial mesh, a daemon that this one
+	// isn't to connect to is live while a directly live peer vouches for it.
 	Vouched struct {
 		By       ident.VM
 		Contacts []Contact
 	}
-	// StreamFailed says that the connection of an incarnation ended. The VM is
-	// out until it is heard again.
+	// StreamFailed says that the connection of an incarnation ended. The VM isn't
+	// directly live until its next heartbeat.
 	StreamFailed struct {
 		VM          ident.VM
 		Incarnation int64
 	}
-	// Unreachable says that dialling a VM failed. Another one is picked in its
-	// place for a while, where there is a choice.
+	// Unreachable says that dialling a VM failed. For failureCooldown another one is
+	// picked instead, if there is one.
 	Unreachable struct{ VM ident.VM }
 	// Drained says that this daemon itself takes no new work.
 	Drained struct{}
-	// Tick lets time pass.
+	// Tick says that time has passed.
 	Tick struct{}
 )
 
@@ -96,13 +99,13 @@
 type Action interface{ action() }
 
 type (
-	// Dial asks for a connection that is kept up until Close.
+	// Dial asks for a connection that is kept up, redialled where necessary, until Close.
 	Dial struct{ Contact }
-	// Close ends what Dial began; the address isn't wanted any more.
+	// Close withdraws a Dial: the connection isn't needed any more.
 	Close struct{ Contact }
-	// Joined says that a VM is alive now.
+	// Joined says that a VM is live now.
 	Joined struct{ VM ident.VM }
-	// Left says that a VM isn't alive any more.
+	// Left says that a VM isn't live any more.
 	Left struct {
 		VM     ident.VM
 		Reason Reason
@@ -114,16 +117,16 @@
 func (Joined) action() {}
 func (Left) action()   {}
 
-// Reason says why a VM left.
+// Reason says why a VM isn't live.
 type Reason int
 
 // The reasons.
 const (
-	Silent    Reason = iota + 1 // no heartbeat in time: frozen, parted or dead
+	Silent    Reason = iota + 1 // no heartbeat within Timeout: frozen, partitioned or dead
 	Failed                      // its connection ended
-	Draining                    // it said so itself
+	Draining                    // its last heartbeat says so
 	Leaving                     // the platform's list says so
-	Unvouched                   // not connected with, and no peer hears it any more
+	Unvouched                   // not connected to, and no directly live peer vouches for it
 )
 
 // String names the reason for logs.
--- a/internal/membership/naive_test.go
+++ b/internal/membership/naive_test.go
@@ -13,17 +13,17 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/membership"
 )
 
-// naive keeps every event and works the live set out from all of them.
-type naive struct {
+// referenceModel keeps every event and computes the live set from all of them.
+type referenceModel struct {
 	events []membership.Event
-	at     []time.Time
-	// deaf is a fault for the check to catch: failed streams are overlooked.
-	deaf bool
+	times  []time.Time
+	// ignoreStreamFailures injects a fault, to test that firstDifference finds it.
+	ignoreStreamFailures bool
 }
 
-func (n *naive) live(now time.Time) []ident.VM {
+func (n *referenceModel) live(now time.Time) []ident.VM {
 	var live []ident.VM
-	for i := range fleet {
+	for i := range fleetSize {
 		vm := vmName(i)
 		if n.alive(vm, now) {
 			live = append(live, vm)
@@ -32,31 +32,31 @@
 	return live
 }
 
-func (n *naive) alive(vm ident.VM, now time.Time) bool {
+func (n *referenceModel) alive(vm ident.VM, now time.Time) bool {
 	var last membership.Heard
-	var heard time.Time
+	var lastHeartbeat time.Time
 	failed, leaving := true, false
 	for i, event := range n.events {
 		switch e := event.(type) {
 		case membership.Heard:
-			gone := failed || n.at[i].Sub(heard) > membership.DefaultTimeout
-			newer := e.Incarnation > last.Incarnation || (e.Incarnation != last.Incarnation && gone)
+			dead := failed || n.times[i].Sub(lastHeartbeat) > membership.DefaultTimeout
+			newer := e.Incarnation > last.Incarnation || (e.Incarnation != last.Incarnation && dead)
 			if e.VM != vm || !(newer || (e.Incarnation == last.Incarnation && e.Seq > last.Seq)) {
 				continue
 			}
-			last, heard, failed = e, n.at[i], false
+			last, lastHeartbeat, failed = e, n.times[i], false
 		case membership.StreamFailed:
-			if e.VM == vm && e.Incarnation == last.Incarnation && !n.deaf {
+			if e.VM == vm && e.Incarnation == last.Incarnation && !n.ignoreStreamFailures {
 				failed = true
 			}
 		case membership.Listed:
 			leaving = slices.ContainsFunc(e.Entries, func(l membership.ListEntry) bool { return l.VM == vm && l.Leaving })
 		}
 	}
-	return !failed && !last.Draining && !leaving && now.Sub(heard) <= membership.DefaultTimeout
+	return !failed && !last.Draining && !leaving && now.Sub(lastHeartbeat) <= membership.DefaultTimeout
 }
 
-const fleet = 6
+const fleetSize = 6
 
 func vmName(i int) ident.VM { return ident.VM(fmt.Sprintf("vm%02d", i)) }
 
@@ -65,14 +65,14 @@
 }
 
 func randomEvent(r *rand.Rand) membership.Event {
-	i := r.IntN(fleet)
+	i := r.IntN(fleetSize)
 	incarnation := 1 + r.Int64N(3)
 	switch r.IntN(8) {
 	case 0:
 		return membership.StreamFailed{VM: vmName(i), Incarnation: incarnation}
 	case 1:
 		var entries []membership.ListEntry
-		for j := range r.IntN(fleet) {
+		for j := range r.IntN(fleetSize) {
 			entries = append(entries, membership.ListEntry{Contact: contact(j), Leaving: r.IntN(4) == 0})
 		}
 		return membership.Listed{Entries: entries}
@@ -83,18 +83,19 @@
 	}
 }
 
-// differ runs random sessions through both versions and returns the first difference.
-func differ(deaf bool) string {
+// firstDifference applies random sessions to Members and to the reference model, and
+// describes the first difference, "" if there is none.
+func firstDifference(ignoreStreamFailures bool) string {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 6))
 		members := membership.New(membership.Config{Self: "self"})
-		reference := &naive{deaf: deaf}
+		reference := &referenceModel{ignoreStreamFailures: ignoreStreamFailures}
 		joined := map[ident.VM]bool{}
 		now := time.Unix(1000, 0)
 		for range 120 {
 			now = now.Add(time.Duration(r.IntN(900)) * time.Millisecond)
 			event := randomEvent(r)
-			reference.events, reference.at = append(reference.events, event), append(reference.at, now)
+			reference.events, reference.times = append(reference.events, event), append(reference.times, now)
 			for _, action := range members.Step(event, now) {
 				switch a := action.(type) {
 				case membership.Joined:
@@ -115,8 +116,8 @@
 }
 
 var _ = Describe("the live set", func() {
-	It("is the naive version's in random sessions", func() { Expect(differ(false)).To(BeEmpty()) })
-	It("differs from a naive version that overlooks failed streams (the check is alive)", func() {
-		Expect(differ(true)).NotTo(BeEmpty())
+	It("equals the reference model's in random sessions", func() { Expect(firstDifference(false)).To(BeEmpty()) })
+	It("differs from a reference model that ignores failed streams (checks the comparison itself)", func() {
+		Expect(firstDifference(true)).NotTo(BeEmpty())
 	})
 })
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -9,18 +9,18 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Owner returns the VM that a key belongs to, and whether that is this one.
-// When no VM is left that takes work, it is this one. In a fleet too large to
-// know everyone alive, a key has an owner in each data centre: that is the set
-// that its daemons know alike.
+// Owner returns the VM that owns a key, and whether that is this one. If no live VM
+// takes new work, it is this one. In a partial mesh a key has an owner in each data
+// centre, since only daemons of the same data centre have the same view of who is
+// live there.
 func (m *Members) Owner(key string) (vm ident.VM, self bool) {
 	vm = m.config.Self
 	best := uint64(0)
-	if !m.drained {
+	if !m.selfDraining {
 		best = score(key, m.config.Self)
 	}
 	for _, p := range m.members {
-		if !p.live || (m.bounded && p.DataCentre != m.config.DataCentre) {
+		if !p.live || (m.partialMesh && p.DataCentre != m.config.DataCentre) {
 			continue
 		}
 		s := score(key, p.VM)
@@ -31,8 +31,8 @@
 	return vm, vm == m.config.Self
 }
 
-// score ranks a VM for a key (rendezvous hashing): when a VM goes, only its
-// own keys move.
+// score returns the weight of a VM for a key (rendezvous hashing): when a VM leaves,
+// only the keys that it owned get another owner.
 func score(key string, vm ident.VM) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -42,7 +42,7 @@
 	return h.Sum64()
 }
 
-// rank sorts contacts by their score for a key, highest first.
+// rank returns the contacts sorted by their score for a key, highest first.
 func rank(key string, contacts []Contact) []Contact {
 	ranked := slices.Clone(contacts)
 	slices.SortFunc(ranked, func(a, b Contact) int {
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -7,43 +7,43 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Live returns the live VMs, without this one, sorted.
+// Live returns the live VMs other than this one, sorted.
 func (m *Members) Live() []ident.VM {
-	return slices.DeleteFunc(m.sorted(), func(vm ident.VM) bool { return !m.members[vm].live })
+	return slices.DeleteFunc(m.sortedVMs(), func(vm ident.VM) bool { return !m.members[vm].live })
 }
 
-// Heard returns the VMs that are heard themselves, sorted: whom this daemon
-// vouches for. Passing on what others vouch for would let two daemons keep a
-// dead one alive between them.
+// Heard returns the directly live VMs, sorted: those that this daemon vouches for.
+// VMs that are live only because a peer vouches for them are left out; otherwise two
+// daemons could keep a dead one live by vouching for it to each other.
 func (m *Members) Heard(now time.Time) []Contact {
-	var heard []Contact
-	for _, vm := range m.sorted() {
-		if p := m.members[vm]; m.whyUnheard(p, now) == 0 {
-			heard = append(heard, p.Contact)
+	var contacts []Contact
+	for _, vm := range m.sortedVMs() {
+		if p := m.members[vm]; m.directDownReason(p, now) == 0 {
+			contacts = append(contacts, p.Contact)
 		}
 	}
-	return heard
+	return contacts
 }
 
-// Status is one other daemon as this one sees it.
+// Status is the state of one other daemon as this one sees it.
 type Status struct {
 	Contact
 	Live     bool
-	Reason   Reason // why it isn't live
-	LastSeen time.Time
+	Reason   Reason    // why it isn't live, 0 if it is
+	LastSeen time.Time // its last heartbeat, zero if there was none
 }
 
-// Status returns all known VMs, sorted.
+// Status returns the state of all known VMs, sorted.
 func (m *Members) Status(now time.Time) []Status {
-	var all []Status
-	for _, vm := range m.sorted() {
+	var statuses []Status
+	for _, vm := range m.sortedVMs() {
 		p := m.members[vm]
-		all = append(all, Status{p.Contact, p.live, m.whyNot(p, now), p.heard})
+		statuses = append(statuses, Status{p.Contact, p.live, m.downReason(p, now), p.lastHeartbeat})
 	}
-	return all
+	return statuses
 }
 
-// AddressOf returns where a known daemon is reached, false if that isn't known.
+// AddressOf returns the peer address of a VM's daemon, false if it isn't known.
 func (m *Members) AddressOf(vm ident.VM) (string, bool) {
 	p := m.members[vm]
 	if p == nil || p.Address == "" {
--- a/internal/membership/targets.go
+++ b/internal/membership/targets.go
@@ -9,78 +9,85 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Targets returns the daemons to stay connected with, sorted by VM and address:
-//   - everyone, while there are no more others than Config.Everyone;
-//   - otherwise NearPicks of the own data centre and FarPicks of each other one,
-//     up to FarCap of them in all, picked by rendezvous, so that picks spread
-//     evenly and a lost VM changes only the picks that named it. As many again
-//     pick this one. Facts that concern more daemons travel on from these;
-//   - seeds that no known daemon answers for.
+// Targets returns the daemons to connect to, sorted by VM and address:
+//   - all others (full mesh), unless they are more than Config allows for that;
+//   - otherwise (partial mesh) as many as Config says of the own data centre and of
+//     each other one, with a limit on the remote ones together. They are picked by
+//     rendezvous hashing, so that connections spread evenly and the loss of a VM
+//     changes only the picks that named it. About as many other daemons pick this one.
+//     Information for more daemons is forwarded by these;
+//   - seeds whose address no known daemon has.
 //
-// A leaving or draining daemon stays a target: what it still says matters.
+// A leaving or draining daemon stays a target, since its messages still matter.
 func (m *Members) Targets(now time.Time) []Contact {
-	all := m.dialable()
-	targets := all
-	if m.tooMany(all) {
-		targets = m.picks(all, now)
+	contacts := m.contactsWithAddress()
+	targets := contacts
+	if m.exceedsFullMesh(contacts) {
+		targets = m.pickPeers(contacts, now)
 	}
-	targets = append(slices.Clone(targets), m.unknownSeeds(all)...)
+	targets = append(slices.Clone(targets), m.unknownSeeds(contacts)...)
 	slices.SortFunc(targets, compareContacts)
 	return targets
 }
 
-func (m *Members) tooMany(all []Contact) bool { return len(all) > m.config.Everyone }
+// exceedsFullMesh reports whether there are too many daemons to connect to all.
+func (m *Members) exceedsFullMesh(contacts []Contact) bool { return len(contacts) > m.config.Everyone }
 
-func (m *Members) dialable() []Contact {
-	var all []Contact
-	for _, vm := range m.sorted() {
+// contactsWithAddress returns all members that can be dialled, sorted by VM.
+func (m *Members) contactsWithAddress() []Contact {
+	var contacts []Contact
+	for _, vm := range m.sortedVMs() {
 		if p := m.members[vm]; p.Address != "" {
-			all = append(all, p.Contact)
+			contacts = append(contacts, p.Contact)
 		}
 	}
-	return all
+	return contacts
 }
 
-func (m *Members) picks(all []Contact, now time.Time) []Contact {
+// pickPeers returns the peers of this daemon in a partial mesh.
+func (m *Members) pickPeers(contacts []Contact, now time.Time) []Contact {
 	byCentre := map[ident.DataCentre][]Contact{}
-	for _, c := range all {
+	for _, c := range contacts {
 		byCentre[c.DataCentre] = append(byCentre[c.DataCentre], c)
 	}
-	var far []Contact
+	var remote []Contact
 	for _, dc := range slices.Sorted(maps.Keys(byCentre)) {
 		if dc != m.config.DataCentre {
-			far = append(far, m.best(byCentre[dc], m.config.FarPicks, now)...)
+			remote = append(remote, m.highestRanked(byCentre[dc], m.config.FarPicks, now)...)
 		}
 	}
-	near := m.best(byCentre[m.config.DataCentre], m.config.NearPicks, now)
-	return append(near, m.best(far, m.config.FarCap, now)...)
+	local := m.highestRanked(byCentre[m.config.DataCentre], m.config.NearPicks, now)
+	return append(local, m.highestRanked(remote, m.config.FarCap, now)...)
 }
 
-// best returns the n of the contacts that this daemon ranks highest.
-func (m *Members) best(contacts []Contact, n int, now time.Time) []Contact {
+// highestRanked returns at most limit of the contacts: those that this daemon ranks
+// highest, first the ones without a recent failure.
+func (m *Members) highestRanked(contacts []Contact, limit int, now time.Time) []Contact {
 	ranked := rank(string(m.config.Self), contacts)
 	slices.SortStableFunc(ranked, func(a, b Contact) int {
-		return cmp.Compare(m.avoided(a.VM, now), m.avoided(b.VM, now))
+		return cmp.Compare(m.recentFailure(a.VM, now), m.recentFailure(b.VM, now))
 	})
-	return ranked[:min(n, len(ranked))]
+	return ranked[:min(limit, len(ranked))]
 }
 
-// avoided is 1 for a daemon that failed lately, so that with two picks in a
-// data centre a dead one doesn't take up half of them.
-func (m *Members) avoided(vm ident.VM, now time.Time) int {
-	failedAt := m.members[vm].failedAt
-	if failedAt.IsZero() || now.Sub(failedAt) > avoidFor {
+// recentFailure returns 1 for a daemon that failed within failureCooldown, else 0.
+// Ranking failed daemons last keeps a dead one from taking up one of the two picks in
+// a data centre.
+func (m *Members) recentFailure(vm ident.VM, now time.Time) int {
+	failedAt := m.members[vm].lastFailure
+	if failedAt.IsZero() || now.Sub(failedAt) > failureCooldown {
 		return 0
 	}
 	return 1
 }
 
-// unknownSeeds are dialled until a daemon answers for them; once enough are
-// known they are still tried, since a seed may be the only way out of a split.
-func (m *Members) unknownSeeds(all []Contact) []Contact {
+// unknownSeeds returns the seeds whose address no known daemon has. They are dialled
+// even when many daemons are known, since a seed may be the only way to end a network
+// partition.
+func (m *Members) unknownSeeds(contacts []Contact) []Contact {
 	var seeds []Contact
 	for _, address := range m.config.Seeds {
-		known := slices.ContainsFunc(all, func(c Contact) bool { return c.Address == address })
+		known := slices.ContainsFunc(contacts, func(c Contact) bool { return c.Address == address })
 		if !known && address != m.config.Address {
 			seeds = append(seeds, Contact{Address: address})
 		}
@@ -89,21 +96,22 @@
 	return slices.Compact(seeds)
 }
 
-func (m *Members) settleDialled(now time.Time) []Action {
-	want := m.Targets(now)
+// updateTargets recomputes the targets and returns Close and Dial for the changes.
+func (m *Members) updateTargets(now time.Time) []Action {
+	targets := m.Targets(now)
 	var actions []Action
-	for _, c := range m.dialled {
-		if !slices.Contains(want, c) {
+	for _, c := range m.currentTargets {
+		if !slices.Contains(targets, c) {
 			actions = append(actions, Close{c})
 		}
 	}
-	for _, c := range want {
-		if !slices.Contains(m.dialled, c) {
+	for _, c := range targets {
+		if !slices.Contains(m.currentTargets, c) {
 			actions = append(actions, Dial{c})
 		}
 	}
-	m.dialled = want
-	m.bounded = m.tooMany(m.dialable())
+	m.currentTargets = targets
+	m.partialMesh = m.exceedsFullMesh(m.contactsWithAddress())
 	return actions
 }
 
