--- a/internal/relay/mode.go
+++ b/internal/relay/mode.go
@@ -2,86 +2,92 @@
 
 import "time"
 
-// directBudget is for how long all daemons' own reading of the platform's topics may take
-// the whole rate that reads share. It is a small part of what a fleet has to recover after
-// the loss of all VMs, and of the time within which a configuration must be in force.
-const directBudget = 500 * time.Millisecond
+// directReadBudget is for how long the direct reads of the platform's topics by all daemons
+// may use up the store's shared read rate. It is a small part of the time that a fleet has to
+// recover after the loss of all VMs, and within which a configuration must be in force.
+const directReadBudget = 500 * time.Millisecond
 
-// relayedShare of the budget is where daemons go back to reading the topics themselves:
-// below the budget, so that a fleet near it doesn't go to and fro.
-const relayedShare = 0.25
+// returnToDirectShare is the share of directReadBudget below which relayed daemons return to
+// reading the topics directly. It is below 1 so that a fleet near the budget doesn't flap.
+const returnToDirectShare = 0.25
 
-// load is what it costs the store if every daemon reads the platform's topics itself.
-type load struct {
-	daemons int // an estimate
-	bytes   int // that each of them reads
-	rate    int // bytes a second that all reads share, 0: unknown
+// readLoad is the load on the store if every daemon reads the platform's topics directly.
+type readLoad struct {
+	daemons        int // an estimate
+	bytesPerDaemon int // that each of them reads
+	bytesPerSecond int // rate that all reads share, 0: unknown
 }
 
-// takes is how long it takes the store.
-func (l load) takes() time.Duration {
-	if l.rate <= 0 {
+// duration returns how long the store takes for it, 0 if its rate is unknown.
+func (l readLoad) duration() time.Duration {
+	if l.bytesPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(l.daemons) * float64(l.bytes) / float64(l.rate) * float64(time.Second))
+	return time.Duration(float64(l.daemons) * float64(l.bytesPerDaemon) / float64(l.bytesPerSecond) * float64(time.Second))
 }
 
-// decision says where a daemon learns of the configuration and the upstreams.
-type decision struct {
+// mode says where a daemon gets the configuration and the upstreams from.
+type mode struct {
+	// relayed: from its shard; otherwise from the platform's topics.
 	relayed bool
-	// standIn: the slice is out of date, and this daemon reads the topics and publishes.
-	standIn bool
+	// fallbackPublisher: the shard is out of date, and this daemon, though not elected, reads
+	// the topics and publishes.
+	fallbackPublisher bool
 }
 
-// decide tells where a daemon learns of the platform's topics from now on. silent is for how
-// long no cover has come although the store answers; chance is drawn from [0, 1).
+// nextMode returns the mode that follows the current one. published says whether the shard has
+// a watermark, silentFor is for how long no new one has come although the store answers, and
+// random is drawn from [0, 1).
 //
-// A slice that nobody brings up to date any more hides leaving upstreams and new
-// configurations. Were all daemons to read the topics then, they would take the rate that
-// they share away from each other, and from those that are about to publish. So as many of
-// them begin at a look as can read within the budget, and what they publish serves the rest.
-func decide(now decision, l load, published bool, silent time.Duration, chance float64) decision {
-	takes := l.takes()
+// While nobody updates a shard, its readers miss leaving upstreams and new configurations. If
+// all daemons read the topics then, they would compete for the shared read rate with each
+// other and with those that are about to publish. So at each decision only about as many
+// daemons start as can read within directReadBudget; the others are served by what these
+// publish.
+func nextMode(current mode, load readLoad, published bool, silentFor time.Duration, random float64) mode {
+	readTime := load.duration()
 	switch {
-	case !published, now.relayed && takes < time.Duration(relayedShare*float64(directBudget)):
-		return decision{}
-	case !now.relayed && takes < directBudget:
-		return decision{}
-	case silent < silentAfter:
-		return decision{relayed: true}
+	case !published, current.relayed && readTime < time.Duration(returnToDirectShare*float64(directReadBudget)):
+		return mode{}
+	case !current.relayed && readTime < directReadBudget:
+		return mode{}
+	case silentFor < publisherTimeout:
+		return mode{relayed: true}
 	}
-	return decision{relayed: true, standIn: now.standIn || chance < float64(directBudget)/float64(takes)}
+	return mode{relayed: true, fallbackPublisher: current.fallbackPublisher || random < float64(directReadBudget)/float64(readTime)}
 }
 
 const (
-	// heartbeatInterval is between two covers of a slice in which nothing changes.
+	// heartbeatInterval is the time between two watermarks of a shard in which nothing changes.
 	heartbeatInterval = 1 * time.Second
-	// standInDelay is how much longer each further rank waits before it publishes what the
-	// one before hasn't: above what an append, its reading and a slow answer take.
-	standInDelay = 400 * time.Millisecond
-	// silentAfter is the time without a cover after which no elected publisher is expected.
-	silentAfter = heartbeatInterval + lastRank*standInDelay + 500*time.Millisecond
-	// Elected is how many publishers there are: one, and two that stand in for it.
+	// takeoverDelay is how much longer each further rank waits before it publishes in place of
+	// the rank before it. It is longer than an append, reading it back and a slow answer of the
+	// store take together.
+	takeoverDelay = 400 * time.Millisecond
+	// publisherTimeout is the time without a new watermark after which a shard is assumed to
+	// have no elected publisher.
+	publisherTimeout = heartbeatInterval + unelectedRank*takeoverDelay + 500*time.Millisecond
+	// Elected is the number of elected publishers: the active one and two standbys.
 	Elected = 3
-	// lastRank is that of a daemon which wasn't elected.
-	lastRank = Elected
+	// unelectedRank is the rank of a daemon that isn't elected.
+	unelectedRank = Elected
 )
 
-// publishing is what a publisher knows of one slice.
-type publishing struct {
-	rank int
-	// changed is since when the slice lacks something that this daemon knows, 0: it doesn't.
-	changed time.Duration
-	// covered is when the last cover was read.
-	covered time.Duration
+// publishState is what a publisher knows of one shard.
+type publishState struct {
+	rank int // of this publisher, 0: the first to write
+	// pendingSince is since when the shard lacks a change that this daemon knows, 0: it lacks none.
+	pendingSince time.Duration
+	// watermarkAt is when the last watermark was read.
+	watermarkAt time.Duration
 }
 
-// due reports whether a publisher writes to the slice now. The first rank writes each change
-// at once; a higher one leaves it to those before it until they had their time.
-func (p publishing) due(now time.Duration) bool {
-	patience := time.Duration(p.rank) * standInDelay
-	if p.changed != 0 && now-p.changed >= patience {
+// due reports whether the publisher writes to the shard now. Rank 0 writes each change at
+// once; each higher rank waits takeoverDelay longer, in which those before it may write.
+func (p publishState) due(now time.Duration) bool {
+	delay := time.Duration(p.rank) * takeoverDelay
+	if p.pendingSince != 0 && now-p.pendingSince >= delay {
 		return true
 	}
-	return now-p.covered >= heartbeatInterval+patience
+	return now-p.watermarkAt >= heartbeatInterval+delay
 }
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -13,81 +13,84 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/spread"
 )
 
-// sliceUpstreams is how many upstreams of a service a slice has at least, in the mean of the
-// slices: enough that a data centre's loss or a release leaves a daemon some.
-const sliceUpstreams = 16
+// minUpstreamsPerShard is the least number of upstreams of a service that a shard has on
+// average, if the service has as many: enough that a daemon keeps some during the loss of a
+// data centre or a release.
+const minUpstreamsPerShard = 16
 
-// copies is in how many slices each upstream of a service stands.
-func copies(upstreams, slices int) int {
+// replicaCount returns the number of shards that each upstream of a service is in.
+func replicaCount(upstreams, shards int) int {
 	if upstreams == 0 {
 		return 0
 	}
-	return min(slices, max(1, (sliceUpstreams*slices+upstreams-1)/upstreams))
+	return min(shards, max(1, (minUpstreamsPerShard*shards+upstreams-1)/upstreams))
 }
 
-// assigner divides upstreams among slices by rendezvous hashing: a change of the upstreams
-// or of the number of their copies moves few others. Not safe for concurrent use.
+// assigner divides upstreams among shards by rendezvous hashing: a change of the upstreams or
+// of their replica count moves few other upstreams. It is not safe for concurrent use.
 type assigner struct {
-	slices int
-	known  map[string]assigned // by upstream
+	shards      int                   // number of them
+	assignments map[string]assignment // by upstream ID
 }
 
-// assigned is an upstream as it is published.
-type assigned struct {
-	endpoint endpoint
-	value    []byte
-	ranks    []uint16 // the slices, best first
+// assignment is an upstream as it is published.
+type assignment struct {
+	endpoint     endpoint
+	value        []byte   // the encoded endpoint
+	shardRanking []uint16 // all shards; the upstream is in the first replicaCount of them
 }
 
-func newAssigner(slices int) *assigner {
-	return &assigner{slices: slices, known: map[string]assigned{}}
+func newAssigner(shards int) *assigner {
+	return &assigner{shards: shards, assignments: map[string]assignment{}}
 }
 
-// assign returns the records of each slice by key. Leaving upstreams take no new work and
-// stand in none.
+// assign returns the upstream records of each shard by key, given the upstreams by service.
+// Leaving upstreams take no new work and are in no shard.
 func (a *assigner) assign(services map[string][]registry.Upstream) ([]map[string][]byte, error) {
-	out := make([]map[string][]byte, a.slices)
+	out := make([]map[string][]byte, a.shards)
 	for i := range out {
 		out[i] = map[string][]byte{}
 	}
-	known := map[string]assigned{}
-	for _, list := range services {
-		live := slices.DeleteFunc(slices.Clone(list), func(u registry.Upstream) bool { return u.Leaving })
-		n := copies(len(live), a.slices)
-		for _, u := range live {
-			x, err := a.of(u)
+	assignments := map[string]assignment{}
+	for _, upstreams := range services {
+		accepting := slices.DeleteFunc(slices.Clone(upstreams), func(u registry.Upstream) bool { return u.Leaving })
+		replicas := replicaCount(len(accepting), a.shards)
+		for _, u := range accepting {
+			x, err := a.assignmentOf(u)
 			if err != nil {
 				return nil, err
 			}
-			known[u.ID] = x
-			for _, slice := range x.ranks[:n] {
-				out[slice][upstreamPrefix+u.ID] = x.value
+			assignments[u.ID] = x
+			for _, shard := range x.shardRanking[:replicas] {
+				out[shard][upstreamPrefix+u.ID] = x.value
 			}
 		}
 	}
-	a.known = known
+	a.assignments = assignments
 	return out, nil
 }
 
-func (a *assigner) of(u registry.Upstream) (assigned, error) {
+// assignmentOf returns the assignment of an upstream, the known one if it hasn't changed.
+func (a *assigner) assignmentOf(u registry.Upstream) (assignment, error) {
 	e := endpointOf(u)
-	x, ok := a.known[u.ID]
-	if ok && x.endpoint == e {
-		return x, nil
+	known, ok := a.assignments[u.ID]
+	if ok && known.endpoint == e {
+		return known, nil
 	}
 	value, err := cbor.Marshal(e)
 	if err != nil {
-		return assigned{}, err
+		return assignment{}, err
 	}
 	if !ok {
-		x.ranks = a.ranked(u.ID)
+		known.shardRanking = a.rankShards(u.ID)
 	}
-	return assigned{e, value, x.ranks}, nil
+	return assignment{e, value, known.shardRanking}, nil
 }
 
-func (a *assigner) ranked(id string) []uint16 {
-	weights := make([]uint64, a.slices)
-	order := make([]uint16, a.slices)
+// rankShards returns the shards in the order of their hash with an upstream's ID, highest first.
+func (a *assigner) rankShards(id string) []uint16 {
+	weights := make([]uint64, a.shards)
+	order := make([]uint16, a.shards)
 	for i := range order {
 		weights[i], order[i] = spread.Hash(id, strconv.Itoa(i)), uint16(i)
 	}
@@ -95,26 +98,27 @@
 	return order
 }
 
-// sliceOf is the slice that a VM's daemon reads.
-func sliceOf(vm string, slices int) int { return int(spread.Hash(vm) % uint64(slices)) }
+// shardOf returns the shard that a VM's daemon reads.
+func shardOf(vm string, shards int) int { return int(spread.Hash(vm) % uint64(shards)) }
 
-// change is a record to write; without a value it drops the key.
+// change is a record to write; one without a value deletes the key.
 type change struct {
 	key   string
 	value []byte
 }
 
-// diff returns what turns the published values of some keys into the wanted ones, by key.
-func diff(published, wanted map[string][]byte) []change {
+// diff returns the changes that turn the published values into the desired ones, sorted by
+// key: first the deleted keys, then the others.
+func diff(published, desired map[string][]byte) []change {
 	var out []change
 	for _, key := range slices.Sorted(maps.Keys(published)) {
-		if _, ok := wanted[key]; !ok {
+		if _, ok := desired[key]; !ok {
 			out = append(out, change{key: key})
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(wanted)) {
-		if old, ok := published[key]; !ok || !bytes.Equal(old, wanted[key]) {
-			out = append(out, change{key, wanted[key]})
+	for _, key := range slices.Sorted(maps.Keys(desired)) {
+		if old, ok := published[key]; !ok || !bytes.Equal(old, desired[key]) {
+			out = append(out, change{key, desired[key]})
 		}
 	}
 	return out
--- a/internal/relay/plan_test.go
+++ b/internal/relay/plan_test.go
@@ -18,18 +18,19 @@
 	return out
 }
 
-func sizes(slices []map[string][]byte) (least, most int) {
-	least = len(slices[0])
-	for _, s := range slices {
+func minMaxSize(shards []map[string][]byte) (least, most int) {
+	least = len(shards[0])
+	for _, s := range shards {
 		least, most = min(least, len(s)), max(most, len(s))
 	}
 	return least, most
 }
 
-// Guards against a slice without upstreams of a small service, and one that holds a large
-// service whole: a daemon refuses calls that others serve, or reads what grows with the fleet.
-func TestSliceOfEachService(t *testing.T) {
-	const some, many = sliceUpstreams / 2, 3 * sliceUpstreams
+// Guards against a shard that lacks the upstreams of a small service, whose daemons would
+// refuse calls that others serve, and one with all upstreams of a large service, whose daemons
+// would read more the larger the fleet is.
+func TestShardSizes(t *testing.T) {
+	const some, many = minUpstreamsPerShard / 2, 3 * minUpstreamsPerShard
 	for _, c := range []struct{ upstreams, slices, least, most int }{
 		{0, 24, 0, 0}, {2, 24, 2, 2}, {16, 24, 16, 16}, {100, 24, some, many}, {460, 24, some, many}, {460, 64, some, many},
 		{460, 8, some, 2 * 460 / 8}, {20_000, 24, some, 2 * 20_000 / 24},
@@ -38,14 +39,15 @@
 			g := NewWithT(t)
 			got, err := newAssigner(c.slices).assign(map[string][]registry.Upstream{"s": upstreams("s", c.upstreams)})
 			g.Expect(err).NotTo(HaveOccurred())
-			least, most := sizes(got)
+			least, most := minMaxSize(got)
 			g.Expect(least).To(BeNumerically(">=", c.least))
 			g.Expect(most).To(BeNumerically("<=", c.most))
 		})
 	}
 }
 
-func TestAChangeMovesFewUpstreams(t *testing.T) {
+// Guards against a change of a few upstreams that moves others between shards.
+func TestChangeOfUpstreamsMovesFewOthers(t *testing.T) {
 	g := NewWithT(t)
 	a := newAssigner(24)
 	list := upstreams("s", 460)
@@ -63,59 +65,61 @@
 			changes++
 		}
 	}
-	g.Expect(changes).To(Equal(2 * copies(459, 24)))
+	g.Expect(changes).To(Equal(2 * replicaCount(459, 24)))
 }
 
-func TestDecide(t *testing.T) {
-	large := load{daemons: 1000, bytes: 1_000_000, rate: 80_000_000} // 12.5 s
-	small := load{daemons: 10, bytes: 40_000, rate: 80_000_000}
-	middle := load{daemons: 100, bytes: 240_000, rate: 80_000_000} // 0.3 s
-	relayed, standIn := decision{relayed: true}, decision{relayed: true, standIn: true}
+// Guards against a fleet that overloads the store with direct reads, that flaps between the two
+// sources, or in which all or none take over when no elected publisher is left.
+func TestNextMode(t *testing.T) {
+	large := readLoad{daemons: 1000, bytesPerDaemon: 1_000_000, bytesPerSecond: 80_000_000} // 12.5 s
+	small := readLoad{daemons: 10, bytesPerDaemon: 40_000, bytesPerSecond: 80_000_000}
+	middle := readLoad{daemons: 100, bytesPerDaemon: 240_000, bytesPerSecond: 80_000_000} // 0.3 s
+	relayed, fallback := mode{relayed: true}, mode{relayed: true, fallbackPublisher: true}
 	for _, c := range []struct {
 		name      string
-		now       decision
-		load      load
+		current   mode
+		load      readLoad
 		published bool
-		silent    time.Duration
-		chance    float64
-		want      decision
+		silentFor time.Duration
+		random    float64
+		want      mode
 	}{
-		{"nothing is published", decision{}, load{}, false, 0, 0, decision{}},
-		{"a large fleet", decision{}, large, true, 0, 0, relayed},
-		{"a small fleet", decision{}, small, true, 0, 0, decision{}},
-		{"between: as it was", decision{}, middle, true, 0, 0, decision{}},
-		{"between: as it was, relayed", relayed, middle, true, 0, 0, relayed},
-		{"it has shrunk", relayed, small, true, 0, 0, decision{}},
-		{"the slices were taken back", relayed, large, false, 0, 0, decision{}},
-		{"a late cover", relayed, large, true, silentAfter - 1, 0, relayed},
-		{"nobody publishes: some stand in", relayed, large, true, silentAfter, 0.039, standIn},
-		{"nobody publishes: the others wait", relayed, large, true, silentAfter, 0.041, relayed},
-		{"who stands in goes on", standIn, large, true, silentAfter, 0.9, standIn},
-		{"somebody publishes again", standIn, large, true, time.Second, 0, relayed},
-		{"the rate isn't known", decision{}, load{daemons: 1000, bytes: 1_000_000}, true, 0, 0, decision{}},
+		{"no shard is published", mode{}, readLoad{}, false, 0, 0, mode{}},
+		{"a large fleet", mode{}, large, true, 0, 0, relayed},
+		{"a small fleet", mode{}, small, true, 0, 0, mode{}},
+		{"between the thresholds: stays direct", mode{}, middle, true, 0, 0, mode{}},
+		{"between the thresholds: stays relayed", relayed, middle, true, 0, 0, relayed},
+		{"the fleet has shrunk", relayed, small, true, 0, 0, mode{}},
+		{"the shards were cleared", relayed, large, false, 0, 0, mode{}},
+		{"a late watermark", relayed, large, true, publisherTimeout - 1, 0, relayed},
+		{"nobody publishes: some daemons take over", relayed, large, true, publisherTimeout, 0.039, fallback},
+		{"nobody publishes: the other daemons wait", relayed, large, true, publisherTimeout, 0.041, relayed},
+		{"a fallback publisher continues", fallback, large, true, publisherTimeout, 0.9, fallback},
+		{"an elected publisher is back", fallback, large, true, time.Second, 0, relayed},
+		{"the read rate is unknown", mode{}, readLoad{daemons: 1000, bytesPerDaemon: 1_000_000}, true, 0, 0, mode{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			NewWithT(t).Expect(decide(c.now, c.load, c.published, c.silent, c.chance)).To(Equal(c.want))
+			NewWithT(t).Expect(nextMode(c.current, c.load, c.published, c.silentFor, c.random)).To(Equal(c.want))
 		})
 	}
 }
 
-// Guards against a publisher's death that stops the relay until its partitions have passed
-// on: the next rank writes what the first one hasn't.
-func TestWhoWritesWhen(t *testing.T) {
+// Guards against a dead publisher that stops the relay until its partitions have another owner:
+// the next rank must write what the first one hasn't.
+func TestPublishStateDue(t *testing.T) {
 	const now = 100 * time.Second
 	for _, c := range []struct {
 		name string
-		p    publishing
+		p    publishState
 		want bool
 	}{
-		{"nothing changed", publishing{rank: 0, covered: now - time.Millisecond}, false},
-		{"heartbeat", publishing{rank: 0, covered: now - heartbeatInterval}, true},
-		{"a change, the first rank", publishing{rank: 0, changed: now, covered: now}, true},
-		{"a change, the second waits", publishing{rank: 1, changed: now - standInDelay + 1, covered: now}, false},
-		{"a change, the second", publishing{rank: 1, changed: now - standInDelay, covered: now}, true},
-		{"a late heartbeat, the third waits", publishing{rank: 2, covered: now - heartbeatInterval - standInDelay}, false},
-		{"a late heartbeat, the third", publishing{rank: 2, covered: now - heartbeatInterval - 2*standInDelay}, true},
+		{"nothing changed", publishState{rank: 0, watermarkAt: now - time.Millisecond}, false},
+		{"a heartbeat is due", publishState{rank: 0, watermarkAt: now - heartbeatInterval}, true},
+		{"a change, the first rank", publishState{rank: 0, pendingSince: now, watermarkAt: now}, true},
+		{"a change, the second rank waits", publishState{rank: 1, pendingSince: now - takeoverDelay + 1, watermarkAt: now}, false},
+		{"a change, the second rank", publishState{rank: 1, pendingSince: now - takeoverDelay, watermarkAt: now}, true},
+		{"a late heartbeat, the third rank waits", publishState{rank: 2, watermarkAt: now - heartbeatInterval - takeoverDelay}, false},
+		{"a late heartbeat, the third rank", publishState{rank: 2, watermarkAt: now - heartbeatInterval - 2*takeoverDelay}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) { NewWithT(t).Expect(c.p.due(now)).To(Equal(c.want)) })
 	}
--- a/internal/relay/publisher.go
+++ b/internal/relay/publisher.go
@@ -17,153 +17,159 @@
 )
 
 const (
-	// turnInterval is between two looks whether this daemon is a publisher.
-	turnInterval = 500 * time.Millisecond
-	// publishInterval is between two looks of a publisher at what has changed.
+	// electionCheckInterval is the time between two checks whether this daemon is a publisher.
+	electionCheckInterval = 500 * time.Millisecond
+	// publishInterval is the time between two checks of a publisher for changes to publish.
 	publishInterval = 100 * time.Millisecond
-	// firstCount and maxCount bound the time between two counts of the daemons by a
-	// publisher that publishes nothing. It doubles: a fleet grows most while it starts.
-	firstCount = 1 * time.Second
-	maxCount   = 32 * time.Second
+	// firstCountInterval and maxCountInterval bound the time between two counts of the daemons by
+	// a publisher that publishes nothing. The interval doubles each time, since a fleet grows most
+	// while it starts.
+	firstCountInterval = 1 * time.Second
+	maxCountInterval   = 32 * time.Second
 )
 
 var (
-	published       = metrics.Counter("relay_appends")
-	publishedKeys   = metrics.Counter("relay_records")
-	publishConflict = metrics.Counter("relay_append_conflicts")
+	appendCount         = metrics.Counter("relay_appends")
+	appendedRecordCount = metrics.Counter("relay_records")
+	appendConflictCount = metrics.Counter("relay_append_conflicts")
 )
 
-// publisher writes the slices while it is its turn.
+// publisher writes the shards while this daemon is a publisher.
 type publisher struct {
 	options  Options
-	slices   []*slice
+	shards   []*shard
 	rank     func() (rank int, ok bool)
 	assigner *assigner
 
-	// Used by run alone.
-	countAt    time.Duration // when the daemons are counted next
-	countPause time.Duration
-	daemons    int
-	releases   []func() // of the slices while they are published
-	packed     packedConfig
-	wanted     wantedSlices
-	changed    []time.Duration // by slice: since when something isn't published
+	// Used only by run.
+	nextCountAt   time.Duration // when the daemons are counted next
+	countInterval time.Duration // between that count and the one after it
+	daemons       int           // as last counted
+	shardReleases []func()      // end the holds on the shards; nil while they aren't published
+	packed        packedConfig
+	desired       desiredShards
+	pendingSince  []time.Duration // by shard: since when a change isn't published, 0: none
 }
 
-// packedConfig is the newest configuration as it is published.
+// packedConfig is the newest configuration in the form in which it is published.
 type packedConfig struct {
-	at     int64
-	values map[string][]byte
+	offset int64             // after the configuration's record
+	values map[string][]byte // its chunks by key
 }
 
-// wantedSlices is what the slices should hold, by what it was made from.
-type wantedSlices struct {
-	upstreams uint64
-	config    int64
-	slices    []map[string][]byte
+// desiredShards is what the shards should hold, with the versions of the data that it was
+// computed from.
+type desiredShards struct {
+	upstreamChanges uint64              // number of changes of the upstreams
+	configOffset    int64               // after the configuration's record
+	values          []map[string][]byte // by shard and key
 }
 
-func newPublisher(o Options, list []*slice, rank func() (int, bool)) *publisher {
-	return &publisher{options: o, slices: list, rank: rank, assigner: newAssigner(o.Parts), changed: make([]time.Duration, len(list))}
+func newPublisher(o Options, shards []*shard, rank func() (int, bool)) *publisher {
+	return &publisher{options: o, shards: shards, rank: rank, assigner: newAssigner(o.Parts), pendingSince: make([]time.Duration, len(shards))}
 }
 
+// run publishes whenever this daemon is a publisher, until the context ends.
 func (p *publisher) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if _, ok := p.rank(); !ok {
-			pause.For(ctx, turnInterval)
+			pause.For(ctx, electionCheckInterval)
 			continue
 		}
-		p.session(ctx)
+		p.publishSession(ctx)
 	}
 }
 
-// session publishes until it isn't this daemon's turn any more.
-func (p *publisher) session(ctx context.Context) {
+// publishSession publishes until this daemon isn't a publisher any more.
+func (p *publisher) publishSession(ctx context.Context) {
 	defer p.options.Direct.Hold()()
-	p.countAt, p.countPause = p.options.Now(), firstCount
-	p.options.Logger.Info().Msg("publisher of the relay by turn")
+	p.nextCountAt, p.countInterval = p.options.Now(), firstCountInterval
+	p.options.Logger.Info().Msg("acting as a publisher of the relay")
 	for ctx.Err() == nil {
 		rank, ok := p.rank()
 		if !ok {
 			break
 		}
-		p.step(ctx, rank)
-		interval := turnInterval
-		if p.active() {
+		p.update(ctx, rank)
+		interval := electionCheckInterval
+		if p.publishing() {
 			interval = publishInterval
 		}
 		pause.For(ctx, interval)
 	}
-	p.letGo()
+	p.releaseShards()
 }
 
-// active reports whether the slices are published, so far as this daemon knows.
-func (p *publisher) active() bool { return p.releases != nil }
+// publishing reports whether this publisher considers the shards published. It follows all of
+// them then.
+func (p *publisher) publishing() bool { return p.shardReleases != nil }
 
-func (p *publisher) letGo() {
-	for _, release := range p.releases {
+// releaseShards ends the holds on the shards.
+func (p *publisher) releaseShards() {
+	for _, release := range p.shardReleases {
 		release()
 	}
-	p.releases = nil
+	p.shardReleases = nil
 }
 
-// step brings the slices up to date that are due.
-func (p *publisher) step(ctx context.Context, rank int) {
+// update decides whether the shards are to be published at all, and updates those that are due.
+func (p *publisher) update(ctx context.Context, rank int) {
 	snapshot, ok := p.options.Direct.Snapshot()
 	if !ok {
 		return
 	}
-	p.count(ctx)
-	takes := load{daemons: p.daemons, bytes: snapshot.Bytes, rate: p.options.ReadRate}.takes()
-	floor := time.Duration(relayedShare * float64(directBudget))
+	p.updateDaemonCount(ctx)
+	readTime := readLoad{daemons: p.daemons, bytesPerDaemon: snapshot.Bytes, bytesPerSecond: p.options.ReadRate}.duration()
+	threshold := time.Duration(returnToDirectShare * float64(directReadBudget))
 	switch {
-	case !p.active() && takes >= floor:
-		p.options.Logger.Info().Int("daemons", p.daemons).Int("bytes", snapshot.Bytes).Dur("direct_takes", takes).Msg("slices are published")
-		for _, s := range p.slices {
-			p.releases = append(p.releases, s.follower.Hold())
+	case !p.publishing() && readTime >= threshold:
+		p.options.Logger.Info().Int("daemons", p.daemons).Int("bytes", snapshot.Bytes).Dur("direct_takes", readTime).Msg("publishing the relay shards")
+		for _, s := range p.shards {
+			p.shardReleases = append(p.shardReleases, s.follower.Hold())
 		}
-	case p.active() && takes < floor/2:
-		p.takeBack(ctx, rank)
+	case p.publishing() && readTime < threshold/2:
+		p.clearShards(ctx, rank)
 		return
 	}
-	if !p.active() {
+	if !p.publishing() {
 		return
 	}
-	cover := Cover{Servers: snapshot.Servers, Operator: snapshot.Operator, Bytes: snapshot.Bytes, Daemons: p.daemons, AgeMS: snapshot.Age.Milliseconds()}
-	wanted, err := p.want(snapshot)
+	watermark := Watermark{ServersOffset: snapshot.Servers, OperatorOffset: snapshot.Operator, DirectReadBytes: snapshot.Bytes, Daemons: p.daemons, AgeMS: snapshot.Age.Milliseconds()}
+	desired, err := p.desiredValues(snapshot)
 	if err != nil {
-		p.options.Logger.Error().Err(err).Msg("slices not made")
+		p.options.Logger.Error().Err(err).Msg("contents of the relay shards not computed")
 		return
 	}
-	p.publish(ctx, rank, cover, wanted)
+	p.publish(ctx, rank, watermark, desired)
 }
 
-// takeBack empties the slices: the fleet is small enough to read the topics itself.
-func (p *publisher) takeBack(ctx context.Context, rank int) {
-	p.publish(ctx, rank, Cover{}, make([]map[string][]byte, len(p.slices)))
-	for _, s := range p.slices {
+// clearShards empties the shards, since the fleet is small enough to read the topics directly.
+func (p *publisher) clearShards(ctx context.Context, rank int) {
+	p.publish(ctx, rank, Watermark{}, make([]map[string][]byte, len(p.shards)))
+	for _, s := range p.shards {
 		if s.published() || !s.follower.Loaded() {
-			return // tried again
+			return // update calls it again
 		}
 	}
-	p.options.Logger.Info().Int("daemons", p.daemons).Msg("slices taken back")
-	p.letGo()
+	p.options.Logger.Info().Int("daemons", p.daemons).Msg("relay shards cleared, daemons read the topics directly")
+	p.releaseShards()
 }
 
-// count counts the daemons: while slices are published, by their views.
-func (p *publisher) count(ctx context.Context) {
-	if p.active() {
+// updateDaemonCount counts the daemons by their presence records, in the local views of the
+// shards if these are published, else by reading them from the store.
+func (p *publisher) updateDaemonCount(ctx context.Context) {
+	if p.publishing() {
 		p.daemons = 0
-		for _, s := range p.slices {
-			p.daemons += s.daemons()
+		for _, s := range p.shards {
+			p.daemons += s.countDaemons()
 		}
 		return
 	}
-	if p.options.Now() < p.countAt {
+	if p.options.Now() < p.nextCountAt {
 		return
 	}
-	n := 0
-	for part := range p.slices {
+	daemons := 0
+	for part := range p.shards {
 		for page := (store.NewestPage{More: true}); page.More; {
 			var err error
 			if page, err = p.options.Log.Newest(ctx, topic, part, page.Last()); err != nil {
@@ -171,28 +177,28 @@
 				return
 			}
 			for _, e := range page.Entries {
-				if _, ok := idOf(e.Key, daemonPrefix); ok {
-					n++
+				if _, ok := idFromKey(e.Key, daemonPrefix); ok {
+					daemons++
 				}
 			}
 		}
 	}
-	p.daemons = n
-	p.countAt = p.options.Now() + p.countPause
-	p.countPause = min(2*p.countPause, maxCount)
+	p.daemons = daemons
+	p.nextCountAt = p.options.Now() + p.countInterval
+	p.countInterval = min(2*p.countInterval, maxCountInterval)
 }
 
-// want returns what each slice should hold.
-func (p *publisher) want(snapshot Snapshot) ([]map[string][]byte, error) {
+// desiredValues returns what each shard should hold, by key.
+func (p *publisher) desiredValues(snapshot Snapshot) ([]map[string][]byte, error) {
 	changes := p.options.View.UpstreamChanges()
-	if p.wanted.slices != nil && p.wanted.upstreams == changes && p.wanted.config == snapshot.ConfigAt {
-		return p.wanted.slices, nil
+	if p.desired.values != nil && p.desired.upstreamChanges == changes && p.desired.configOffset == snapshot.ConfigAt {
+		return p.desired.values, nil
 	}
-	if err := p.pack(snapshot); err != nil {
+	if err := p.packConfig(snapshot); err != nil {
 		return nil, err
 	}
 	services := map[string][]registry.Upstream{}
-	for _, name := range called(p.options.View.Config()) {
+	for _, name := range calledServices(p.options.View.Config()) {
 		services[name] = p.options.View.Of(name)
 	}
 	assigned, err := p.assigner.assign(services)
@@ -204,18 +210,19 @@
 			values[key] = value
 		}
 	}
-	p.wanted = wantedSlices{changes, snapshot.ConfigAt, assigned}
+	p.desired = desiredShards{changes, snapshot.ConfigAt, assigned}
 	return assigned, nil
 }
 
-// chunkMargin is left of a record for its key and the encoding's own bytes.
+// chunkMargin is the part of a record, in bytes, that is left for its key and the encoding.
 const chunkMargin = 1 << 10
 
-func (p *publisher) pack(snapshot Snapshot) error {
-	if snapshot.Config == nil || p.packed.at == snapshot.ConfigAt {
+// packConfig updates the packed configuration if there is a newer one.
+func (p *publisher) packConfig(snapshot Snapshot) error {
+	if snapshot.Config == nil || p.packed.offset == snapshot.ConfigAt {
 		return nil
 	}
-	chunks, err := pack(snapshot.Config, snapshot.ConfigAt, p.options.RecordBytes-chunkMargin)
+	chunks, err := packConfig(snapshot.Config, snapshot.ConfigAt, p.options.RecordBytes-chunkMargin)
 	if err != nil {
 		return err
 	}
@@ -229,8 +236,8 @@
 	return nil
 }
 
-// called returns the services that callers' requests may go to.
-func called(config *routes.Config) []string {
+// calledServices returns the services that callers' requests may be sent to, sorted.
+func calledServices(config *routes.Config) []string {
 	if config == nil {
 		return nil
 	}
@@ -252,59 +259,60 @@
 	return slices.Compact(out)
 }
 
-// publish writes to the slices that are due. Without a cover it takes them back.
-func (p *publisher) publish(ctx context.Context, rank int, cover Cover, wanted []map[string][]byte) {
+// publish writes the shards that are due. An empty watermark deletes the published one.
+func (p *publisher) publish(ctx context.Context, rank int, watermark Watermark, desired []map[string][]byte) {
 	var work errgroup.Group
-	for i, s := range p.slices {
+	for i, s := range p.shards {
 		if !s.follower.Loaded() {
 			continue
 		}
-		at := s.follower.Next() // what is written meanwhile makes the append fail
-		changes, covered, newest := s.behind(wanted[i], p.options.Clock())
+		offset := s.follower.Next() // read first: a record written after this makes the append fail
+		changes, watermarkAt, current := s.pendingChanges(desired[i], p.options.Clock())
 		switch {
-		case cover == Cover{} && covered != 0:
-			changes = append(changes, change{key: coverKey})
-		case cover == Cover{}, newest.Servers > cover.Servers, newest.Operator > cover.Operator:
-			continue // what is published is newer than what is known here
+		case watermark == Watermark{} && watermarkAt != 0:
+			changes = append(changes, change{key: watermarkKey})
+		case watermark == Watermark{}, current.ServersOffset > watermark.ServersOffset, current.OperatorOffset > watermark.OperatorOffset:
+			continue // nothing to delete, or what is published is newer than what is known here
 		}
 		if len(changes) == 0 {
-			p.changed[i] = 0
-		} else if p.changed[i] == 0 {
-			p.changed[i] = p.options.Now()
+			p.pendingSince[i] = 0
+		} else if p.pendingSince[i] == 0 {
+			p.pendingSince[i] = p.options.Now()
 		}
-		if (publishing{rank, p.changed[i], covered}).due(p.options.Now()) {
-			work.Go(func() error { p.write(ctx, s, at, cover, changes); return nil })
+		if (publishState{rank, p.pendingSince[i], watermarkAt}).due(p.options.Now()) {
+			work.Go(func() error { p.appendToShard(ctx, s, offset, watermark, changes); return nil })
 		}
 	}
 	_ = work.Wait() // none of them returns an error
 }
 
-// write appends changes and the cover to a slice, unless another publisher was faster.
-func (p *publisher) write(ctx context.Context, s *slice, at int64, cover Cover, changes []change) {
-	records, err := p.records(cover, changes)
+// appendToShard appends changes and the watermark to a shard, on the condition that the shard
+// ends at offset: it fails if another publisher has written meanwhile.
+func (p *publisher) appendToShard(ctx context.Context, s *shard, offset int64, watermark Watermark, changes []change) {
+	records, err := p.encodeRecords(watermark, changes)
 	if err == nil {
-		published.Add(1)
-		publishedKeys.Add(int64(len(records)))
+		appendCount.Add(1)
+		appendedRecordCount.Add(int64(len(records)))
 		ctx, cancel := context.WithTimeout(ctx, store.FirstAnswer)
 		defer cancel()
-		_, err = p.options.Log.AppendAt(ctx, topic, s.number, at, records)
+		_, err = p.options.Log.AppendAt(ctx, topic, s.partition, offset, records)
 	}
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
-		publishConflict.Add(1)
+		appendConflictCount.Add(1)
 	}
 	if err != nil {
-		p.options.Logger.Warn().Err(err).Int("slice", s.number).Int64("at", at).Int("records", len(records)).Msg("slice not published, tried again")
+		p.options.Logger.Warn().Err(err).Int("slice", s.partition).Int64("at", offset).Int("records", len(records)).Msg("relay shard not published, will retry")
 	}
-	// Also after an append without an answer: what it wrote must be known before the next.
+	// Also after an append without an answer: if it wrote, the next append must know that.
 	if err := s.follower.CatchUp(ctx); err != nil {
-		p.options.Logger.Debug().Err(err).Int("slice", s.number).Msg("slice not read back")
+		p.options.Logger.Debug().Err(err).Int("slice", s.partition).Msg("relay shard not read back")
 	}
 }
 
-// records returns the cover behind as many changes as one append takes. The others follow
-// with the next.
-func (p *publisher) records(cover Cover, changes []change) ([][]byte, error) {
+// encodeRecords returns as many changes as fit into one append, followed by the watermark if
+// all do. The remaining changes follow with the next append.
+func (p *publisher) encodeRecords(watermark Watermark, changes []change) ([][]byte, error) {
 	var out [][]byte
 	size := 0
 	for _, c := range changes {
@@ -317,28 +325,29 @@
 		}
 		out = append(out, record)
 	}
-	if cover == (Cover{}) {
+	if watermark == (Watermark{}) {
 		return out, nil
 	}
-	value, err := cbor.Marshal(cover)
+	value, err := cbor.Marshal(watermark)
 	if err != nil {
 		return nil, err
 	}
-	record, err := store.EncodeEntry(coverKey, value)
+	record, err := store.EncodeEntry(watermarkKey, value)
 	return append(out, record), err
 }
 
-// behind returns the changes that the slice lacks, when its cover was read, and the cover.
-func (s *slice) behind(wanted map[string][]byte, now time.Time) (changes []change, covered time.Duration, cover Cover) {
+// pendingChanges returns the changes that the shard lacks, when its watermark was read, and the
+// watermark. They include the deletion of outdated presence records.
+func (s *shard) pendingChanges(desired map[string][]byte, now time.Time) (changes []change, watermarkAt time.Duration, watermark Watermark) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	current := map[string][]byte{}
 	for key, value := range s.values {
-		if _, ok := idOf(key, daemonPrefix); !ok {
+		if _, ok := idFromKey(key, daemonPrefix); !ok {
 			current[key] = value
-		} else if p, err := decode[presence](value); err != nil || now.Sub(time.Unix(p.At, 0)) > presenceLife {
+		} else if p, err := decode[presence](value); err != nil || now.Sub(time.Unix(p.At, 0)) > presenceTTL {
 			changes = append(changes, change{key: key})
 		}
 	}
-	return append(changes, diff(current, wanted)...), s.covered, s.cover
+	return append(changes, diff(current, desired)...), s.watermarkAt, s.watermark
 }
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -14,30 +14,30 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/registry"
 )
 
-// Keys of a slice's records.
+// Keys of a shard's records.
 const (
-	coverKey       = "cover"
+	watermarkKey   = "cover"
 	configPrefix   = "config/"   // and the chunk's index
 	upstreamPrefix = "upstream/" // and the upstream's ID
 	daemonPrefix   = "daemon/"   // and the VM's name
 )
 
-// Cover tells what the records of a slice are up to date with. It is written anew at each
-// change and, as a heartbeat, each heartbeatInterval.
-type Cover struct {
-	// Servers and Operator are offsets of the platform's topics: whatever stands before them
-	// is reflected in the slice.
-	Servers  int64 `cbor:"1,keyasint"`
-	Operator int64 `cbor:"2,keyasint"`
-	// Bytes is what a daemon reads that takes up these topics itself, and Daemons how many
-	// there are.
-	Bytes   int `cbor:"3,keyasint"`
-	Daemons int `cbor:"6,keyasint"`
-	// AgeMS is the age of the publisher's views of them.
+// Watermark says up to where a shard reflects the platform's topics. It is written with each
+// change and, as a heartbeat, every heartbeatInterval.
+type Watermark struct {
+	// ServersOffset and OperatorOffset are offsets of the platform's topics. The shard reflects
+	// all records before them.
+	ServersOffset  int64 `cbor:"1,keyasint"`
+	OperatorOffset int64 `cbor:"2,keyasint"`
+	// DirectReadBytes is what a daemon reads of these topics if it reads them directly, and
+	// Daemons the number of daemons.
+	DirectReadBytes int `cbor:"3,keyasint"`
+	Daemons         int `cbor:"6,keyasint"`
+	// AgeMS is the age in milliseconds of the publisher's views of these topics.
 	AgeMS int64 `cbor:"4,keyasint"`
 }
 
-func (c Cover) age() time.Duration { return time.Duration(c.AgeMS) * time.Millisecond }
+func (w Watermark) age() time.Duration { return time.Duration(w.AgeMS) * time.Millisecond }
 
 // endpoint is an upstream that takes new work.
 type endpoint struct {
@@ -60,17 +60,17 @@
 	}
 }
 
-// presence says that a daemon runs on a VM.
+// presence is the record by which a daemon says that it runs on a VM.
 type presence struct {
 	At int64 `cbor:"1,keyasint"` // Unix seconds
 }
 
 // chunk is a part of a compressed configuration.
 type chunk struct {
-	Config int64  `cbor:"1,keyasint"` // offset behind it in the platform's topic
-	Index  int    `cbor:"2,keyasint"`
-	Count  int    `cbor:"3,keyasint"`
-	Data   []byte `cbor:"4,keyasint"`
+	ConfigOffset int64  `cbor:"1,keyasint"` // offset after the configuration's record in the platform's topic
+	Index        int    `cbor:"2,keyasint"` // of this chunk
+	Count        int    `cbor:"3,keyasint"` // of all chunks
+	Data         []byte `cbor:"4,keyasint"`
 }
 
 var errMalformed = errors.New("relay: malformed record")
@@ -83,9 +83,10 @@
 	return out, nil
 }
 
-// pack compresses a configuration into chunks of at most so many bytes of data. Routes are
-// much alike: of 80 KB some 8 are left.
-func pack(data []byte, offset int64, chunkBytes int) ([]chunk, error) {
+// packConfig compresses a configuration into chunks of at most chunkBytes of data each. offset
+// is that after the configuration's record. Routes are much alike, so 80 KB compress to about
+// 8 KB.
+func packConfig(data []byte, offset int64, chunkBytes int) ([]chunk, error) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
 	if err != nil {
@@ -100,7 +101,7 @@
 	var out []chunk
 	for rest := packed.Bytes(); len(rest) > 0; {
 		n := min(len(rest), chunkBytes)
-		out = append(out, chunk{Config: offset, Index: len(out), Data: rest[:n]})
+		out = append(out, chunk{ConfigOffset: offset, Index: len(out), Data: rest[:n]})
 		rest = rest[n:]
 	}
 	for i := range out {
@@ -109,19 +110,20 @@
 	return out, nil
 }
 
-// maxConfigBytes bounds what a compressed configuration may unpack to.
+// maxConfigBytes limits the size of a decompressed configuration.
 const maxConfigBytes = 64 << 20
 
-// unpack reverses pack. It reports false while chunks of the newest configuration are missing.
-func unpack(chunks map[int]chunk) (data []byte, offset int64, ok bool, err error) {
+// unpackConfig reverses packConfig. complete is false while chunks of the newest configuration
+// are missing.
+func unpackConfig(chunks map[int]chunk) (data []byte, offset int64, complete bool, err error) {
 	for _, c := range chunks {
-		offset = max(offset, c.Config)
+		offset = max(offset, c.ConfigOffset)
 	}
 	var packed []byte
 	count := 1
 	for i := 0; i < count; i++ {
 		c, known := chunks[i]
-		if !known || c.Config != offset || c.Index != i {
+		if !known || c.ConfigOffset != offset || c.Index != i {
 			return nil, offset, false, nil
 		}
 		count = c.Count
@@ -134,10 +136,12 @@
 	return data, offset, true, nil
 }
 
+// configKey returns the key of a configuration's chunk.
 func configKey(index int) string { return fmt.Sprintf("%s%d", configPrefix, index) }
 
-// idOf returns what follows a prefix in a key.
-func idOf(key, prefix string) (string, bool) {
+// idFromKey returns what follows the prefix in a key, false if there is no prefix or nothing
+// after it.
+func idFromKey(key, prefix string) (string, bool) {
 	id, ok := strings.CutPrefix(key, prefix)
 	return id, ok && id != ""
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,20 +1,20 @@
-// Package relay lets a large fleet know the platform's configuration and upstreams without
-// each daemon reading them whole.
+// Package relay distributes the platform's configuration and upstreams in a large fleet
+// without each daemon reading them in full.
 //
-// The platform writes both into topics of the store whose reads share one rate: N daemons
-// that each read M upstreams take N times M of it, at every start and after every lost
-// history. Where that would take too long, a few daemons read the topics and publish what
-// the others need: the configuration, compressed, and the upstreams that calls go to,
-// divided into as many slices as a topic has partitions. A daemon reads one slice. What all
-// daemons read together then grows with N + M.
+// The platform writes both to topics of the store, whose reads share one rate. N daemons that
+// each read M upstreams directly read N times M records, at every start and whenever the store
+// has lost its history. Where that would take too long, a few daemons, the publishers, read
+// the topics and publish what the others need: the compressed configuration, and the upstreams
+// that calls go to, divided into as many shards as a topic has partitions. A daemon reads one
+// shard. What all daemons read together then grows with N + M.
 //
-// The publishers are elected by the partitions that they own. One writes, the others stand
-// in for it where it is late; an append on the condition that the slice ends where the
-// publisher has read to, and the offsets in a slice's cover, keep one that was frozen from
-// publishing what is old. Daemons that need every upstream, because they run samples on
-// them, read the topics themselves in any case.
+// The publishers are elected by the partitions that they own. One of them writes; the others
+// write if it is late. Two things keep a publisher that was frozen from publishing outdated
+// data: each append is conditional on the shard's end being where the publisher has read to,
+// and a shard's watermark has the offsets that its data is up to date with. Daemons that need
+// every upstream, because they run samples on them, read the topics directly in any case.
 //
-// decide, publishing and the assigner are pure; Service is the runtime.
+// nextMode, publishState and assigner do no I/O; Service runs them.
 package relay
 
 import (
@@ -33,109 +33,112 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// topic of the slices, a partition each.
+// topic holds the shards, one in each partition.
 const topic = store.KeyedPrefix + "relay"
 
-// Direct is the platform's topics as this daemon reads them itself.
+// Direct reads the platform's topics directly on this daemon.
 type Direct interface {
-	// Hold keeps them followed until release is called. HoldPatiently does so too, but what
-	// they lack is read with rests while nobody holds them otherwise.
+	// Hold keeps the topics followed until release is called.
 	Hold() (release func())
+	// HoldPatiently does the same, but reading is throttled until the topics are read to their
+	// ends, unless somebody else needs them soon.
 	HoldPatiently() (release func())
-	// Whole reports whether they were read to their ends since they are followed. The
-	// fleet's view is theirs then.
+	// Whole reports whether the topics have been read to their ends since they are followed.
+	// The fleet's view comes from them then.
 	Whole() bool
-	// Snapshot returns what a publisher passes on, false while they aren't whole or the
-	// store doesn't answer.
+	// Snapshot returns the data to publish, false while the topics aren't read to their ends or
+	// the store doesn't answer.
 	Snapshot() (Snapshot, bool)
 }
 
 // Snapshot is what is known of the platform's topics.
 type Snapshot struct {
-	Servers, Operator int64  // offsets behind the last records read
-	Config            []byte // as the operator wrote it, nil: none yet
-	ConfigAt          int64  // offset behind it
-	Bytes             int    // of the newest records of all keys
-	Age               time.Duration
+	Servers, Operator int64         // offsets after the last records read of the two topics
+	Config            []byte        // as the operator wrote it, nil: none yet
+	ConfigAt          int64         // offset after the configuration's record
+	Bytes             int           // size of the newest records of all keys
+	Age               time.Duration // since the older of the two views was up to date
 }
 
 // Options of a Service.
 type Options struct {
-	VM          string
+	VM          string // this daemon's VM
 	Log         store.Log
 	Parts       int // partitions of a topic
-	RecordBytes int // largest record
-	CallBytes   int // largest append
-	ReadRate    int // bytes a second that all daemons' reads share, 0: unknown
-	// Bootstrap: the whole fleet starts for the first time, so that nothing is published yet.
+	RecordBytes int // size limit of a record
+	CallBytes   int // size limit of an append
+	ReadRate    int // bytes per second that all daemons' reads share, 0: unknown
+	// Bootstrap says that the whole fleet starts for the first time, so that nothing is
+	// published yet.
 	Bootstrap bool
-	View      *fleet.View
+	View      *fleet.View // to which the upstreams are applied
 	Direct    Direct
 	Turn      Turn
-	// Configure puts a configuration in force that the operator wrote before an offset.
+	// Configure puts a configuration in force; at is the offset after its record.
 	Configure func(data []byte, at int64) error
-	Now       func() time.Duration // a clock that goes on while the VM is suspended
+	Now       func() time.Duration // a monotonic clock that runs on while the VM is suspended
 	Clock     func() time.Time     // the time of day
 	Logger    zerolog.Logger
 }
 
-// Turn tells a daemon's rank among the publishers, below Elected, false if it is none.
+// Turn returns this daemon's rank among the elected publishers, from 0 to below their number,
+// and false if it isn't one of them.
 type Turn func() (rank int, ok bool)
 
-// Service reads this daemon's slice, and publishes the slices if it is its turn. It is safe
-// for concurrent use.
+// Service reads this daemon's shard, and publishes all shards if the daemon is a publisher. It
+// is safe for concurrent use.
 type Service struct {
 	options   Options
-	slices    []*slice
-	mine      *slice
+	shards    []*shard
+	ownShard  *shard
 	publisher *publisher
 
-	presentAt time.Time // when this VM's presence was written, used by follow alone
+	presenceWrittenAt time.Time // of this VM's presence record, used only by followShard
 
-	mu      sync.Mutex
-	mode    decision
-	release func() // of the direct reading, nil while it isn't held
+	mu            sync.Mutex
+	mode          mode
+	releaseDirect func() // ends direct reading, nil while it isn't needed
 }
 
 // New returns a Service that has read nothing.
 func New(o Options) *Service {
 	s := &Service{options: o}
 	for n := range o.Parts {
-		s.slices = append(s.slices, newSlice(o, n))
+		s.shards = append(s.shards, newShard(o, n))
 	}
-	s.mine = s.slices[sliceOf(o.VM, o.Parts)]
-	s.mine.subscribe(&subscriber{options: o, slice: s.mine})
-	s.publisher = newPublisher(o, s.slices, s.rank)
+	s.ownShard = s.shards[shardOf(o.VM, o.Parts)]
+	s.ownShard.subscribe(&subscriber{options: o, shard: s.ownShard})
+	s.publisher = newPublisher(o, s.shards, s.rank)
 	return s
 }
 
 // Run reads and publishes until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	var g errgroup.Group
-	for _, x := range s.slices {
+	for _, x := range s.shards {
 		g.Go(func() error { x.follower.Run(ctx); return nil })
 	}
-	g.Go(func() error { s.follow(ctx); return nil })
+	g.Go(func() error { s.followShard(ctx); return nil })
 	g.Go(func() error { s.publisher.run(ctx); return nil })
 	_ = g.Wait() // none of them returns an error
 }
 
-// modeInterval is between two decisions where the slice stays as it is.
+// modeInterval is the time between two mode decisions while the shard doesn't change.
 const modeInterval = 1 * time.Second
 
-// follow reads this daemon's slice and decides by it where to learn of the platform.
-func (s *Service) follow(ctx context.Context) {
-	defer s.mine.follower.Hold()()
-	if s.mine.follower.Await(ctx) != nil {
+// followShard reads this daemon's shard and decides by it which source to use.
+func (s *Service) followShard(ctx context.Context) {
+	defer s.ownShard.follower.Hold()()
+	if s.ownShard.follower.Await(ctx) != nil {
 		return
 	}
 	if s.options.Bootstrap {
-		s.spread(ctx)
+		s.delayFirstRead(ctx)
 	}
 	for ctx.Err() == nil {
-		changed := s.mine.follower.Changed()
-		s.present(ctx)
-		s.look()
+		changed := s.ownShard.follower.Changed()
+		s.announcePresence(ctx)
+		s.updateMode()
 		timer := time.NewTimer(modeInterval)
 		select {
 		case <-changed:
@@ -144,27 +147,28 @@
 		}
 		timer.Stop()
 	}
-	s.hold(false)
+	s.setDirectReading(false)
 }
 
 const (
-	// startSpread is within which all daemons of a fleet that starts have written that they
-	// are there.
-	startSpread = 400 * time.Millisecond
-	// firstBytes is what a daemon of a large fleet reads first of the platform's topics.
-	firstBytes = 128 << 10
+	// startupWindow is the time within which all daemons of a starting fleet have written their
+	// presence records.
+	startupWindow = 400 * time.Millisecond
+	// firstReadBytes is what a daemon of a large fleet first reads of the platform's topics.
+	firstReadBytes = 128 << 10
 )
 
-// spread waits before the topics are read for the first time. A thousand daemons that read
-// the configuration at one moment ask for more than comes through within a call's timeout.
-func (s *Service) spread(ctx context.Context) {
-	s.present(ctx)
-	pause.For(ctx, startSpread)
-	l := load{daemons: s.mine.daemons() * s.options.Parts, bytes: firstBytes, rate: s.options.ReadRate}
-	limit := time.NewTimer(time.Duration(rand.Float64() * float64(l.takes())))
+// delayFirstRead waits a random time before the topics are read for the first time, at most
+// until the shard is published. A thousand daemons that read the configuration at once ask for
+// more than the store can send within a call's timeout.
+func (s *Service) delayFirstRead(ctx context.Context) {
+	s.announcePresence(ctx)
+	pause.For(ctx, startupWindow)
+	load := readLoad{daemons: s.ownShard.countDaemons() * s.options.Parts, bytesPerDaemon: firstReadBytes, bytesPerSecond: s.options.ReadRate}
+	limit := time.NewTimer(time.Duration(rand.Float64() * float64(load.duration())))
 	defer limit.Stop()
-	for !s.mine.published() {
-		changed := s.mine.follower.Changed()
+	for !s.ownShard.published() {
+		changed := s.ownShard.follower.Changed()
 		select {
 		case <-changed:
 		case <-limit.C:
@@ -177,47 +181,49 @@
 
 var modeChanges = metrics.Counter("relay_mode_changes")
 
-// look decides anew.
-func (s *Service) look() {
-	cover, published, silent := s.mine.standing()
-	l := load{daemons: cover.Daemons, bytes: cover.Bytes, rate: s.options.ReadRate}
+// updateMode decides on the mode again, and starts or ends direct reading accordingly.
+func (s *Service) updateMode() {
+	watermark, published, silentFor := s.ownShard.publication()
+	load := readLoad{daemons: watermark.Daemons, bytesPerDaemon: watermark.DirectReadBytes, bytesPerSecond: s.options.ReadRate}
 	s.mu.Lock()
-	before := s.mode
-	s.mode = decide(before, l, published, silent, rand.Float64())
-	now := s.mode
+	previous := s.mode
+	s.mode = nextMode(previous, load, published, silentFor, rand.Float64())
+	current := s.mode
 	s.mu.Unlock()
-	s.hold(!now.relayed || now.standIn)
-	if now == before {
+	s.setDirectReading(!current.relayed || current.fallbackPublisher)
+	if current == previous {
 		return
 	}
 	modeChanges.Add(1)
-	s.options.Logger.Info().Bool("relayed", now.relayed).Bool("stand_in", now.standIn).Int("slice", s.mine.number).Int("daemons", l.daemons).
-		Int("bytes", l.bytes).Dur("direct_takes", l.takes()).Dur("silent", silent).Msg("source of configuration and upstreams changed")
+	s.options.Logger.Info().Bool("relayed", current.relayed).Bool("stand_in", current.fallbackPublisher).Int("slice", s.ownShard.partition).Int("daemons", load.daemons).
+		Int("bytes", load.bytesPerDaemon).Dur("direct_takes", load.duration()).Dur("silent", silentFor).Msg("source of configuration and upstreams changed")
 }
 
-func (s *Service) hold(direct bool) {
+// setDirectReading starts or ends direct reading of the platform's topics.
+func (s *Service) setDirectReading(enabled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case direct && s.release == nil:
-		s.release = s.options.Direct.HoldPatiently()
-	case !direct && s.release != nil:
-		s.release()
-		s.release = nil
+	case enabled && s.releaseDirect == nil:
+		s.releaseDirect = s.options.Direct.HoldPatiently()
+	case !enabled && s.releaseDirect != nil:
+		s.releaseDirect()
+		s.releaseDirect = nil
 	}
 }
 
-// rank is this daemon's among the publishers.
+// rank returns this daemon's rank among the publishers, false if it isn't one. A fallback
+// publisher comes after the elected ones.
 func (s *Service) rank() (rank int, ok bool) {
 	if rank, ok = s.options.Turn(); ok {
-		return min(rank, lastRank), true
+		return min(rank, unelectedRank), true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return lastRank, s.mode.standIn
+	return unelectedRank, s.mode.fallbackPublisher
 }
 
-// relayed reports whether the slice tells this daemon of the platform.
+// relayed reports whether this daemon gets the configuration and the upstreams from its shard.
 func (s *Service) relayed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,34 +232,35 @@
 
 // Ready reports whether the configuration and the upstreams are known.
 func (s *Service) Ready() bool {
-	return s.options.Direct.Whole() || s.relayed() && s.mine.follower.Loaded()
+	return s.options.Direct.Whole() || s.relayed() && s.ownShard.follower.Loaded()
 }
 
-// Lag is how far what the slice tells lies back, 0 while it tells nothing.
+// Lag returns the lag of the shard's view, 0 while this daemon doesn't use it.
 func (s *Service) Lag() time.Duration {
 	if !s.relayed() {
 		return 0
 	}
-	return s.mine.follower.Lag()
+	return s.ownShard.follower.Lag()
 }
 
-// ConfigAge is for how long a newer configuration may have been in force elsewhere, as far
-// as the slice tells.
+// ConfigAge returns for how long a newer configuration may have been in force elsewhere, as far
+// as the shard tells.
 func (s *Service) ConfigAge() time.Duration {
-	cover, published, silent := s.mine.standing()
+	watermark, published, silentFor := s.ownShard.publication()
 	if !published {
 		return time.Hour
 	}
-	return max(silent, s.mine.follower.Age()) + cover.age()
+	return max(silentFor, s.ownShard.follower.Age()) + watermark.age()
 }
 
-// Refresh applies the slice when the platform's topics aren't read here any more.
-func (s *Service) Refresh() { s.mine.refresh() }
+// Refresh applies the shard again. It is called once the platform's topics aren't read directly
+// any more.
+func (s *Service) Refresh() { s.ownShard.reapply() }
 
-// Views describes the slices that are read here for operators.
+// Views describes, for operators, the shards that this daemon reads.
 func (s *Service) Views() []inspect.View {
 	var out []inspect.View
-	for _, x := range s.slices {
+	for _, x := range s.shards {
 		if x.follower.Following() {
 			out = append(out, x.follower.Inspect())
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,68 +23,69 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// The tests run many daemons' relays over the stand-in store, on testing/synctest's clock.
+// The tests run the relays of many daemons against the fake store, with the fake clock of
+// testing/synctest.
 
 const (
 	testParts    = 24
 	testReadRate = 80_000_000
-	testAnswer   = 4 * time.Millisecond
+	testLatency  = 4 * time.Millisecond
 	serversTopic = store.KeyedPrefix + "servers"
 	configTopic  = store.KeyedPrefix + "op"
 	entryBytes   = 300
 	configBytes  = 80_000
 )
 
-// topics is a daemon's direct reading.
-type topics struct {
-	view     *fleet.View
-	operator *follow.Held
-	servers  *follow.Held
-	refresh  func()
-	needed   atomic.Int32
+// directTopics reads the platform's topics directly on one daemon.
+type directTopics struct {
+	view        *fleet.View
+	operator    *follow.Held
+	servers     *follow.Held
+	refresh     func()
+	urgentHolds atomic.Int32
 
-	mu     sync.Mutex
-	config []byte
-	at     int64
+	mu           sync.Mutex
+	config       []byte
+	configOffset int64
 }
 
-func newTopics(view *fleet.View, log store.Log, now func() time.Duration) *topics {
-	t := &topics{view: view}
+func newDirectTopics(view *fleet.View, log store.Log, now func() time.Duration) *directTopics {
+	t := &directTopics{view: view}
 	options := func(topic string, sink follow.Sink) follow.Options {
-		return follow.Options{Log: log, Topic: topic, Keyed: true, Sink: sink, Patient: func() bool { return t.needed.Load() == 0 }, Now: now, Logger: zerolog.Nop()}
+		return follow.Options{Log: log, Topic: topic, Keyed: true, Sink: sink, Patient: func() bool { return t.urgentHolds.Load() == 0 }, Now: now, Logger: zerolog.Nop()}
 	}
 	t.operator = follow.NewHeld(follow.HeldOptions{Options: options(configTopic, (*configSink)(t))})
-	t.servers = follow.NewHeld(follow.HeldOptions{Options: options(serversTopic, (*entrySink)(t)), OnForget: func() { t.refresh() }})
+	t.servers = follow.NewHeld(follow.HeldOptions{Options: options(serversTopic, (*upstreamSink)(t)), OnForget: func() { t.refresh() }})
 	return t
 }
 
-func (t *topics) Hold() func() {
-	t.needed.Add(1)
+func (t *directTopics) Hold() func() {
+	t.urgentHolds.Add(1)
 	release := t.HoldPatiently()
-	return func() { t.needed.Add(-1); release() }
+	return func() { t.urgentHolds.Add(-1); release() }
 }
 
-func (t *topics) HoldPatiently() func() {
+func (t *directTopics) HoldPatiently() func() {
 	a, b := t.operator.Hold(), t.servers.Hold()
 	return func() { a(); b() }
 }
 
-func (t *topics) Whole() bool { return t.operator.Loaded() && t.servers.Loaded() }
+func (t *directTopics) Whole() bool { return t.operator.Loaded() && t.servers.Loaded() }
 
-func (t *topics) Snapshot() (Snapshot, bool) {
+func (t *directTopics) Snapshot() (Snapshot, bool) {
 	if !t.Whole() || !t.operator.InContact() || !t.servers.InContact() {
 		return Snapshot{}, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Snapshot{
-		Servers: t.servers.Next(), Operator: t.operator.Next(), Config: t.config, ConfigAt: t.at,
+		Servers: t.servers.Next(), Operator: t.operator.Next(), Config: t.config, ConfigAt: t.configOffset,
 		Bytes: len(t.config) + entryBytes*t.view.CountUpstreams(),
 	}, true
 }
 
-// configOf is the configuration that stands in test data: its first bytes name the version.
-func configOf(data []byte) *routes.Config {
+// parseConfig returns the configuration in a test record, which begins with its version.
+func parseConfig(data []byte) *routes.Config {
 	var version int64
 	if _, err := fmt.Sscan(string(data[:20]), &version); err != nil {
 		panic(err) // the tests write only such ones
@@ -92,11 +93,12 @@
 	return routes.New(version, nil, []routes.Service{{Name: "calls"}, {Name: "engines", Engine: &routes.Engine{}}}, routes.Limits{}, nil)
 }
 
-type configSink topics
+// configSink applies the records of the configuration's topic.
+type configSink directTopics
 
 func (s *configSink) Reset(entries []store.Entry) {
 	for _, e := range entries {
-		s.take(e.Offset, e.Value)
+		s.apply(e.Offset, e.Value)
 	}
 }
 
@@ -105,21 +107,24 @@
 	if err != nil {
 		panic(err)
 	}
-	s.take(offset, value)
+	s.apply(offset, value)
 }
 
 func (s *configSink) Gap(int64) {}
 
-func (s *configSink) take(offset int64, value []byte) {
-	s.view.SetConfig(configOf(value))
+func (s *configSink) apply(offset int64, value []byte) {
+	s.view.SetConfig(parseConfig(value))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.config, s.at = value, offset+1
+	s.config, s.configOffset = value, offset+1
 }
 
-type entrySink topics
+// upstreamSink applies the records of the upstreams' topic.
+type upstreamSink directTopics
 
-func entryOf(key string, value []byte) registry.Upstream {
+// parseUpstream returns the upstream in a test record. Those whose key begins with "e" are
+// engines.
+func parseUpstream(key string, value []byte) registry.Upstream {
 	u := registry.Upstream{ID: key, Service: "calls", Address: key, Slots: 6, Models: map[string]int64{}}
 	if strings.HasPrefix(key, "e") {
 		u.Service = "engines"
@@ -128,17 +133,17 @@
 	return u
 }
 
-func (s *entrySink) Reset(entries []store.Entry) {
+func (s *upstreamSink) Reset(entries []store.Entry) {
 	s.view.Upstreams(func(r *registry.Registry, now time.Duration) {
 		var list []registry.Upstream
 		for _, e := range entries {
-			list = append(list, entryOf(e.Key, e.Value))
+			list = append(list, parseUpstream(e.Key, e.Value))
 		}
 		r.Replace(list, now)
 	})
 }
 
-func (s *entrySink) Record(_ int64, data []byte) {
+func (s *upstreamSink) Record(_ int64, data []byte) {
 	key, value, err := store.DecodeEntry(data)
 	if err != nil {
 		panic(err)
@@ -148,17 +153,17 @@
 			r.Remove(key, now)
 			return
 		}
-		r.Put(entryOf(key, value))
+		r.Put(parseUpstream(key, value))
 	})
 }
 
-func (s *entrySink) Gap(int64) {}
+func (s *upstreamSink) Gap(int64) {}
 
-// node is a daemon of the tests.
+// node is one daemon.
 type node struct {
 	client  *metastore.Client
 	view    *fleet.View
-	topics  *topics
+	topics  *directTopics
 	service *Service
 	cancel  context.CancelFunc
 	done    chan struct{}
@@ -167,35 +172,37 @@
 	rank int // -1: none
 }
 
-func (n *node) turn() (int, bool) {
+// publisherRank returns the node's rank among the elected publishers, false if it isn't one.
+func (n *node) publisherRank() (int, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rank, n.rank >= 0
 }
 
-func (n *node) elect(rank int) {
+// setRank makes the node an elected publisher, or with a rank of -1 none.
+func (n *node) setRank(rank int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rank = rank
 }
 
-// testFleet is daemons over one store with upstreams.
+// testFleet is a number of daemons that share one store.
 type testFleet struct {
 	store *metastore.Store
 	start time.Time
 	nodes []*node
 }
 
-// newTestFleet starts daemons, and then so many upstreams for calls and engines, some
-// hundreds a second. The first daemons are elected.
+// newTestFleet starts daemons, of which the first are elected publishers, and then registers
+// that many upstreams for calls and engines, 500 per second.
 func newTestFleet(daemons, calls, engines int) *testFleet {
 	f := &testFleet{store: metastore.New(testParts), start: time.Now()}
 	f.store.SetRates(metastore.Rates{ReadBytes: testReadRate, Reads: 16_000, Writes: 4_000})
-	f.configure(1)
+	f.putConfig(1)
 	for i := range daemons {
-		f.nodes = append(f.nodes, f.boot(i))
+		f.nodes = append(f.nodes, f.startNode(i))
 		if i < Elected {
-			f.nodes[i].elect(i)
+			f.nodes[i].setRank(i)
 		}
 	}
 	var ids []string
@@ -207,14 +214,15 @@
 			ids = append(ids, fmt.Sprint("e", i))
 		}
 	}
-	for some := range slices.Chunk(ids, 500) {
-		f.registerAll(some)
+	for chunk := range slices.Chunk(ids, 500) {
+		f.registerReady(chunk)
 		time.Sleep(time.Second)
 	}
 	return f
 }
 
-func (f *testFleet) registerAll(ids []string) {
+// registerReady registers upstreams that are ready, with one append.
+func (f *testFleet) registerReady(ids []string) {
 	var records [][]byte
 	for _, id := range ids {
 		record, err := store.EncodeEntry(id, fmt.Appendf(nil, "%-*s", entryBytes, "ready"))
@@ -229,13 +237,15 @@
 	}
 }
 
-func (f *testFleet) register(id, state string) {
+// setUpstreamState writes the record of one upstream.
+func (f *testFleet) setUpstreamState(id, state string) {
 	if err := f.store.Put(serversTopic, id, fmt.Appendf(nil, "%-*s", entryBytes, state)); err != nil {
 		panic(err) // the keys are short
 	}
 }
 
-func (f *testFleet) configure(version int) {
+// putConfig writes a configuration of a version.
+func (f *testFleet) putConfig(version int) {
 	if err := f.store.Put(configTopic, "config", fmt.Appendf(nil, "%-*d", configBytes, version)); err != nil {
 		panic(err)
 	}
@@ -243,13 +253,14 @@
 
 func (f *testFleet) now() time.Duration { return time.Since(f.start) }
 
-func (f *testFleet) boot(i int) *node {
+// startNode starts the daemon on VM number i.
+func (f *testFleet) startNode(i int) *node {
 	n := &node{client: metastore.NewClient(f.store, 1500*time.Millisecond), view: fleet.New(f.now), rank: -1, done: make(chan struct{})}
-	n.client.SetFaults(metastore.Faults{Latency: testAnswer})
-	n.topics = newTopics(n.view, n.client, f.now)
+	n.client.SetFaults(metastore.Faults{Latency: testLatency})
+	n.topics = newDirectTopics(n.view, n.client, f.now)
 	n.service = New(Options{
 		VM: fmt.Sprint("vm", i), Log: n.client, Parts: testParts, RecordBytes: 256 << 10, CallBytes: 2 << 20, ReadRate: testReadRate, Bootstrap: f.now() < time.Second, View: n.view, Direct: n.topics,
-		Turn: n.turn, Configure: func(data []byte, _ int64) error { n.view.SetConfig(configOf(data)); return nil },
+		Turn: n.publisherRank, Configure: func(data []byte, _ int64) error { n.view.SetConfig(parseConfig(data)); return nil },
 		Now: f.now, Clock: time.Now, Logger: zerolog.Nop(),
 	})
 	n.topics.refresh = n.service.Refresh
@@ -263,12 +274,14 @@
 	return n
 }
 
+// kill cuts the daemon off the store and stops it.
 func (n *node) kill() {
 	n.client.SetFaults(metastore.Faults{Cut: true})
 	n.cancel()
 	<-n.done
 }
 
+// stop kills all daemons.
 func (f *testFleet) stop() {
 	for _, n := range f.nodes {
 		if n != nil {
@@ -277,19 +290,20 @@
 	}
 }
 
-// restart ends all daemons at one moment and starts them anew.
-func (f *testFleet) restart() {
+// restartAll kills all daemons and starts them again.
+func (f *testFleet) restartAll() {
 	f.stop()
 	for i := range f.nodes {
-		f.nodes[i] = f.boot(i)
+		f.nodes[i] = f.startNode(i)
 		if i < Elected {
-			f.nodes[i].elect(i)
+			f.nodes[i].setRank(i)
 		}
 	}
 }
 
-// ready counts the daemons with a configuration and upstreams to call.
-func (f *testFleet) ready(version int64) int {
+// countReady counts the daemons that are ready, with a configuration of at least a version and
+// with upstreams for calls.
+func (f *testFleet) countReady(version int64) int {
 	ready := 0
 	for _, n := range f.nodes {
 		if c := n.view.Config(); c != nil && c.Version >= version && n.service.Ready() && len(n.view.Of("calls")) > 0 {
@@ -299,8 +313,8 @@
 	return ready
 }
 
-// await returns how long it takes until a condition holds, limit if it doesn't.
-func (f *testFleet) await(limit time.Duration, holds func() bool) time.Duration {
+// waitFor waits until a condition holds, at most for limit, and returns how long that took.
+func (f *testFleet) waitFor(limit time.Duration, holds func() bool) time.Duration {
 	began := time.Now()
 	for time.Since(began) < limit && !holds() {
 		time.Sleep(20 * time.Millisecond)
@@ -308,29 +322,31 @@
 	return time.Since(began)
 }
 
-func (f *testFleet) settled() bool {
+// allRelayed reports whether all daemons are ready and none but the elected ones reads the
+// topics directly.
+func (f *testFleet) allRelayed() bool {
 	for _, n := range f.nodes[Elected:] {
 		if !n.service.relayed() || n.topics.servers.Following() {
 			return false
 		}
 	}
-	return f.ready(1) == len(f.nodes)
+	return f.countReady(1) == len(f.nodes)
 }
 
 // Guards against daemons that each read every upstream: after the loss of all VMs, and with
-// each change, a fleet takes N times M of the rate that its reads share. Twice the daemons
-// before twice the upstreams must know the platform as soon, and read twice as much in all.
-func TestFleetKnowsThePlatformAfterTheLossOfAllVMs(t *testing.T) {
+// each change, a fleet would use N times M of the shared read rate. A fleet with twice the
+// daemons and twice the upstreams must be ready as soon, and read only twice as much in all.
+func TestFleetIsReadyAfterRestartOfAllDaemons(t *testing.T) {
 	read := map[int]int{}
 	for _, daemons := range []int{985, 1970} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			f := newTestFleet(daemons, daemons/2, 10*daemons)
 			defer f.stop()
-			g.Expect(f.await(time.Minute, f.settled)).To(BeNumerically("<", time.Minute))
+			g.Expect(f.waitFor(time.Minute, f.allRelayed)).To(BeNumerically("<", time.Minute))
 			before := f.store.BytesRead(serversTopic) + f.store.BytesRead(configTopic) + f.store.BytesRead(topic)
-			f.restart()
-			took := f.await(18*time.Second, func() bool { return f.ready(1) == daemons })
+			f.restartAll()
+			took := f.waitFor(18*time.Second, func() bool { return f.countReady(1) == daemons })
 			g.Expect(took).To(BeNumerically("<", 2*time.Second))
 			time.Sleep(5 * time.Second)
 			read[daemons] = f.store.BytesRead(serversTopic) + f.store.BytesRead(configTopic) + f.store.BytesRead(topic) - before
@@ -341,25 +357,25 @@
 }
 
 // Guards against configurations in quick succession that take the fleet longer to read than
-// they have to be in force.
-func TestStormOfConfigurationsIsInForceInTime(t *testing.T) {
+// the time within which they must be in force.
+func TestRapidConfigurationsAreInForceInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newTestFleet(985, 400, 2000)
 		defer f.stop()
-		g.Expect(f.await(time.Minute, f.settled)).To(BeNumerically("<", time.Minute))
+		g.Expect(f.waitFor(time.Minute, f.allRelayed)).To(BeNumerically("<", time.Minute))
 		const versions = 13
 		for v := range versions {
-			f.configure(v + 2)
+			f.putConfig(v + 2)
 			time.Sleep(330 * time.Millisecond)
 		}
-		took := f.await(10*time.Second, func() bool { return f.ready(versions+1) == len(f.nodes) })
+		took := f.waitFor(10*time.Second, func() bool { return f.countReady(versions+1) == len(f.nodes) })
 		g.Expect(took).To(BeNumerically("<", time.Second))
 	})
 }
 
-// leavesEverywhere reports whether no daemon would still send a call to an upstream.
-func (f *testFleet) leavesEverywhere(id string) bool {
+// excludedEverywhere reports whether no daemon sends calls to an upstream any more.
+func (f *testFleet) excludedEverywhere(id string) bool {
 	for _, n := range f.nodes {
 		if n == nil {
 			continue
@@ -371,46 +387,46 @@
 	return true
 }
 
-// Guards against a leaving upstream that gets calls because whoever tells of it has died or
-// hangs: the next publisher writes what the one before hasn't.
-func TestLeavingUpstreamIsKnownInTime(t *testing.T) {
-	const bound = 2 * time.Second // well below the bounds of 3 to 5 s of large deployments
+// Guards against calls to a leaving upstream because the publisher that would announce it has
+// died or hangs: the next publisher must write what that one hasn't.
+func TestLeavingUpstreamIsExcludedInTime(t *testing.T) {
+	const bound = 2 * time.Second // well below the 3 to 5 s that large deployments allow
 	for _, c := range []struct {
 		name string
-		lost int // publishers that die as the upstream leaves
+		lost int // number of publishers that die just before the upstream leaves
 	}{{"all publishers live", 0}, {"the first one dies", 1}, {"two die", 2}} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				f := newTestFleet(200, 200, 2000)
 				defer f.stop()
-				g.Expect(f.await(time.Minute, f.settled)).To(BeNumerically("<", time.Minute))
+				g.Expect(f.waitFor(time.Minute, f.allRelayed)).To(BeNumerically("<", time.Minute))
 				for i := range c.lost {
 					f.nodes[i].kill()
 					f.nodes[i] = nil
 				}
-				f.register("c7", "leaving")
-				g.Expect(f.await(bound, func() bool { return f.leavesEverywhere("c7") })).To(BeNumerically("<", bound))
+				f.setUpstreamState("c7", "leaving")
+				g.Expect(f.waitFor(bound, func() bool { return f.excludedEverywhere("c7") })).To(BeNumerically("<", bound))
 			})
 		})
 	}
 }
 
-// Guards against a fleet whose publishers are all gone: a few others read the topics and
-// publish, instead of nobody or all.
-func TestFewStandInWhereNobodyIsElected(t *testing.T) {
+// Guards against a fleet without elected publishers in which no daemon or every daemon takes
+// over: only a few must read the topics directly and publish.
+func TestFewDaemonsPublishWhenNoneIsElected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newTestFleet(400, 200, 4000)
 		defer f.stop()
-		g.Expect(f.await(time.Minute, f.settled)).To(BeNumerically("<", time.Minute))
+		g.Expect(f.waitFor(time.Minute, f.allRelayed)).To(BeNumerically("<", time.Minute))
 		for i := range Elected {
-			f.nodes[i].elect(-1)
+			f.nodes[i].setRank(-1)
 		}
-		time.Sleep(2 * time.Second) // their turn ends
-		f.register("c7", "leaving")
+		time.Sleep(2 * time.Second) // until they have noticed
+		f.setUpstreamState("c7", "leaving")
 		most := 0
-		took := f.await(10*time.Second, func() bool {
+		took := f.waitFor(10*time.Second, func() bool {
 			reading := 0
 			for _, n := range f.nodes {
 				if n.topics.servers.Following() {
@@ -418,40 +434,41 @@
 				}
 			}
 			most = max(most, reading)
-			return f.leavesEverywhere("c7")
+			return f.excludedEverywhere("c7")
 		})
 		g.Expect(took).To(BeNumerically("<", 6*time.Second))
-		g.Expect(most).To(BeNumerically("<", 100), "not everybody reads the topics")
+		g.Expect(most).To(BeNumerically("<", 100), "only some daemons read the topics directly")
 	})
 }
 
-// Guards against a publisher that wakes from a freeze and publishes what it knew before.
-func TestFrozenPublisherPublishesNothingOld(t *testing.T) {
+// Guards against a publisher that resumes after a freeze and publishes what it knew before.
+func TestFrozenPublisherPublishesNothingOutdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newTestFleet(100, 200, 4000)
 		defer f.stop()
-		g.Expect(f.await(time.Minute, f.settled)).To(BeNumerically("<", time.Minute))
+		g.Expect(f.waitFor(time.Minute, f.allRelayed)).To(BeNumerically("<", time.Minute))
 		frozen := f.nodes[0]
-		old, ok := frozen.topics.Snapshot()
+		outdated, ok := frozen.topics.Snapshot()
 		g.Expect(ok).To(BeTrue())
 		var before []map[string][]byte
-		for _, s := range frozen.service.slices {
+		for _, s := range frozen.service.shards {
 			before = append(before, maps.Clone(s.values))
-			maps.DeleteFunc(before[s.number], func(key string, _ []byte) bool { return strings.HasPrefix(key, daemonPrefix) })
+			maps.DeleteFunc(before[s.partition], func(key string, _ []byte) bool { return strings.HasPrefix(key, daemonPrefix) })
 		}
-		f.register("c7", "leaving")
-		g.Expect(f.await(time.Second, func() bool { return f.leavesEverywhere("c7") })).To(BeNumerically("<", time.Second))
-		woken := newPublisher(frozen.service.options, frozen.service.slices, frozen.turn)
-		woken.publish(context.Background(), 0, Cover{Servers: old.Servers, Operator: old.Operator, Bytes: old.Bytes, Daemons: 100}, before)
-		for _, s := range frozen.service.slices {
+		f.setUpstreamState("c7", "leaving")
+		g.Expect(f.waitFor(time.Second, func() bool { return f.excludedEverywhere("c7") })).To(BeNumerically("<", time.Second))
+		woken := newPublisher(frozen.service.options, frozen.service.shards, frozen.publisherRank)
+		woken.publish(context.Background(), 0, Watermark{ServersOffset: outdated.Servers, OperatorOffset: outdated.Operator, DirectReadBytes: outdated.Bytes, Daemons: 100}, before)
+		for _, s := range frozen.service.shards {
 			g.Expect(s.values).NotTo(HaveKey(upstreamPrefix + "c7"))
 		}
 	})
 }
 
-// Guards against a fleet that has shrunk and goes on without anybody's word.
-func TestSmallFleetReadsTheTopicsItself(t *testing.T) {
+// Guards against a fleet too small for the relay that publishes shards, or whose daemons don't
+// read the topics directly.
+func TestSmallFleetReadsTopicsDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		f := newTestFleet(10, 3, 9)
--- a/internal/relay/slice.go
+++ b/internal/relay/slice.go
@@ -12,74 +12,77 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// slice is what one partition of the topic holds.
-type slice struct {
-	number   int
-	follower *follow.Held
-	now      func() time.Duration
-	log      zerolog.Logger
-
-	mu      sync.Mutex
-	values  map[string][]byte // by key, the cover's aside
-	cover   Cover
-	covered time.Duration // when the cover was read, 0: there is none
-	changes uint64        // of values
-	reader  *subscriber   // nil: this daemon learns nothing from it
+// shard is the local view of one partition of the relay topic: the configuration, a part of the
+// upstreams, and the daemons that read it.
+type shard struct {
+	partition int
+	follower  *follow.Held
+	now       func() time.Duration
+	log       zerolog.Logger
+
+	mu          sync.Mutex
+	values      map[string][]byte // by key, without the watermark
+	watermark   Watermark
+	watermarkAt time.Duration // when the watermark was read, 0: there is none
+	changes     uint64        // number of changes of values
+	subscriber  *subscriber   // nil: another shard serves this daemon
 }
 
-func newSlice(o Options, number int) *slice {
-	s := &slice{number: number, now: o.Now, log: o.Logger, values: map[string][]byte{}}
+func newShard(o Options, partition int) *shard {
+	s := &shard{partition: partition, now: o.Now, log: o.Logger, values: map[string][]byte{}}
 	s.follower = follow.NewHeld(follow.HeldOptions{Options: follow.Options{
-		Log: o.Log, Topic: topic, Part: number, Keyed: true, Sink: s, Relaxed: s.quiet, Now: o.Now, Logger: o.Logger,
-	}, OnForget: s.forget})
+		Log: o.Log, Topic: topic, Part: partition, Keyed: true, Sink: s, Relaxed: s.unpublished, Now: o.Now, Logger: o.Logger,
+	}, OnForget: s.discard})
 	return s
 }
 
-func (s *slice) subscribe(r *subscriber) { s.reader = r }
+// subscribe makes a subscriber receive all records from now on. It must be called before the
+// follower runs.
+func (s *shard) subscribe(subscriber *subscriber) { s.subscriber = subscriber }
 
-// quiet: nobody publishes here, so a new record is rare.
-func (s *slice) quiet() bool { return !s.published() }
+// unpublished reports whether there is no watermark. New records are rare then.
+func (s *shard) unpublished() bool { return !s.published() }
 
-// Reset takes the newest records.
-func (s *slice) Reset(entries []store.Entry) {
+// Reset replaces everything by the newest record of each key.
+func (s *shard) Reset(entries []store.Entry) {
 	s.mu.Lock()
-	s.values, s.cover, s.covered = map[string][]byte{}, Cover{}, 0
+	s.values, s.watermark, s.watermarkAt = map[string][]byte{}, Watermark{}, 0
 	for _, e := range entries {
-		s.takeLocked(e.Key, e.Value)
+		s.applyLocked(e.Key, e.Value)
 	}
 	s.mu.Unlock()
-	s.refresh()
+	s.reapply()
 }
 
-// Record takes one record.
-func (s *slice) Record(offset int64, data []byte) {
+// Record applies one record.
+func (s *shard) Record(offset int64, data []byte) {
 	key, value, err := store.DecodeEntry(data)
 	if err != nil {
-		s.log.Error().Err(err).Int("slice", s.number).Int64("offset", offset).Msg("record of a slice skipped")
+		s.log.Error().Err(err).Int("slice", s.partition).Int64("offset", offset).Msg("malformed record of a relay shard skipped")
 		return
 	}
 	s.mu.Lock()
-	s.takeLocked(key, value)
+	s.applyLocked(key, value)
 	s.mu.Unlock()
-	if s.reader != nil {
-		s.reader.changed(key, value)
+	if s.subscriber != nil {
+		s.subscriber.applyRecord(key, value)
 	}
 }
 
-// Gap is never called: the topic has keys.
-func (s *slice) Gap(int64) {}
+// Gap is never called, since the topic is keyed.
+func (s *shard) Gap(int64) {}
 
-func (s *slice) takeLocked(key string, value []byte) {
+func (s *shard) applyLocked(key string, value []byte) {
 	switch {
-	case key == coverKey && len(value) == 0:
-		s.cover, s.covered = Cover{}, 0
-	case key == coverKey:
-		cover, err := decode[Cover](value)
+	case key == watermarkKey && len(value) == 0:
+		s.watermark, s.watermarkAt = Watermark{}, 0
+	case key == watermarkKey:
+		watermark, err := decode[Watermark](value)
 		if err != nil {
-			s.log.Error().Err(err).Int("slice", s.number).Msg("cover of a slice skipped")
+			s.log.Error().Err(err).Int("slice", s.partition).Msg("malformed watermark of a relay shard skipped")
 			return
 		}
-		s.cover, s.covered = cover, s.now()
+		s.watermark, s.watermarkAt = watermark, s.now()
 	case len(value) == 0:
 		delete(s.values, key)
 		s.changes++
@@ -89,45 +92,47 @@
 	}
 }
 
-func (s *slice) forget() {
+// discard empties the view once it isn't followed any more.
+func (s *shard) discard() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.values, s.cover, s.covered = map[string][]byte{}, Cover{}, 0
+	s.values, s.watermark, s.watermarkAt = map[string][]byte{}, Watermark{}, 0
 	s.changes++
 }
 
-// refresh applies all that is known here.
-func (s *slice) refresh() {
-	if s.reader == nil {
+// reapply passes all values to the subscriber again.
+func (s *shard) reapply() {
+	if s.subscriber == nil {
 		return
 	}
 	s.mu.Lock()
 	values := maps.Clone(s.values)
 	s.mu.Unlock()
-	s.reader.replaced(values)
+	s.subscriber.applyAll(values)
 }
 
-// standing must not be called by the sink. It returns the cover, whether there is one, and for how long none has come although
-// the store answers.
-func (s *slice) standing() (cover Cover, published bool, silent time.Duration) {
+// publication returns the newest watermark, whether there is one, and for how long no new one
+// has come although the store answers. The sink must not call it: the follower calls the sink
+// under the lock that InContact takes.
+func (s *shard) publication() (watermark Watermark, published bool, silentFor time.Duration) {
 	inContact := s.follower.InContact()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.covered != 0 && inContact {
-		silent = s.now() - s.covered
+	if s.watermarkAt != 0 && inContact {
+		silentFor = s.now() - s.watermarkAt
 	}
-	return s.cover, s.covered != 0, silent
+	return s.watermark, s.watermarkAt != 0, silentFor
 }
 
-// published reports whether there is a cover.
-func (s *slice) published() bool {
+// published reports whether there is a watermark.
+func (s *shard) published() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.covered != 0
+	return s.watermarkAt != 0
 }
 
-// daemons counts the VMs that read this slice.
-func (s *slice) daemons() int {
+// countDaemons returns the number of VMs whose daemons read this shard.
+func (s *shard) countDaemons() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/internal/relay/subscriber.go
+++ b/internal/relay/subscriber.go
@@ -12,76 +12,79 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// subscriber applies a slice to the fleet's view, unless the platform's topics are read here.
+// subscriber applies the records of this daemon's shard to the fleet's view, except while the
+// daemon reads the platform's topics directly.
 type subscriber struct {
 	options Options
-	slice   *slice
+	shard   *shard
 
-	mu     sync.Mutex
-	chunks map[int]chunk // of the configuration
-	taken  int64         // offset behind the configuration that was applied last
+	mu            sync.Mutex
+	chunks        map[int]chunk // of the configuration
+	appliedConfig int64         // offset after the configuration that was applied last
 }
 
-// replaced takes the whole slice.
-func (s *subscriber) replaced(values map[string][]byte) {
+// applyAll applies all values of the shard in place of what it applied before.
+func (s *subscriber) applyAll(values map[string][]byte) {
 	s.mu.Lock()
 	s.chunks = map[int]chunk{}
 	s.mu.Unlock()
-	var list []registry.Upstream
+	var upstreams []registry.Upstream
 	for key, value := range values {
-		if id, ok := idOf(key, upstreamPrefix); ok {
-			if u, ok := s.decode(id, value); ok {
-				list = append(list, u)
+		if id, ok := idFromKey(key, upstreamPrefix); ok {
+			if u, ok := s.decodeUpstream(id, value); ok {
+				upstreams = append(upstreams, u)
 			}
 		}
-		s.chunk(key, value)
+		s.applyChunk(key, value)
 	}
 	if !s.active() {
 		return
 	}
-	s.options.View.Upstreams(func(r *registry.Registry, now time.Duration) { r.Replace(list, now) })
+	s.options.View.Upstreams(func(r *registry.Registry, now time.Duration) { r.Replace(upstreams, now) })
 }
 
-// active reports whether the slice is what this daemon goes by. A slice that nobody covers
-// is an empty one.
-func (s *subscriber) active() bool { return s.slice.published() && !s.options.Direct.Whole() }
+// active reports whether the fleet's view comes from the shard. A shard without a watermark
+// isn't published and holds no upstreams.
+func (s *subscriber) active() bool { return s.shard.published() && !s.options.Direct.Whole() }
 
-// changed takes one record.
-func (s *subscriber) changed(key string, value []byte) {
-	s.chunk(key, value)
-	id, ok := idOf(key, upstreamPrefix)
+// applyRecord applies one record; one without a value deletes its key.
+func (s *subscriber) applyRecord(key string, value []byte) {
+	s.applyChunk(key, value)
+	id, ok := idFromKey(key, upstreamPrefix)
 	if !ok || !s.active() {
 		return
 	}
 	s.options.View.Upstreams(func(r *registry.Registry, now time.Duration) {
 		if len(value) == 0 {
-			s.options.Logger.Info().Str("upstream", id).Msg("upstream gets no new work, by the relay")
+			s.options.Logger.Info().Str("upstream", id).Msg("upstream removed according to the relay, it gets no new work")
 			r.Remove(id, now)
 			return
 		}
-		if u, ok := s.decode(id, value); ok {
+		if u, ok := s.decodeUpstream(id, value); ok {
 			r.Put(u)
 		}
 	})
 }
 
-func (s *subscriber) decode(id string, value []byte) (registry.Upstream, bool) {
+// decodeUpstream decodes an upstream's value, and logs an error and returns false if it is malformed.
+func (s *subscriber) decodeUpstream(id string, value []byte) (registry.Upstream, bool) {
 	e, err := decode[endpoint](value)
 	if err != nil {
-		s.options.Logger.Error().Err(err).Str("upstream", id).Msg("upstream of a slice skipped")
+		s.options.Logger.Error().Err(err).Str("upstream", id).Msg("malformed upstream of a relay shard skipped")
 		return registry.Upstream{}, false
 	}
 	return e.upstream(id), true
 }
 
-// chunk takes a part of the configuration, and applies the configuration when it is whole.
-func (s *subscriber) chunk(key string, value []byte) {
+// applyChunk stores a chunk of the configuration, and applies the configuration once all of its
+// chunks are there.
+func (s *subscriber) applyChunk(key string, value []byte) {
 	if !strings.HasPrefix(key, configPrefix) || len(value) == 0 {
 		return
 	}
 	c, err := decode[chunk](value)
 	if err != nil {
-		s.options.Logger.Error().Err(err).Str("key", key).Msg("part of a configuration skipped")
+		s.options.Logger.Error().Err(err).Str("key", key).Msg("malformed chunk of a relayed configuration skipped")
 		return
 	}
 	s.mu.Lock()
@@ -90,42 +93,43 @@
 		s.chunks = map[int]chunk{}
 	}
 	s.chunks[c.Index] = c
-	data, at, whole, err := unpack(s.chunks)
-	if err == nil && (!whole || at <= s.taken) {
+	data, offset, complete, err := unpackConfig(s.chunks)
+	if err == nil && (!complete || offset <= s.appliedConfig) {
 		return
 	}
 	if err == nil {
-		err = s.options.Configure(data, at)
+		err = s.options.Configure(data, offset)
 	}
 	if err != nil {
-		s.options.Logger.Error().Err(err).Int64("at", at).Msg("relayed configuration not taken, the former one stays")
+		s.options.Logger.Error().Err(err).Int64("at", offset).Msg("relayed configuration not applied, the previous one stays in force")
 		return
 	}
-	s.taken = at
+	s.appliedConfig = offset
 }
 
 const (
-	// presenceInterval is between two records that a daemon runs on a VM.
+	// presenceInterval is the time between two records by which a daemon says that it runs on a VM.
 	presenceInterval = time.Hour
-	// presenceLife is after how long without one a VM doesn't count any more.
-	presenceLife = 3 * presenceInterval
-	writeTimeout = 2 * time.Second
+	// presenceTTL is how long after its last record a VM still counts as having a daemon.
+	presenceTTL          = 3 * presenceInterval
+	presenceWriteTimeout = 2 * time.Second
 )
 
-// present tells the publishers that there is a daemon on this VM.
-func (s *Service) present(ctx context.Context) {
+// announcePresence writes this VM's presence record if it is due, so that publishers count its
+// daemon.
+func (s *Service) announcePresence(ctx context.Context) {
 	now := s.options.Clock()
-	if s.presentAt.IsZero() {
-		s.presentAt, _ = s.mine.presence(s.options.VM) // of an earlier process
+	if s.presenceWrittenAt.IsZero() {
+		s.presenceWrittenAt, _ = s.ownShard.presenceOf(s.options.VM) // an earlier process may have written it
 	}
-	if now.Sub(s.presentAt).Abs() < presenceInterval {
+	if now.Sub(s.presenceWrittenAt).Abs() < presenceInterval {
 		return
 	}
 	if err := s.writePresence(ctx, now); err != nil {
-		s.options.Logger.Warn().Err(err).Msg("presence not written, tried again soon")
+		s.options.Logger.Warn().Err(err).Msg("presence record not written, will retry")
 		return
 	}
-	s.presentAt = now
+	s.presenceWrittenAt = now
 }
 
 func (s *Service) writePresence(ctx context.Context, now time.Time) error {
@@ -137,14 +141,14 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, presenceWriteTimeout)
 	defer cancel()
-	_, err = s.options.Log.Append(ctx, topic, s.mine.number, [][]byte{record})
+	_, err = s.options.Log.Append(ctx, topic, s.ownShard.partition, [][]byte{record})
 	return err
 }
 
-// presence is when a VM's daemon said that it runs.
-func (s *slice) presence(vm string) (at time.Time, ok bool) {
+// presenceOf returns when a VM's daemon last wrote its presence record, false if there is none.
+func (s *shard) presenceOf(vm string) (at time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, err := decode[presence](s.values[daemonPrefix+vm])
