--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow keeps a local view of one partition of the shared log up to
-// date and tells how old that view may be.
+// Package follow keeps a local view of one partition of the shared log up to date and tells
+// how old that view may be.
 package follow
 
 import (
@@ -20,46 +20,47 @@
 )
 
 const (
-	// PollWait is how long one read waits for a record. It bounds the age that a
-	// healthy view can have, and with it the time until a silent connection shows.
+	// PollWait is how long one read waits for a record. It bounds the age of a healthy view, and
+	// thus the time until an unresponsive connection is noticed.
 	PollWait = 900 * time.Millisecond
-	// RelaxedWait is the same for a view that nobody here depends on now. A fleet of 80
-	// daemons with two dozen partitions each would use up the store's reads by waiting.
-	RelaxedWait = 4 * time.Second
-	// RelaxedPause is waited after records before the next read of such a view, so that
-	// a busy partition costs a few reads a second and not one for each append.
-	RelaxedPause = 250 * time.Millisecond
-	// lostAfter is how long reads must fail before the store counts as lost: a refusal
-	// for too many calls at one moment is no outage.
-	lostAfter = 600 * time.Millisecond
-	// StaleAfter is the age from which a view isn't trusted: a healthy one is read
-	// again every PollWait, a slow store answers some hundred ms later.
+	// IdleWait is the same for an idle view, on which nothing on this daemon currently depends.
+	// With PollWait, a fleet of 80 daemons that follow two dozen partitions each would use up
+	// the reads that the store allows on waiting alone.
+	IdleWait = 4 * time.Second
+	// IdlePause is the time between receiving records and the next read of an idle view, so that
+	// a busy partition costs a few reads per second instead of one for each append.
+	IdlePause = 250 * time.Millisecond
+	// contactLostAfter is how long reads must fail before contact with the store counts as lost:
+	// when the store refuses calls because there are momentarily too many, that is no outage.
+	contactLostAfter = 600 * time.Millisecond
+	// StaleAfter is the age from which a view isn't trusted. A healthy view is read again every
+	// PollWait, and a slow store answers a few hundred ms later.
 	StaleAfter = 1400 * time.Millisecond
-	// pageBytes bounds the records of one read. All daemons' reads share one rate, and a
-	// read that takes too long is given up, its bytes wasted: asked for without a bound,
-	// the log of a minute came as one page, and daemons that started together took each
-	// other's pages away until none came through in time. A page of this size takes 0.1 s
-	// of a link of 4 Mbit/s, and a few calls bring a log of 1 MB up.
+	// pageBytes limits the records of one read. All daemons' reads share one rate, and a read
+	// that takes too long is given up, which wastes its bytes. Without a limit, a minute's log
+	// came as one page, and daemons that started together slowed down each other's pages until
+	// none arrived in time. A page of this size takes 0.1 s on a link of 4 Mbit/s, and a few
+	// calls read a log of 1 MB.
 	pageBytes = 48 << 10
 )
 
-// backoff is the wait after failed reads. Its upper bound is part of the time that a
-// daemon needs after an outage of the store.
-var backoff = retry.Backoff{First: 50 * time.Millisecond, Max: 400 * time.Millisecond}
+// defaultBackoff is the wait after failed reads. Its maximum is part of the time that a daemon
+// needs to recover after an outage of the store.
+var defaultBackoff = retry.Backoff{First: 50 * time.Millisecond, Max: 400 * time.Millisecond}
 
-// patientBackoff is the same for a patient view that was never whole. A thousand daemons that
-// start at one moment ask for more than the store sends within a call's timeout: tried again
-// at once, the calls of all of them would time out for ever.
-var patientBackoff = retry.Backoff{First: 50 * time.Millisecond, Max: 16 * time.Second}
+// lowPriorityBackoff is the same for a low-priority view that isn't loaded yet. A thousand
+// daemons that start at once ask for more than the store can send within a call's timeout: if
+// they retried quickly, their calls would keep timing out for ever.
+var lowPriorityBackoff = retry.Backoff{First: 50 * time.Millisecond, Max: 16 * time.Second}
 
-// Sink receives the records of a partition. Calls don't overlap.
+// Sink receives the records of a partition. Its methods aren't called concurrently.
 type Sink interface {
-	// Reset replaces the view by the newest record of each key. It is called only
-	// for a keyed topic.
+	// Reset replaces the view by the newest record of each key. It is called only for a keyed
+	// topic.
 	Reset(entries []store.Entry)
-	// Record is called once for each record, in the log's order.
+	// Record is called once for each record, in the order of the log.
 	Record(offset int64, data []byte)
-	// Gap says that records before the offset are lost. It isn't called for a keyed topic.
+	// Gap says that records before the offset first were lost. It isn't called for a keyed topic.
 	Gap(first int64)
 }
 
@@ -67,259 +68,275 @@
 type Options struct {
 	Log   store.Log
 	Topic string
-	Part  int
+	Part  int  // partition
 	Keyed bool // begin with the newest record of each key
 	Sink  Sink
-	// OnContact, if set, hears of the view's dependency lost and regained.
+	// OnContact, if set, is called with false when contact with the store is lost, and with true
+	// when it is regained.
 	OnContact func(up bool)
-	// OnWhole, if set, is called when the view is whole for the first time since Run began
-	// with the oldest record. It must not call the Follower.
+	// OnWhole, if set, is called when the view is loaded for the first time after Run began with
+	// the oldest record. It must not call the Follower.
 	OnWhole func()
-	// From, if set, is the offset of the first record that is needed when Run begins to
-	// follow, 0: the oldest one. The topic has no keys.
+	// From, if set, returns the offset of the first record that is needed when Run begins, 0 for
+	// the oldest one. The topic must not be keyed.
 	From func() int64
-	// Relaxed, if set, reports whether nobody here depends on the view now.
+	// Relaxed, if set, reports whether the view is idle: nothing on this daemon currently
+	// depends on it. It is then read less often.
 	Relaxed func() bool
-	// Pause is waited after records before the next read.
+	// Pause is the time between receiving records and the next read.
 	Pause time.Duration
-	// Patient, if set, reports whether nobody here needs the view soon. Then what it lacks is
-	// read with rests, so that those who do get through.
+	// Patient, if set, reports whether the view is of low priority: nothing on this daemon needs
+	// it soon. What it lacks is then read with pauses, so that the reads of daemons that need
+	// theirs get through.
 	Patient func() bool
-	// Now is a clock that goes on while the VM is suspended.
+	// Now is a monotonic clock that runs on while the VM is suspended.
 	Now    func() time.Duration
 	Logger zerolog.Logger
 }
 
-// Follower follows one partition. It is safe for concurrent use.
+// Follower keeps the view of one partition up to date. It is safe for concurrent use.
+//
+// A view is loaded once it has been read to the end of the partition, and up to date while it
+// is at that end.
 type Follower struct {
 	options Options
 
-	mu      sync.Mutex
-	next    int64 // offset of the next record to apply
-	loaded  bool
-	keys    reload        // of a keyed topic whose newest records are being read
-	end     int64         // of the partition at the last read
-	began   time.Duration // when Run began to read from the oldest record
-	bytes   int           // of the records applied until the view was whole
-	current time.Duration // boottime at which the view was last known to be whole
-	lost    bool          // reads have failed for a while
-	failing time.Duration // since when they fail, 0: they don't
-	wait    time.Duration // of the read under way
-	changed chan struct{} // closed at each change of the view
+	mu           sync.Mutex
+	next         int64         // offset of the next record to apply
+	loaded       bool          // the view was up to date once
+	keyScan      keyScan       // of a keyed topic whose newest records are being read
+	partitionEnd int64         // offset of the partition's end at the last read
+	startedAt    time.Duration // when Run began
+	loadedBytes  int           // size of the records applied until the view was loaded
+	currentAt    time.Duration // when the view was last known to be up to date
+	contactLost  bool          // reads have failed for contactLostAfter
+	failingSince time.Duration // since when reads fail, 0: they don't
+	readWait     time.Duration // how long the read in progress waits for a record
+	changed      chan struct{} // closed and replaced each time the view was brought up to date
 
-	hurry chan struct{} // ends the pause of a relaxed view
+	skipPause chan struct{} // ends the pause of an idle view
 }
 
 // New returns a Follower that has read nothing.
 func New(o Options) *Follower {
-	return &Follower{options: o, changed: make(chan struct{}), hurry: make(chan struct{}, 1)}
+	return &Follower{options: o, changed: make(chan struct{}), skipPause: make(chan struct{}, 1)}
 }
 
-// Restart forgets what was read: the next Run begins with the oldest record. It may be
-// called only while Run isn't under way.
+// Restart discards the position: the next Run begins with the oldest record. It must not be
+// called while Run is running.
 func (f *Follower) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = 0
 	f.loaded = false
-	f.keys = reload{}
-	f.end = 0
-	f.bytes = 0
-	f.lost = false
-	f.failing = 0
+	f.keyScan = keyScan{}
+	f.partitionEnd = 0
+	f.loadedBytes = 0
+	f.contactLost = false
+	f.failingSince = 0
 }
 
-// Run follows until the context ends.
+// Run follows the partition until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.begin()
+	f.start()
 	failures := 0
 	for ctx.Err() == nil {
 		began := f.options.Now()
 		err := f.step(ctx)
 		if err == nil {
 			failures = 0
-			f.contact(true, nil)
-			f.rest(ctx, f.options.Now()-began)
+			f.reportContact(true, nil)
+			f.throttle(ctx, f.options.Now()-began)
 			f.pause(ctx)
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		f.contact(false, err)
+		f.reportContact(false, err)
 		failures++
-		pause.For(ctx, f.backoff().Pause(failures, rand.Float64()))
+		pause.For(ctx, f.retryBackoff().Pause(failures, rand.Float64()))
 	}
 }
 
-// backoff is the wait after a failed read.
-func (f *Follower) backoff() retry.Backoff {
+// retryBackoff returns the backoff after a failed read.
+func (f *Follower) retryBackoff() retry.Backoff {
 	if f.options.Patient != nil && !f.Loaded() && f.options.Patient() {
-		return patientBackoff
+		return lowPriorityBackoff
 	}
-	return backoff
+	return defaultBackoff
 }
 
-func (f *Follower) begin() {
+// start sets where and when following begins.
+func (f *Follower) start() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.began = f.options.Now()
+	f.startedAt = f.options.Now()
 	if f.next == 0 && f.options.From != nil {
 		f.next = f.options.From()
 	}
 }
 
+// step does one read.
 func (f *Follower) step(ctx context.Context) error {
-	if f.options.Keyed && (!f.Loaded() || f.reloading()) {
-		return f.reload(ctx)
+	if f.options.Keyed && (!f.Loaded() || f.scanningKeys()) {
+		return f.readKeysPage(ctx)
 	}
 	return f.read(ctx, f.nextWait())
 }
 
-// nextWait is how long the next read waits for a record. A view that isn't loaded, or
-// wasn't read for a while, is brought up to date at once.
+// nextWait returns how long the next read waits for a record. A view that isn't loaded, or
+// whose last read failed, is read without waiting.
 func (f *Follower) nextWait() time.Duration {
-	relaxed := f.relaxed()
+	idle := f.idle()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case !f.loaded || f.failing != 0:
-		f.wait = 0
-	case relaxed:
-		f.wait = RelaxedWait
+	case !f.loaded || f.failingSince != 0:
+		f.readWait = 0
+	case idle:
+		f.readWait = IdleWait
 	default:
-		f.wait = PollWait
+		f.readWait = PollWait
 	}
-	return f.wait
+	return f.readWait
 }
 
-func (f *Follower) relaxed() bool { return f.options.Relaxed != nil && f.options.Relaxed() }
+// idle reports whether nothing on this daemon currently depends on the view.
+func (f *Follower) idle() bool { return f.options.Relaxed != nil && f.options.Relaxed() }
 
-// restShare is how many times as long as a page took a patient view rests before the next.
-// The more daemons read at once the longer their pages take: together they leave all but a
-// small part of the shared rate to others.
-const restShare = 20
+// throttleFactor is the pause of a low-priority view after a page, as a multiple of the time
+// that the page took. The more daemons read at once the longer their pages take, so together
+// they leave all but a small part of the shared rate to others.
+const throttleFactor = 20
 
-// rest follows a page that didn't bring the view up to date.
-func (f *Follower) rest(ctx context.Context, took time.Duration) {
+// throttle pauses a low-priority view after a page that didn't bring it up to date. took is the
+// time that the page took.
+func (f *Follower) throttle(ctx context.Context, took time.Duration) {
 	if f.options.Patient == nil || !f.behind() {
 		return
 	}
-	until := f.options.Now() + restShare*took
+	until := f.options.Now() + throttleFactor*took
 	for ctx.Err() == nil && f.options.Patient() {
 		left := until - f.options.Now()
 		if left <= 0 {
 			return
 		}
-		pause.For(ctx, min(left, patienceLook))
+		pause.For(ctx, min(left, priorityCheckInterval))
 	}
 }
 
-// patienceLook is between two looks whether somebody needs the view soon after all.
-const patienceLook = 50 * time.Millisecond
+// priorityCheckInterval is the time between two checks, during that pause, whether the view is
+// still of low priority.
+const priorityCheckInterval = 50 * time.Millisecond
 
+// behind reports whether the view is known to lack records.
 func (f *Follower) behind() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.keys.begun || f.next < f.end
+	return f.keyScan.started || f.next < f.partitionEnd
 }
 
-// pause spreads the reads of a busy partition.
+// pause waits between two reads of a partition, to limit their number if it is busy.
 func (f *Follower) pause(ctx context.Context) {
-	if !f.Loaded() || f.reloading() {
+	if !f.Loaded() || f.scanningKeys() {
 		return
 	}
 	pause.For(ctx, f.options.Pause)
-	if !f.relaxed() {
+	if !f.idle() {
 		return
 	}
-	rest := time.NewTimer(RelaxedPause - f.options.Pause)
-	defer rest.Stop()
+	timer := time.NewTimer(IdlePause - f.options.Pause)
+	defer timer.Stop()
 	select {
-	case <-rest.C:
-	case <-f.hurry:
+	case <-timer.C:
+	case <-f.skipPause:
 	case <-ctx.Done():
 	}
 }
 
-// Hurry ends the pause of a relaxed view: somebody waits for its next record now.
+// Hurry ends the pause of an idle view, for a caller that waits for its next record.
 func (f *Follower) Hurry() {
 	select {
-	case f.hurry <- struct{}{}:
+	case f.skipPause <- struct{}{}:
 	default:
 	}
 }
 
-// InContact reports whether reads of the view are answered.
+// InContact reports whether the store answers reads of the view: the last one didn't fail.
 func (f *Follower) InContact() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.lost && f.failing == 0
+	return !f.contactLost && f.failingSince == 0
 }
 
-// reload is how far the newest records of a topic's keys were read. A page that fails is
-// read again alone: thousands of keys come in dozens of pages, and from the first one on
-// again none of them would come through where some reads in a hundred fail.
-type reload struct {
-	begun   bool
-	end     int64 // of the partition at the first page; what came since is read after it
-	after   string
-	entries []store.Entry
+// keyScan is the progress of reading the newest records of a topic's keys. If a page fails, only
+// that page is read again: thousands of keys come in dozens of pages, and a scan that began anew
+// would never end where a few reads in a hundred fail.
+type keyScan struct {
+	started bool          // the first page was read
+	end     int64         // of the partition at the first page; later records are read after the scan
+	after   string        // the last key read
+	entries []store.Entry // of all pages read
 }
 
-// reload reads the next page of the newest records, and takes them when all are there.
-func (f *Follower) reload(ctx context.Context) error {
-	after := f.reloaded()
+// readKeysPage reads the next page of the newest records, and resets the view to them once all
+// pages are there.
+func (f *Follower) readKeysPage(ctx context.Context) error {
+	after := f.keyScanAfter()
 	page, err := f.options.Log.Newest(ctx, f.options.Topic, f.options.Part, after)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if after != f.keys.after {
-		return nil // another read was faster
+	if after != f.keyScan.after {
+		return nil // a concurrent call has taken this page
 	}
-	if !f.keys.begun {
-		f.keys = reload{begun: true, end: page.End}
+	if !f.keyScan.started {
+		f.keyScan = keyScan{started: true, end: page.End}
 	}
-	f.keys.entries = append(f.keys.entries, page.Entries...)
-	f.keys.after = page.Last()
+	f.keyScan.entries = append(f.keyScan.entries, page.Entries...)
+	f.keyScan.after = page.Last()
 	if page.More {
 		return nil
 	}
-	whole := f.keys
-	f.keys = reload{}
-	if f.loaded && whole.end < f.next {
+	scan := f.keyScan
+	f.keyScan = keyScan{}
+	if f.loaded && scan.end < f.next {
 		return nil
 	}
-	f.options.Sink.Reset(whole.entries)
-	f.next, f.end = whole.end, whole.end
-	for _, e := range whole.entries {
-		f.bytes += len(e.Value)
+	f.options.Sink.Reset(scan.entries)
+	f.next, f.partitionEnd = scan.end, scan.end
+	for _, e := range scan.entries {
+		f.loadedBytes += len(e.Value)
 	}
-	f.markWholeLocked()
+	f.markLoadedLocked()
 	return nil
 }
 
-// reloaded is the key behind which the next page begins.
-func (f *Follower) reloaded() string {
+// keyScanAfter returns the key after which the next page begins.
+func (f *Follower) keyScanAfter() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.keys.after
+	return f.keyScan.after
 }
 
-func (f *Follower) reloading() bool {
+// scanningKeys reports whether some but not all pages of the newest records were read.
+func (f *Follower) scanningKeys() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.keys.begun
+	return f.keyScan.started
 }
 
+// read reads records from the next offset on and applies them. If there are none, the store
+// waits for one, at most for the time wait.
 func (f *Follower) read(ctx context.Context, wait time.Duration) error {
 	from := f.Next()
 	page, err := f.options.Log.Read(ctx, f.options.Topic, f.options.Part, store.ReadFrom{Offset: from, MaxBytes: pageBytes, Wait: wait})
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
-		return f.skip(ctx, trimmed.First)
+		return f.skipGap(ctx, trimmed.First)
 	}
 	if err != nil {
 		return err
@@ -328,48 +345,50 @@
 	return nil
 }
 
-// skip goes on after a gap: a keyed topic is read anew by its keys, any other
-// goes on with the oldest record that is kept.
-func (f *Follower) skip(ctx context.Context, first int64) error {
+// skipGap continues after records that the store has dropped before they were read: of a keyed
+// topic the newest records are read again, any other topic is read from the oldest record that
+// is kept.
+func (f *Follower) skipGap(ctx context.Context, firstKept int64) error {
 	f.options.Logger.Warn().Str("topic", f.options.Topic).Int("part", f.options.Part).
-		Int64("next", f.Next()).Int64("first_kept", first).Msg("records lost before they were read")
+		Int64("next", f.Next()).Int64("first_kept", firstKept).Msg("records lost before they were read")
 	if f.options.Keyed {
-		return f.reload(ctx)
+		return f.readKeysPage(ctx)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if first > f.next {
-		f.options.Sink.Gap(first)
-		f.next = first
+	if firstKept > f.next {
+		f.options.Sink.Gap(firstKept)
+		f.next = firstKept
 	}
 	return nil
 }
 
+// apply passes the records of a page that begins at the offset from to the sink.
 func (f *Follower) apply(from int64, page store.Page) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, record := range page.Records {
 		offset := from + int64(i)
 		if offset < f.next {
-			continue // another read was faster
+			continue // applied by a concurrent read
 		}
 		f.options.Sink.Record(offset, record)
 		f.next = offset + 1
 		if !f.loaded {
-			f.bytes += len(record)
+			f.loadedBytes += len(record)
 		}
 	}
-	f.end = page.End
+	f.partitionEnd = page.End
 	if f.next >= page.End {
-		f.markWholeLocked()
+		f.markLoadedLocked()
 	}
 }
 
-// markWholeLocked notes that the end was reached, and logs what the first time took.
-func (f *Follower) markWholeLocked() {
+// markLoadedLocked records that the view is up to date, and logs the first time that it is.
+func (f *Follower) markLoadedLocked() {
 	if !f.loaded {
 		f.options.Logger.Info().Str("topic", f.options.Topic).Int("part", f.options.Part).Int64("next", f.next).
-			Int("bytes", f.bytes).Dur("took", f.options.Now()-f.began).Msg("view is whole")
+			Int("bytes", f.loadedBytes).Dur("took", f.options.Now()-f.startedAt).Msg("view is whole")
 		if f.options.OnWhole != nil {
 			f.options.OnWhole()
 		}
@@ -378,14 +397,16 @@
 	f.markCurrentLocked()
 }
 
+// markCurrentLocked records that the view is up to date now, and wakes those that wait for it.
 func (f *Follower) markCurrentLocked() {
-	f.current = f.options.Now()
+	f.currentAt = f.options.Now()
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *Follower) contact(up bool, err error) {
-	if !f.turned(up) {
+// reportContact records whether a read succeeded, and reports contact lost or regained.
+func (f *Follower) reportContact(up bool, err error) {
+	if !f.recordReadResult(up) {
 		return
 	}
 	event := f.options.Logger.Info()
@@ -398,57 +419,58 @@
 	}
 }
 
-// turned notes a read's success or failure and reports whether the store counts as
-// lost or back since.
-func (f *Follower) turned(up bool) bool {
+// recordReadResult records whether a read succeeded, and reports whether contact with the store
+// is lost or regained by that.
+func (f *Follower) recordReadResult(up bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.options.Now()
 	if up {
-		f.failing = 0
-	} else if f.failing == 0 {
-		f.failing = now
+		f.failingSince = 0
+	} else if f.failingSince == 0 {
+		f.failingSince = now
 	}
-	lost := !up && (f.lost || now-f.failing >= lostAfter)
-	turned := lost != f.lost
-	f.lost = lost
-	return turned
+	lost := !up && (f.contactLost || now-f.failingSince >= contactLostAfter)
+	changed := lost != f.contactLost
+	f.contactLost = lost
+	return changed
 }
 
-// Lag is the view's age beyond what its waiting reads explain: above zero for long,
-// the store or the way to it doesn't answer.
+// Lag returns the view's age beyond what its waiting read explains. If it stays above zero, the
+// store doesn't answer or can't be reached.
 func (f *Follower) Lag() time.Duration {
 	age := f.Age()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(0, age-f.wait)
+	return max(0, age-f.readWait)
 }
 
-// Next is the offset of the next record to read.
+// Next returns the offset of the next record to read.
 func (f *Follower) Next() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
 }
 
-// Loaded reports whether the view was whole once.
+// Loaded reports whether the view has been read to the end of the partition once.
 func (f *Follower) Loaded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.loaded
 }
 
-// Age is the time since the view was last known to be whole.
+// Age returns the time since the view was last known to be up to date, an hour if it isn't
+// loaded.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.loaded {
 		return time.Hour
 	}
-	return f.options.Now() - f.current
+	return f.options.Now() - f.currentAt
 }
 
-// Changed is closed at the next read that brings the view up to date.
+// Changed returns a channel that is closed at the next read that brings the view up to date.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -459,14 +481,14 @@
 func (f *Follower) Inspect() inspect.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := inspect.View{Topic: f.options.Topic, Part: f.options.Part, Next: f.next, AgeMS: -1, InContact: !f.lost}
+	out := inspect.View{Topic: f.options.Topic, Part: f.options.Part, Next: f.next, AgeMS: -1, InContact: !f.contactLost}
 	if f.loaded {
-		out.AgeMS = (f.options.Now() - f.current).Milliseconds()
+		out.AgeMS = (f.options.Now() - f.currentAt).Milliseconds()
 	}
 	return out
 }
 
-// CatchUp reads to the end once, beside the read that may be waiting.
+// CatchUp reads to the end of the partition, concurrently with a read of Run that may be waiting.
 func (f *Follower) CatchUp(ctx context.Context) error {
 	if !f.Loaded() {
 		return fmt.Errorf("%w: nothing read yet", store.ErrNotDone)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -14,15 +14,15 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// recorder is a Sink that keeps what it gets.
-type recorder struct {
+// recordingSink is a Sink that records its calls.
+type recordingSink struct {
 	keys    map[string]string
 	offsets []int64
 	gaps    []int64
 	resets  int
 }
 
-func (r *recorder) Reset(entries []store.Entry) {
+func (r *recordingSink) Reset(entries []store.Entry) {
 	r.resets++
 	r.keys = map[string]string{}
 	for _, e := range entries {
@@ -30,19 +30,21 @@
 	}
 }
 
-func (r *recorder) Record(offset int64, _ []byte) { r.offsets = append(r.offsets, offset) }
-func (r *recorder) Gap(first int64)               { r.gaps = append(r.gaps, first) }
+func (r *recordingSink) Record(offset int64, _ []byte) { r.offsets = append(r.offsets, offset) }
+func (r *recordingSink) Gap(first int64)               { r.gaps = append(r.gaps, first) }
 
-type setup struct {
+// fixture is a Follower of a topic with one partition in a fake store.
+type fixture struct {
 	store    *metastore.Store
 	client   *metastore.Client
-	sink     *recorder
+	sink     *recordingSink
 	follower *Follower
 	contacts []bool
 }
 
-func newSetup(keyed bool, topic string) *setup {
-	s := &setup{store: metastore.New(1), sink: &recorder{}}
+// newFixture returns a Follower that isn't running yet.
+func newFixture(keyed bool, topic string) *fixture {
+	s := &fixture{store: metastore.New(1), sink: &recordingSink{}}
 	s.client = metastore.NewClient(s.store, time.Second)
 	start := time.Now()
 	s.follower = New(Options{
@@ -53,7 +55,8 @@
 	return s
 }
 
-func (s *setup) run(t *testing.T) {
+// run runs the Follower until the test ends.
+func (s *fixture) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -66,13 +69,13 @@
 	})
 }
 
-// After the loss of all VMs a daemon reads a long log in several pages. If it took
-// its view for whole after the first, it would run batches whose end stands in a
-// later one: engines get samples long after their trainer ended them.
-func TestViewIsLoadedAtTheEndOnly(t *testing.T) {
+// Guards against a view that counts as loaded after the first of several pages, as when a
+// daemon reads a long log after the loss of all VMs. The daemon would run batches whose end is
+// in a later page, and engines would get samples long after their trainer ended them.
+func TestViewIsLoadedOnlyAtTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newSetup(false, "long")
+		s := newFixture(false, "long")
 		big := make([]byte, 700<<10)
 		for range 3 {
 			_, err := s.client.Append(context.Background(), "long", 0, [][]byte{big})
@@ -88,13 +91,13 @@
 	})
 }
 
-// The store forgets its history while a daemon is cut off. The configuration that
-// was written meanwhile stands only among the newest records, which the daemon has
-// to read anew; it would follow a hole for ever otherwise.
-func TestLostHistoryIsReadAnewByKeys(t *testing.T) {
+// Guards against a daemon that never catches up after the store has dropped its history while
+// the daemon was cut off: a configuration written meanwhile is only among the newest records
+// of the keys, so the daemon must read these again.
+func TestKeyedTopicIsReloadedAfterLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newSetup(true, "keyed.x")
+		s := newFixture(true, "keyed.x")
 		g.Expect(s.store.Put("keyed.x", "config", []byte("1"))).To(Succeed())
 		s.run(t)
 		time.Sleep(time.Second)
@@ -112,12 +115,13 @@
 	})
 }
 
-// A partition loses its oldest records before a slow daemon read them. It goes on
-// with the oldest that is kept and says so.
-func TestGapInAPlainTopic(t *testing.T) {
+// Guards against a gap that goes unnoticed: when a partition loses its oldest records before a
+// slow daemon has read them, the daemon must continue with the oldest that is kept and report
+// the gap.
+func TestGapInUnkeyedTopicIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newSetup(false, "plain")
+		s := newFixture(false, "plain")
 		for range 4 {
 			_, err := s.client.Append(context.Background(), "plain", 0, [][]byte{{1}})
 			g.Expect(err).NotTo(HaveOccurred())
@@ -130,12 +134,12 @@
 	})
 }
 
-// A connection falls silent: no error, no record. The view's age has to show it
-// within two polls, or a daemon tells trainers that nothing new is there.
-func TestAgeShowsASilentConnection(t *testing.T) {
+// Guards against a connection that stops delivering without an error. The view's age must show
+// it within two polls, or a daemon tells trainers that there is nothing new.
+func TestAgeShowsUnresponsiveConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newSetup(false, "quiet")
+		s := newFixture(false, "quiet")
 		s.run(t)
 		time.Sleep(5 * time.Second)
 		g.Expect(s.follower.Age()).To(BeNumerically("<", StaleAfter))
@@ -146,57 +150,58 @@
 	})
 }
 
-// Eighty daemons read at once and the store refuses some calls for a moment. Taken
-// for an outage, a server's removal from the registry is put off, and the server gets
-// requests seconds after it said that it leaves.
-func TestRefusalForAMomentIsNoOutage(t *testing.T) {
+// Guards against refused calls that count as an outage: when 80 daemons read at once, the store
+// refuses some calls for a moment. Taken for an outage, they would delay a server's removal from
+// the registry, and the server would get requests seconds after it said that it is leaving.
+func TestMomentaryRefusalsAreNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newSetup(false, "busy")
+		s := newFixture(false, "busy")
 		s.run(t)
 		time.Sleep(time.Second)
 		for range 5 {
 			s.client.SetFaults(metastore.Faults{Refuse: true})
-			time.Sleep(lostAfter / 2)
+			time.Sleep(contactLostAfter / 2)
 			s.client.SetFaults(metastore.Faults{})
 			time.Sleep(2 * time.Second)
 		}
 		g.Expect(s.contacts).To(BeEmpty())
 		s.client.SetFaults(metastore.Faults{Refuse: true})
-		time.Sleep(PollWait + 2*lostAfter)
+		time.Sleep(PollWait + 2*contactLostAfter)
 		g.Expect(s.contacts).To(Equal([]bool{false}))
 	})
 }
 
-// A busy partition that nobody here depends on must not cost a read for each append:
-// dozens of daemons would exceed what the store allows, and all views fall behind.
-func TestRelaxedViewReadsSeldom(t *testing.T) {
+// Guards against one read for each append to a busy partition that nothing on this daemon
+// depends on: dozens of daemons would exceed what the store allows, and all views fall behind.
+func TestIdleViewReadsRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newSetup(false, "busy")
-		relaxed := true
-		s.follower.options.Relaxed = func() bool { return relaxed }
-		counted := &countingLog{Log: s.client}
-		s.follower.options.Log = counted
+		s := newFixture(false, "busy")
+		idle := true
+		s.follower.options.Relaxed = func() bool { return idle }
+		log := &countingLog{Log: s.client}
+		s.follower.options.Log = log
 		s.run(t)
-		appends := func(n int) {
+		appendRecords := func(n int) {
 			for range n {
 				_, err := s.client.Append(context.Background(), "busy", 0, [][]byte{{1}})
 				g.Expect(err).NotTo(HaveOccurred())
 				time.Sleep(10 * time.Millisecond)
 			}
 		}
-		appends(200) // in two seconds
-		g.Expect(counted.reads).To(BeNumerically("<=", 2*time.Second/RelaxedPause+3))
-		relaxed = false
-		counted.reads = 0
-		appends(200)
-		g.Expect(counted.reads).To(BeNumerically(">", 100), "whoever depends on it sees each record at once")
+		appendRecords(200) // in two seconds
+		g.Expect(log.reads).To(BeNumerically("<=", 2*time.Second/IdlePause+3))
+		idle = false
+		log.reads = 0
+		appendRecords(200)
+		g.Expect(log.reads).To(BeNumerically(">", 100), "a view that isn't idle gets each record at once")
 		time.Sleep(time.Second)
 		g.Expect(s.sink.offsets).To(HaveLen(400))
 	})
 }
 
+// countingLog counts the reads.
 type countingLog struct {
 	store.Log
 	reads int
@@ -207,30 +212,30 @@
 	return c.Log.Read(ctx, topic, part, from)
 }
 
-// everyThird refuses each third page of newest records.
-type everyThird struct {
+// failEveryThird fails every third read of a page of newest records.
+type failEveryThird struct {
 	store.Log
 	calls int
 }
 
-func (l *everyThird) Newest(ctx context.Context, topic string, part int, after string) (store.NewestPage, error) {
+func (l *failEveryThird) Newest(ctx context.Context, topic string, part int, after string) (store.NewestPage, error) {
 	if l.calls++; l.calls%3 == 0 {
 		return store.NewestPage{}, store.ErrNotDone
 	}
 	return l.Log.Newest(ctx, topic, part, after)
 }
 
-// Guards against a view of many keys that never is whole because each page that fails
-// begins the whole read anew.
-func TestPagesOfKeysThatFailAreReadAgainAlone(t *testing.T) {
+// Guards against a view of many keys that is never loaded because each page that fails begins
+// the whole scan anew.
+func TestOnlyFailedPagesOfKeysAreReadAgain(t *testing.T) {
 	const keys = 700
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		s := newSetup(true, "keyed.x")
+		s := newFixture(true, "keyed.x")
 		for n := range keys {
 			g.Expect(s.store.Put("keyed.x", fmt.Sprint("key", n), []byte("v"))).To(Succeed())
 		}
-		s.follower.options.Log = &everyThird{Log: s.client}
+		s.follower.options.Log = &failEveryThird{Log: s.client}
 		s.run(t)
 		time.Sleep(time.Second)
 		g.Expect(s.follower.Loaded()).To(BeTrue())
--- a/internal/follow/held.go
+++ b/internal/follow/held.go
@@ -8,54 +8,54 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// LookInterval is between two looks whether anybody still holds a view.
+// LookInterval is the time between two checks whether anybody still holds a view.
 const LookInterval = time.Second
 
-// HeldOptions of a Held.
+// HeldOptions adds the options of following on demand.
 type HeldOptions struct {
 	Options
-	// Linger is how long a whole view is followed on after the last hold ended.
+	// Linger is how long a loaded view is still followed after the last hold has ended.
 	Linger time.Duration
-	// OnForget is called when the view isn't followed any more: what the sink was given
-	// is old from now on. Nobody holds the view then.
+	// OnForget is called when the view isn't followed any more, so that what the sink was given
+	// is out of date from now on. Nobody holds the view then.
 	OnForget func()
 }
 
-// Held follows a partition of the log only while somebody holds its view. Were each daemon
-// to follow whatever it may need some day, the reads of a fleet would grow with its daemons
-// times the topics. It is safe for concurrent use.
+// Held follows a partition of the log only while somebody holds its view. If each daemon
+// followed everything that it may need some day, the reads of a fleet would grow with the
+// number of daemons times the number of topics. It is safe for concurrent use.
 type Held struct {
 	*Follower
 	options HeldOptions
-	needs   chan struct{} // wakes Run when a hold begins
+	wakeups chan struct{} // wakes Run when a hold begins
 
-	mu        sync.Mutex
-	following bool          // the log is read
-	holds     int           // who needs the view now
-	released  time.Duration // when the last hold ended
+	mu         sync.Mutex
+	following  bool          // the partition is followed
+	holders    int           // number of holds that haven't ended
+	releasedAt time.Duration // when the last hold ended, in Options.Now's time
 }
 
-// NewHeld returns a Held that nobody holds.
+// NewHeld returns one that nobody holds.
 func NewHeld(o HeldOptions) *Held {
-	return &Held{Follower: New(o.Options), options: o, needs: make(chan struct{}, 1)}
+	return &Held{Follower: New(o.Options), options: o, wakeups: make(chan struct{}, 1)}
 }
 
-// Run follows the log whenever somebody holds the view, until the context ends.
+// Run follows the partition whenever somebody holds the view, until the context ends.
 func (h *Held) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.needs:
-			h.session(ctx)
+		case <-h.wakeups:
+			h.followWhileHeld(ctx)
 		}
 	}
 }
 
-// session follows the log from its oldest record until nobody needs the view any more,
-// and then forgets it.
-func (h *Held) session(ctx context.Context) {
-	if !h.begin() {
+// followWhileHeld follows the partition from its oldest record until nobody holds the view any
+// more, and then discards the view.
+func (h *Held) followWhileHeld(ctx context.Context) {
+	if !h.startFollowing() {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -64,38 +64,39 @@
 		h.Follower.Run(ctx)
 		close(done)
 	}()
-	for ctx.Err() == nil && !h.end() {
+	for ctx.Err() == nil && !h.stopIfUnused() {
 		pause.For(ctx, LookInterval)
 	}
 	cancel()
 	<-done
-	h.forget()
+	h.discard()
 }
 
-// begin reports whether somebody needs the view, which is followed from now on.
-func (h *Held) begin() bool {
+// startFollowing reports whether somebody holds the view, and if so, marks it as followed.
+func (h *Held) startFollowing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.following = h.holds > 0
+	h.following = h.holders > 0
 	return h.following
 }
 
-// end reports whether nobody has needed the view for a while, which isn't followed from
-// now on: whoever holds it next waits for a new session. A view that isn't whole is of no
-// use to those that come: they are daemons without a way to the store, and all of them
-// would read on when an outage ends.
-func (h *Held) end() bool {
-	whole := h.Follower.Loaded()
+// stopIfUnused reports whether nobody has held the view for Linger, and if so, marks it as not
+// followed: the next holder waits for another run of followWhileHeld. A view that isn't loaded
+// is stopped without Linger. It is of no use to the next holder, it occurs on daemons that
+// can't reach the store, and when an outage ends all of them would continue to read it.
+func (h *Held) stopIfUnused() bool {
+	loaded := h.Follower.Loaded()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holds > 0 || whole && h.options.Now()-h.released < h.options.Linger {
+	if h.holders > 0 || loaded && h.options.Now()-h.releasedAt < h.options.Linger {
 		return false
 	}
 	h.following = false
 	return true
 }
 
-func (h *Held) forget() {
+// discard resets the view, and starts following it again if it has a new holder.
+func (h *Held) discard() {
 	h.mu.Lock()
 	h.following = false
 	h.mu.Unlock()
@@ -110,45 +111,46 @@
 // Hold keeps the view followed until release is called.
 func (h *Held) Hold() (release func()) {
 	h.mu.Lock()
-	h.holds++
+	h.holders++
 	h.mu.Unlock()
 	h.wake()
 	return sync.OnceFunc(func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.holds--
-		h.released = h.options.Now()
+		h.holders--
+		h.releasedAt = h.options.Now()
 	})
 }
 
+// wake makes Run check whether somebody holds the view.
 func (h *Held) wake() {
 	select {
-	case h.needs <- struct{}{}:
+	case h.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// Loaded reports whether the view was whole once since it's followed.
+// Loaded reports whether the view has been read to the end of the partition since it is followed.
 func (h *Held) Loaded() bool {
-	// Not under mu: records are applied under the follower's lock.
+	// The Follower isn't called under mu, since it calls the sink under its own lock.
 	return h.Following() && h.Follower.Loaded()
 }
 
-// Following reports whether the log is read now.
+// Following reports whether the partition is followed now.
 func (h *Held) Following() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.following
 }
 
-// Held reports whether somebody needs the view now.
+// Held reports whether somebody holds the view and it is followed.
 func (h *Held) Held() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.following && h.holds > 0
+	return h.following && h.holders > 0
 }
 
-// Await waits until the view, which the caller holds, is whole.
+// Await waits until the view, which the caller must hold, is loaded.
 func (h *Held) Await(ctx context.Context) error {
 	for {
 		changed := h.Changed()
