--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -7,16 +7,16 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against short, similar names that crowd in one part of the range, and against a
+// Guards against short, similar names that hash to a narrow part of the range, and against a
 // hash that differs between versions of the daemon.
 func TestHash(t *testing.T) {
 	g := NewWithT(t)
 	const names, buckets = 10_000, 10
-	var count [buckets]int
+	var counts [buckets]int
 	for i := range names {
-		count[Hash(fmt.Sprint("e", i))>>32%buckets]++
+		counts[Hash(fmt.Sprint("e", i))>>32%buckets]++
 	}
-	for _, n := range count {
+	for _, n := range counts {
 		g.Expect(n).To(BeNumerically("~", names/buckets, names/buckets/8))
 	}
 	g.Expect(Hash("ab", "c")).NotTo(Equal(Hash("a", "bc")))
