--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -68,7 +68,7 @@
 type Options struct {
 	Log   store.Log
 	Topic string
-	Part  int  // partition
+	Part  int  // partition number
 	Keyed bool // begin with the newest record of each key
 	Sink  Sink
 	// OnContact, if set, is called with false when contact with the store is lost, and with true
--- a/internal/relay/publisher.go
+++ b/internal/relay/publisher.go
@@ -169,10 +169,10 @@
 		return
 	}
 	daemons := 0
-	for part := range p.shards {
+	for partition := range p.shards {
 		for page := (store.NewestPage{More: true}); page.More; {
 			var err error
-			if page, err = p.options.Log.Newest(ctx, topic, part, page.Last()); err != nil {
+			if page, err = p.options.Log.Newest(ctx, topic, partition, page.Last()); err != nil {
 				p.options.Logger.Debug().Err(err).Msg("daemons not counted")
 				return
 			}
