--- a/internal/batchrun/answer.go
+++ b/internal/batchrun/answer.go
@@ -266,13 +266,13 @@
 // ErrUnreachable at once.
 func (r remoteHandler) do(ctx context.Context, call func() error) error {
 	now, suspects := r.s.options.Now(), r.s.options.Suspects
-	if r.s.options.Peers == nil || suspects.Holds(r.address, now) {
+	if r.s.options.Peers == nil || suspects.IsSuspect(r.address, now) {
 		return ErrUnreachable
 	}
 	err := call()
 	switch {
 	case !errors.Is(err, ErrUnreachable):
-		suspects.Worked(r.address)
+		suspects.Succeeded(r.address)
 	case ctx.Err() != nil && errors.Is(context.Cause(ctx), context.Canceled):
 		// The caller cancelled the call, so the daemon isn't suspect.
 	default:
--- a/internal/batchrun/look.go
+++ b/internal/batchrun/look.go
@@ -248,5 +248,5 @@
 			delete(r.finished, key)
 		}
 	}
-	r.crashes.Keep(func(key sampleKey) bool { return wanted[key.batch] })
+	r.crashes.RetainOnly(func(key sampleKey) bool { return wanted[key.batch] })
 }
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -33,7 +33,7 @@
 // allocationDemand returns the demand by model by which engines are allocated, nil for an
 // equal split.
 func (r *runner) allocationDemand() map[string]int {
-	if !r.s.options.Policy.On(policy.Demand) {
+	if !r.s.options.Policy.Enabled(policy.Demand) {
 		return nil
 	}
 	return r.s.modelPartitions.demand()
@@ -73,8 +73,8 @@
 		return
 	}
 	in := loads.Input{Newest: r.s.options.View.Published()[model], Next: w.nextMinVersion, Waiting: len(w.waiting), Active: w.active,
-		Retain: !w.singleVersion && r.s.options.Policy.On(policy.Retain)}
-	if !r.s.options.Policy.On(policy.SparedLoads) {
+		Retain: !w.singleVersion && r.s.options.Policy.Enabled(policy.Retain)}
+	if !r.s.options.Policy.Enabled(policy.SparedLoads) {
 		in.Next = 0
 	}
 	for _, x := range w.waiting {
--- a/internal/batchrun/policy.go
+++ b/internal/batchrun/policy.go
@@ -21,7 +21,7 @@
 // mechanisms off.
 func Ours(set policy.Set) Policy {
 	planner := batch.Planner{
-		Arrival: !set.On(policy.LatestStart), AnyVersion: !set.On(policy.Fitting), AnySpeed: !set.On(policy.Hardware),
+		Arrival: !set.Enabled(policy.LatestStart), AnyVersion: !set.Enabled(policy.Fitting), AnySpeed: !set.Enabled(policy.Hardware),
 	}
 	return Policy{Set: set, PlanSamples: planner.Plan, PlanLoads: loads.Decide}
 }
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -59,7 +59,7 @@
 // owner's view gets each record within some ms anyway. If the store doesn't answer in time the
 // view is used as it is: the results in it are valid.
 func (s *Service) refreshView(ctx context.Context, p *partition) {
-	if !p.hasNoDependents() || p.follower.Age() <= maxReadAge || !p.follower.InContact() || !s.options.Policy.On(policy.Closing) {
+	if !p.hasNoDependents() || p.follower.Age() <= maxReadAge || !p.follower.InContact() || !s.options.Policy.Enabled(policy.Closing) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
@@ -104,7 +104,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	var scoresTimeout <-chan time.Time
-	for mayWait, awaitScores := true, s.options.Policy.On(policy.Closing); ; {
+	for mayWait, awaitScores := true, s.options.Policy.Enabled(policy.Closing); ; {
 		l, changed, ok := p.listing(id, after)
 		switch {
 		case !ok:
--- a/internal/batchrun/rescue.go
+++ b/internal/batchrun/rescue.go
@@ -20,10 +20,10 @@
 // moveSamplesLocked moves samples of a model off slow engines. engines are those allocated to
 // the model.
 func (r *runner) moveSamplesLocked(model string, engines []registry.Upstream, w *modelWork, now time.Duration) {
-	if r.s.options.Policy.On(policy.Moves) {
+	if r.s.options.Policy.Enabled(policy.Moves) {
 		r.moveFromSlowEnginesLocked(model, engines, now)
 	}
-	if len(w.waiting) == 0 && r.s.options.Policy.On(policy.Hardware) {
+	if len(w.waiting) == 0 && r.s.options.Policy.Enabled(policy.Hardware) {
 		r.moveFromSlowHardwareLocked(engines, now)
 	}
 }
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -52,7 +52,7 @@
 	estimator      *batch.Estimator
 	finished       map[sampleKey]bool // their result is in the outbox
 	retries        map[sampleKey]retryState
-	crashes        *crashes.Samples[sampleKey]
+	crashes        *crashes.SampleTracker[sampleKey]
 	crashChecks    map[string][]brokenRun     // by incarnation being checked, the runs that broke there
 	engines        map[string]*engine         // by incarnation
 	requests       map[string][]batch.Request // by ID of an open batch, nil while they are read
@@ -117,7 +117,7 @@
 		s: s, partition: p, outbox: newOutbox(s.options.Log, s.blobs, p.number, log), inContact: inContact, log: log,
 		wakeups: make(chan struct{}, 1), runs: map[sampleKey]*run{}, texts: map[sampleKey]*text{}, rewardCalls: map[sampleKey]*rewardCall{}, estimator: batch.NewEstimator(),
 		demandNotBefore: map[string]time.Duration{}, requests: map[string][]batch.Request{}, finished: map[sampleKey]bool{}, retries: map[sampleKey]retryState{}, engines: map[string]*engine{},
-		crashes: crashes.NewSamples[sampleKey](), crashChecks: map[string][]brokenRun{},
+		crashes: crashes.NewSampleTracker[sampleKey](), crashChecks: map[string][]brokenRun{},
 	}
 }
 
@@ -167,7 +167,7 @@
 		began := time.Now()
 		r.reconcile(ctx)
 		pause.For(ctx, min(restFactor*time.Since(began), reconcileInterval))
-		if now := r.s.options.Now(); now-last >= checkpointInterval && r.s.options.Policy.On(policy.Checkpoints) {
+		if now := r.s.options.Now(); now-last >= checkpointInterval && r.s.options.Policy.Enabled(policy.Checkpoints) {
 			r.mu.Lock()
 			r.checkpointLocked()
 			r.mu.Unlock()
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -63,7 +63,7 @@
 
 // isSuspect reports whether an incarnation gets no work because it recently failed.
 func (r *runner) isSuspect(incarnation string, now time.Duration) bool {
-	return r.s.options.Suspects.Holds(incarnation, now)
+	return r.s.options.Suspects.IsSuspect(incarnation, now)
 }
 
 // unusableLocked reports whether an engine, given by its incarnation, gets no sample now.
@@ -155,7 +155,7 @@
 	r.logRunEnd(x, err, now)
 	sampleRunTime.Observe(now - x.startedAt)
 	if err == nil {
-		r.s.options.Suspects.Worked(x.incarnation)
+		r.s.options.Suspects.Succeeded(x.incarnation)
 		if x.startEvents == 0 {
 			r.estimator.Observe(x.expectedTokens, x.text.eventCount(), now-x.startedAt)
 		}
@@ -199,12 +199,12 @@
 	default:
 		sampleRunsBroken.Add(1)
 		if x.text.eventCount() > x.startEvents {
-			r.s.options.Suspects.Worked(x.incarnation) // it did until the run broke off
+			r.s.options.Suspects.Succeeded(x.incarnation) // it did until the run broke off
 		}
-		if r.s.options.Policy.On(policy.Suspicion) {
+		if r.s.options.Policy.Enabled(policy.Suspicion) {
 			r.s.options.Suspects.Failed(x.incarnation, now)
 		}
-		if r.s.options.Policy.On(policy.Trials) && !errors.Is(err, ErrDown) {
+		if r.s.options.Policy.Enabled(policy.Trials) && !errors.Is(err, ErrDown) {
 			retry.notBefore = now + crashCheckDelay
 			r.checkCrashLocked(x)
 		}
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -36,7 +36,7 @@
 
 // refusalBackoff is the wait after a refusal by the store. A trainer waits for two of them at
 // most.
-var refusalBackoff = retry.Backoff{First: 120 * time.Millisecond, Max: 240 * time.Millisecond}
+var refusalBackoff = retry.Backoff{Initial: 120 * time.Millisecond, Max: 240 * time.Millisecond}
 
 // Submit accepts a batch. It is idempotent by the batch's ID. A nil error means that the batch is
 // durable. Errors: ErrNotRun, ErrUnknown, ErrTooLarge.
@@ -124,7 +124,7 @@
 		}
 		if errors.Is(err, store.ErrNotDone) {
 			refusals++
-			pause.For(ctx, refusalBackoff.Pause(refusals, rand.Float64()))
+			pause.For(ctx, refusalBackoff.Delay(refusals, rand.Float64()))
 		}
 		if refusals == maxRefusals || ctx.Err() != nil || errors.Is(err, store.ErrRejected) {
 			return 0, nil, errors.Join(ErrNotRun, err)
@@ -186,7 +186,7 @@
 			if refusals++; refusals == maxRefusals {
 				break
 			}
-			pause.For(ctx, refusalBackoff.Pause(refusals, rand.Float64()))
+			pause.For(ctx, refusalBackoff.Delay(refusals, rand.Float64()))
 			continue
 		}
 		unknown = true
--- a/internal/batchrun/trial.go
+++ b/internal/batchrun/trial.go
@@ -80,8 +80,8 @@
 		}
 		sampleRunsCrashed.Add(1)
 		r.crashes.Crashed(b.key, incarnation, b.events, b.alone, now)
-		standing, _ := r.crashes.Standing(b.key)
-		lost, _ := r.crashes.Crashes(b.key)
+		standing, _ := r.crashes.RunMode(b.key)
+		lost, _ := r.crashes.CrashCount(b.key)
 		r.log.Warn().Str("batch", b.key.batch).Str("sample", b.sampleID).Str("upstream", incarnation).Int("events", b.events).Int("beside", len(broken)-1).
 			Bool("alone", b.alone).Int("crashes", lost).Stringer("standing", standing).Msg("engine crashed under a sample")
 	}
@@ -103,7 +103,7 @@
 // splitTrialsLocked separates the samples that have to run alone from the others.
 func (r *runner) splitTrialsLocked(waiting []batch.Waiting) (ordinary, trials []batch.Waiting) {
 	for _, w := range waiting {
-		standing, from := r.crashes.Standing(sampleKey{w.Batch, w.Index})
+		standing, from := r.crashes.RunMode(sampleKey{w.Batch, w.Index})
 		if standing == crashes.Ordinary {
 			ordinary = append(ordinary, w)
 			continue
@@ -139,7 +139,7 @@
 		r.startRunLocked(ctx, model, u, w)
 		if x := r.runs[sampleKey{w.Batch, w.Index}]; x != nil {
 			x.trial, e.trial = true, true
-			lost, _ := r.crashes.Crashes(x.key)
+			lost, _ := r.crashes.CrashCount(x.key)
 			r.log.Info().Str("batch", w.Batch).Str("sample", x.sampleID).Str("upstream", x.incarnation).Int("crashes", lost).Msg("sample runs alone")
 		}
 		return
@@ -179,6 +179,6 @@
 			best, ok = u, true
 		}
 	}
-	_, last := r.crashes.Crashes(sampleKey{w.Batch, w.Index})
+	_, last := r.crashes.CrashCount(sampleKey{w.Batch, w.Index})
 	return best, ok && (usable > 1 || now >= last+crashes.CrasherPause)
 }
--- a/internal/crashes/crashes_test.go
+++ b/internal/crashes/crashes_test.go
@@ -70,7 +70,7 @@
 	return &cluster{metastore.New(1), ctx, cancel}
 }
 
-func (c *cluster) daemon(name string) *Service {
+func (c *cluster) daemon(name string) *Tracker {
 	start := time.Now()
 	s := New(name, metastore.NewClient(c.store, time.Second), func() time.Duration { return time.Since(start) }, zerolog.Nop())
 	go s.Run(c.ctx)
--- a/internal/crashes/samples.go
+++ b/internal/crashes/samples.go
@@ -20,22 +20,22 @@
 	CrasherPause = 4 * time.Second
 )
 
-// Standing says how a sample may run.
-type Standing int
+// RunMode says how a sample may run.
+type RunMode int
 
 // The ways to run.
 const (
-	Ordinary Standing = iota // beside other samples
-	Trial                    // alone, until it is past the position where upstreams crashed
-	Crasher                  // alone, and with a pause after each upstream that it crashed
+	Ordinary RunMode = iota // beside other samples
+	Trial                   // alone, until it is past the position where upstreams crashed
+	Crasher                 // alone, and with a pause after each upstream that it crashed
 )
 
 // String returns the name used in logs.
-func (s Standing) String() string { return [...]string{"ordinary", "trial", "crasher"}[s] }
+func (s RunMode) String() string { return [...]string{"ordinary", "trial", "crasher"}[s] }
 
-// Samples tracks the upstreams that crashed under samples and decides how each sample may
+// SampleTracker tracks the upstreams that crashed under samples and decides how each sample may
 // run. Unlike a caller's request, a sample that crashes its upstreams can't be refused: its
-// batch keeps it until the batch's retention ends. Samples does no I/O and has no lock or
+// batch keeps it until the batch's retention ends. SampleTracker does no I/O and has no lock or
 // clock; the caller passes the time in.
 //
 // Invariants:
@@ -43,7 +43,7 @@
 //     with other samples, and runs alone from the third one on;
 //   - a sample that got progressMargin events past its last crash is ordinary again, until
 //     it has lost trialAfterTotal upstreams.
-type Samples[K comparable] struct {
+type SampleTracker[K comparable] struct {
 	byKey map[K]*sampleState // samples that lost an upstream
 }
 
@@ -57,12 +57,14 @@
 	crashedAlone bool          // it was alone on one of the upstreams
 }
 
-// NewSamples returns an empty set.
-func NewSamples[K comparable]() *Samples[K] { return &Samples[K]{byKey: map[K]*sampleState{}} }
+// NewSampleTracker returns an empty set.
+func NewSampleTracker[K comparable]() *SampleTracker[K] {
+	return &SampleTracker[K]{byKey: map[K]*sampleState{}}
+}
 
 // Crashed records that an upstream crashed while a sample ran on it and had this many
 // events. alone says that no other sample ran there. The crash of one process counts once.
-func (s *Samples[K]) Crashed(key K, upstream string, events int, alone bool, now time.Duration) {
+func (s *SampleTracker[K]) Crashed(key K, upstream string, events int, alone bool, now time.Duration) {
 	state := s.byKey[key]
 	if state == nil {
 		state = &sampleState{}
@@ -84,7 +86,7 @@
 
 // Progressed takes the number of events that a running sample has, and reports whether that
 // ends its trial.
-func (s *Samples[K]) Progressed(key K, events int) bool {
+func (s *SampleTracker[K]) Progressed(key K, events int) bool {
 	state := s.byKey[key]
 	if state == nil || state.consecutive == 0 || state.total >= trialAfterTotal || events < state.furthest+progressMargin {
 		return false
@@ -94,8 +96,8 @@
 	return inTrial
 }
 
-// Standing returns how a sample may run, and from what time on.
-func (s *Samples[K]) Standing(key K) (Standing, time.Duration) {
+// RunMode returns how a sample may run, and from what time on.
+func (s *SampleTracker[K]) RunMode(key K) (RunMode, time.Duration) {
 	state := s.byKey[key]
 	switch {
 	case state == nil || state.consecutive < trialAfterConsecutive && state.total < trialAfterTotal:
@@ -106,16 +108,16 @@
 	return Crasher, state.lastCrash + CrasherPause
 }
 
-// Crashes returns how many upstreams a sample has lost, and when it lost the last one.
-func (s *Samples[K]) Crashes(key K) (n int, last time.Duration) {
+// CrashCount returns how many upstreams a sample has lost, and when it lost the last one.
+func (s *SampleTracker[K]) CrashCount(key K) (n int, last time.Duration) {
 	if state := s.byKey[key]; state != nil {
 		return state.total, state.lastCrash
 	}
 	return 0, 0
 }
 
-// Keep drops the samples that aren't wanted.
-func (s *Samples[K]) Keep(wanted func(K) bool) {
+// RetainOnly drops the samples that aren't wanted.
+func (s *SampleTracker[K]) RetainOnly(wanted func(K) bool) {
 	for key := range s.byKey {
 		if !wanted(key) {
 			delete(s.byKey, key)
--- a/internal/crashes/samples_test.go
+++ b/internal/crashes/samples_test.go
@@ -19,7 +19,7 @@
 	at           time.Duration
 }
 
-func (r *referenceSample) runMode() (Standing, time.Duration) {
+func (r *referenceSample) runMode() (RunMode, time.Duration) {
 	var total, consecutive, furthest int
 	var lastCrash time.Duration
 	crashedAlone := false
@@ -46,15 +46,15 @@
 	return Crasher, lastCrash + CrasherPause
 }
 
-func runModeOf(s *Samples[string]) Standing {
-	mode, _ := s.Standing("x")
+func runModeOf(s *SampleTracker[string]) RunMode {
+	mode, _ := s.RunMode("x")
 	return mode
 }
 
 // A sample crashes each engine at the same event of its text.
 func TestCrasherRunsAloneFromItsThirdEngineOn(t *testing.T) {
 	g := NewWithT(t)
-	s := NewSamples[string]()
+	s := NewSampleTracker[string]()
 	s.Crashed("x", "a", 7, false, time.Second)
 	g.Expect(runModeOf(s)).To(Equal(Ordinary))
 	s.Crashed("x", "b", 7, false, 2*time.Second)
@@ -62,7 +62,7 @@
 	s.Crashed("x", "b", 7, true, 3*time.Second)
 	g.Expect(runModeOf(s)).To(Equal(Trial), "the crash of this engine is known already")
 	s.Crashed("x", "c", 7, true, 3*time.Second)
-	mode, notBefore := s.Standing("x")
+	mode, notBefore := s.RunMode("x")
 	g.Expect(mode).To(Equal(Crasher))
 	g.Expect(notBefore).To(Equal(3*time.Second + CrasherPause))
 }
@@ -72,7 +72,7 @@
 // again.
 func TestSampleLeavesItsTrialPastThePositionOfItsCrash(t *testing.T) {
 	g := NewWithT(t)
-	s := NewSamples[string]()
+	s := NewSampleTracker[string]()
 	s.Crashed("x", "a", 7, false, time.Second)
 	g.Expect(s.Progressed("x", 7+progressMargin)).To(BeFalse(), "it had no trial")
 	s.Crashed("x", "b", 9, false, 2*time.Second)
@@ -86,24 +86,24 @@
 
 func TestSampleThatGetsFurtherEachTimeRunsAloneAfterFourCrashes(t *testing.T) {
 	g := NewWithT(t)
-	s := NewSamples[string]()
+	s := NewSampleTracker[string]()
 	for n := range trialAfterTotal {
 		g.Expect(runModeOf(s)).To(Equal(Ordinary))
 		s.Crashed("x", fmt.Sprint(n), 10*n, false, time.Second)
 	}
 	g.Expect(runModeOf(s)).To(Equal(Trial))
 	g.Expect(s.Progressed("x", 100)).To(BeFalse())
-	n, last := s.Crashes("x")
+	n, last := s.CrashCount("x")
 	g.Expect(n).To(Equal(trialAfterTotal))
 	g.Expect(last).To(Equal(time.Second))
 }
 
 func TestSamplesNotWantedAreDropped(t *testing.T) {
 	g := NewWithT(t)
-	s := NewSamples[string]()
+	s := NewSampleTracker[string]()
 	s.Crashed("x", "a", 1, false, 0)
-	s.Keep(func(string) bool { return false })
-	n, _ := s.Crashes("x")
+	s.RetainOnly(func(string) bool { return false })
+	n, _ := s.CrashCount("x")
 	g.Expect(n).To(BeZero())
 }
 
@@ -111,7 +111,7 @@
 	for seed := range uint64(200) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(seed, 3))
-		s, reference := NewSamples[string](), &referenceSample{}
+		s, reference := NewSampleTracker[string](), &referenceSample{}
 		now, events := time.Duration(0), 0
 		for range 12 {
 			now += time.Duration(random.IntN(1000)) * time.Millisecond
@@ -123,7 +123,7 @@
 			} else {
 				s.Progressed("x", e.events)
 			}
-			mode, notBefore := s.Standing("x")
+			mode, notBefore := s.RunMode("x")
 			wantMode, wantNotBefore := reference.runMode()
 			g.Expect(mode).To(Equal(wantMode), "seed %d", seed)
 			g.Expect(notBefore).To(Equal(wantNotBefore), "seed %d", seed)
--- a/internal/crashes/service.go
+++ b/internal/crashes/service.go
@@ -23,9 +23,9 @@
 	cleanupInterval = time.Minute
 )
 
-// Service shares the crashes that daemons see through the store. It is safe for concurrent
+// Tracker shares the crashes that daemons see through the store. It is safe for concurrent
 // use.
-type Service struct {
+type Tracker struct {
 	vm       string // this daemon's
 	log      store.Log
 	now      func() time.Duration
@@ -36,17 +36,17 @@
 	table *Table
 }
 
-// New returns a Service without crashes; [Service.Run] reads them. now must be a clock that
+// New returns a Service without crashes; [Tracker.Run] reads them. now must be a clock that
 // goes on while the VM is suspended.
-func New(vm string, log store.Log, now func() time.Duration, logger zerolog.Logger) *Service {
-	s := &Service{vm: vm, log: log, now: now, logger: logger, table: NewTable()}
+func New(vm string, log store.Log, now func() time.Duration, logger zerolog.Logger) *Tracker {
+	s := &Tracker{vm: vm, log: log, now: now, logger: logger, table: NewTable()}
 	alwaysRelaxed := func() bool { return true } // crashes are rare: a read every few seconds is enough
 	s.follower = follow.New(follow.Options{Log: log, Topic: topic, Keyed: true, Sink: (*sink)(s), Relaxed: alwaysRelaxed, Now: now, Logger: logger})
 	return s
 }
 
 // Run follows the records of all daemons, and deletes expired ones, until ctx ends.
-func (s *Service) Run(ctx context.Context) {
+func (s *Tracker) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -57,7 +57,7 @@
 }
 
 // Blocked reports whether a request has crashed too many upstreams to be sent.
-func (s *Service) Blocked(request poison.Fingerprint) bool {
+func (s *Tracker) Blocked(request poison.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Blocked(request, s.now())
@@ -70,7 +70,7 @@
 
 // Crashed records that an incarnation of an upstream crashed while it ran a request, and
 // tells the other daemons.
-func (s *Service) Crashed(ctx context.Context, request poison.Fingerprint, incarnation string) {
+func (s *Tracker) Crashed(ctx context.Context, request poison.Fingerprint, incarnation string) {
 	c := crash{request, incarnation}
 	s.mu.Lock()
 	s.table.add(c, s.now())
@@ -88,7 +88,7 @@
 
 // Succeeded deletes the crashes of a request: one that crashes its upstreams never
 // succeeds. It doesn't wait for the store.
-func (s *Service) Succeeded(ctx context.Context, request poison.Fingerprint) {
+func (s *Tracker) Succeeded(ctx context.Context, request poison.Fingerprint) {
 	s.mu.Lock()
 	crashes := s.table.crashesOf(request)
 	for _, c := range crashes {
@@ -106,7 +106,7 @@
 }
 
 // write writes a crash's record, or deletes it if data is nil.
-func (s *Service) write(ctx context.Context, c crash, data []byte) {
+func (s *Tracker) write(ctx context.Context, c crash, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	record, err := store.EncodeEntry(c.key(), data)
@@ -120,7 +120,7 @@
 }
 
 // deleteExpired deletes expired crashes, also from the store, until ctx ends.
-func (s *Service) deleteExpired(ctx context.Context) {
+func (s *Tracker) deleteExpired(ctx context.Context) {
 	pause.Every(ctx, cleanupInterval, func() {
 		s.mu.Lock()
 		expired := s.table.expired(s.now())
@@ -135,7 +135,7 @@
 }
 
 // sink applies the records of all daemons to the table.
-type sink Service
+type sink Tracker
 
 // Reset replaces the table's content by the newest records.
 func (s *sink) Reset(entries []store.Entry) {
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -35,13 +35,13 @@
 type copyPlacement struct {
 	mu               sync.Mutex
 	placer           Placer // nil: this daemon places all copies itself
-	places           *poison.Places
-	answeredRecently *poison.Answered
+	places           *poison.Placements
+	answeredRecently *poison.AnsweredRequests
 	lastSender       uint64 // the last number given to a run
 }
 
 func newCopyPlacement() copyPlacement {
-	return copyPlacement{places: poison.NewPlaces(), answeredRecently: poison.NewAnswered()}
+	return copyPlacement{places: poison.NewPlacements(), answeredRecently: poison.NewAnsweredRequests()}
 }
 
 // SetPlacer sets how other daemons are asked. It isn't one of the Options, since p is built on
@@ -65,7 +65,7 @@
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
 	d.copies.lastSender++
-	return poison.Sender{VM: d.options.Self, Number: d.copies.lastSender}
+	return poison.Sender{VM: d.options.Self, Sequence: d.copies.lastSender}
 }
 
 // needsCoordination reports whether the run must share an upstream with copies of its
@@ -117,7 +117,7 @@
 	if r.copySender == (poison.Sender{}) {
 		r.copySender = r.dispatcher.newCopySender()
 	}
-	c := poison.Copy{Fingerprint: r.fingerprint, Sender: r.copySender, Wanted: preferred}
+	c := poison.Copy{Fingerprint: r.fingerprint, Sender: r.copySender, Preferred: preferred}
 	r.dispatcher.copies.mu.Lock()
 	placer := r.dispatcher.copies.placer
 	r.dispatcher.copies.mu.Unlock()
@@ -154,7 +154,7 @@
 
 func (r *requestRun) logCopy(message string, preferred, assigned ident.Upstream) {
 	r.dispatcher.options.Log.Info().Stringer("fingerprint", r.fingerprint).Str("request", string(r.id)).
-		Str("wanted", string(preferred)).Str("upstream", string(assigned)).Int("attempts", r.sends.Made).Msg(message)
+		Str("wanted", string(preferred)).Str("upstream", string(assigned)).Int("attempts", r.sends.Total).Msg(message)
 }
 
 func (s *shard) uses(name ident.Upstream) bool {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -28,7 +28,7 @@
 	daemons Fleet
 
 	poisonMu     sync.Mutex
-	suspectMarks *poison.Keeper
+	suspectMarks *poison.Tracker
 	copies       copyPlacement
 	stoppable    stoppableAttempts
 
--- a/internal/dispatch/fault.go
+++ b/internal/dispatch/fault.go
@@ -62,9 +62,9 @@
 	case upstream.Silent:
 		return health.Silent, true
 	case upstream.Crossed, upstream.Malformed:
-		return health.Garbled, !f.callerFailed
+		return health.Malformed, !f.callerFailed
 	case upstream.Status:
-		return health.Garbled, f.transient
+		return health.Malformed, f.transient
 	}
 	return 0, false
 }
--- a/internal/dispatch/flights.go
+++ b/internal/dispatch/flights.go
@@ -72,7 +72,7 @@
 	defer a.mu.Unlock()
 	var upstreams []ident.Upstream
 	for _, attempt := range a.byFingerprint[suspect.Fingerprint] {
-		if suspect.Has(attempt.death) {
+		if suspect.HasDeath(attempt.death) {
 			continue
 		}
 		attempt.stop(errAttemptStopped)
@@ -88,7 +88,7 @@
 	d.poisonMu.Lock()
 	suspect := d.suspectMarks.Mark(fp, d.options.Now())
 	d.poisonMu.Unlock()
-	if suspect.Crashes() == 0 || d.wasAnsweredRecently(fp) {
+	if suspect.CountedDeaths() == 0 || d.wasAnsweredRecently(fp) {
 		return
 	}
 	for _, upstreamName := range d.stoppable.stop(suspect) {
--- a/internal/dispatch/idle.go
+++ b/internal/dispatch/idle.go
@@ -64,6 +64,6 @@
 // acknowledgesTrial reports whether a peer's marks contain this daemon's trial.
 func (d *Dispatcher) acknowledgesTrial(marks []poison.Mark, fp poison.Fingerprint, upstreamName ident.Upstream) bool {
 	return slices.ContainsFunc(marks, func(m poison.Mark) bool {
-		return m.Fingerprint == fp && m.Trying == d.options.Self && m.TryingOn == upstreamName
+		return m.Fingerprint == fp && m.TrialVM == d.options.Self && m.TrialUpstream == upstreamName
 	})
 }
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -72,7 +72,7 @@
 	setDefault(&opts.NoUpstreamWait, 5*time.Second)
 	setDefault(&opts.QueueTimeout, time.Minute)
 	if opts.HedgeBudget == (retry.BudgetOptions{}) {
-		opts.HedgeBudget = retry.GenerationHedges()
+		opts.HedgeBudget = retry.GenerationHedgeBudget()
 	}
 	return opts
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -41,7 +41,7 @@
 	// that upstream.
 	d.poisonMu.Lock()
 	digest.Poison = d.suspectMarks.Marks(now)
-	peerTrials := d.suspectMarks.Taken(now)
+	peerTrials := d.suspectMarks.PeerTrialUpstreams(now)
 	d.poisonMu.Unlock()
 	for _, s := range d.allShards() {
 		s.addToDigest(&digest, peerTrials)
@@ -59,7 +59,7 @@
 		if m.inFlight > 0 {
 			digest.InFlight[name] += m.inFlight
 		}
-		if view.Leaving && view.FirstHand {
+		if view.Leaving && view.LeavingFirstHand {
 			digest.Leaving = append(digest.Leaving, name)
 		}
 		if view.State == health.Down {
@@ -125,7 +125,7 @@
 	d.updatePeerLoad()
 	d.peers.mu.Unlock()
 	d.poisonMu.Lock()
-	d.suspectMarks.Forget(vm)
+	d.suspectMarks.EndTrialsOf(vm)
 	d.poisonMu.Unlock()
 }
 
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -34,7 +34,7 @@
 	now := d.options.Now()
 	d.expirePeers(now)
 	d.poisonMu.Lock()
-	d.suspectMarks.Tick(now)
+	d.suspectMarks.DropExpired(now)
 	d.poisonMu.Unlock()
 	peerTrials := d.peerTrials(now)
 	for _, s := range d.allShards() {
--- a/internal/dispatch/probation_test.go
+++ b/internal/dispatch/probation_test.go
@@ -222,7 +222,7 @@
 		fp := requestFingerprint(request)
 		d.recordDeath(fp, poison.Death{Upstream: "e9", BootID: "a"})
 		until := time.Now().Add(2 * time.Second)
-		trial := poison.Mark{Fingerprint: fp, Expires: time.Now().Add(time.Minute), Trying: "vm0", TryingOn: "e0", TryingUntil: until}
+		trial := poison.Mark{Fingerprint: fp, Expires: time.Now().Add(time.Minute), TrialVM: "vm0", TrialUpstream: "e0", TrialExpires: until}
 		d.Merge("vm0", Digest{Poison: []poison.Mark{trial}})
 		answer, err := d.Generate(context.Background(), request, nil)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -80,7 +80,7 @@
 // group of samples. Most requests that were running when an upstream died are innocent,
 // and the trial shows that within seconds.
 func (r *requestRun) mayWaitForPeerTrial() bool {
-	return !r.isHedge && (r.sends.Made > 0 || r.placement.route.Class == routing.ClassRollout)
+	return !r.isHedge && (r.sends.Total > 0 || r.placement.route.Class == routing.ClassRollout)
 }
 
 // waitForPeerTrial waits for one polling interval while another daemon's trial is running.
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -39,7 +39,7 @@
 
 // outcome returns the combined outcome of all attempts, NotRun if none started.
 func (r *requestRun) outcome() outcome.Outcome {
-	if r.sends.Made == 0 {
+	if r.sends.Total == 0 {
 		return outcome.NotRun
 	}
 	return r.earlierOutcome
@@ -87,7 +87,7 @@
 // withEarlierOutcome replaces the outcome of a placement error by that of the earlier
 // attempts, which may have run.
 func (r *requestRun) withEarlierOutcome(err *Error) *Error {
-	if err == nil || r.sends.Made == 0 {
+	if err == nil || r.sends.Total == 0 {
 		return err
 	}
 	err.Outcome = r.outcome()
@@ -177,7 +177,7 @@
 	now := r.dispatcher.options.Now()
 	s.retryBudget.Succeeded(now)
 	s.hedgeBudget.Succeeded(now)
-	if name := sl.member.target.Name; !s.health.Spotless(name) {
+	if name := sl.member.target.Name; !s.health.CanSkipSuccess(name) {
 		s.applyHealthEvent(health.Succeeded{Upstream: name}, now)
 	}
 	s.releaseSlotLocked(sl, true)
@@ -218,7 +218,7 @@
 // recordSuspectDeath marks the request as one that may have killed its upstream, however
 // much of the answer it had generated.
 func (r *requestRun) recordSuspectDeath(sl *slot, death poison.Death) {
-	death.Seen = true
+	death.SeenLocally = true
 	death.Tokens = r.resumedTokens + sl.tokens
 	inTrial := sl.quarantined && !sl.passedProbation
 	unrelated := !inTrial && r.dispatcher.isUnrelatedDeath(r.fingerprint, death)
@@ -273,8 +273,8 @@
 	}
 	retriesMade.Add(1)
 	r.dispatcher.recordEvent(decision.Action.String(), r.id, r.placement.team, "", "")
-	if decision.After > 0 {
-		waitUpTo(ctx, nil, decision.After)
+	if decision.Delay > 0 {
+		waitUpTo(ctx, nil, decision.Delay)
 	}
 	return nil
 }
@@ -282,10 +282,10 @@
 // addOutcome merges an attempt's outcome into the combined outcome of the request.
 func (r *requestRun) addOutcome(o outcome.Outcome) {
 	if o == outcome.NotRun {
-		r.sends.NotRun()
+		r.sends.MarkNotRun()
 	}
 	switch {
-	case r.sends.Made <= 1:
+	case r.sends.Total <= 1:
 		r.earlierOutcome = o
 	case o == outcome.Ran:
 		r.earlierOutcome = outcome.Ran
@@ -298,26 +298,26 @@
 	s := r.shard
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	attempt := retry.Attempt{
-		Outcome:    f.outcome,
-		Idempotent: r.idempotent,
-		Resumable:  r.resumable,
-		Transient:  f.transient,
-		Died:       r.upstreamDied,
-		Sends:      r.sends,
-		Sent:       hasPartialAnswer,
-		Deadline:   r.deadline,
+	attempt := retry.FailedAttempt{
+		Outcome:       f.outcome,
+		Idempotent:    r.idempotent,
+		Resumable:     r.resumable,
+		Transient:     f.transient,
+		UpstreamDied:  r.upstreamDied,
+		Sends:         r.sends,
+		AnswerStarted: hasPartialAnswer,
+		Deadline:      r.deadline,
 	}
 	options := r.dispatcher.options.Retry
 	if r.dispatcher.options.Policy == PolicyNaive {
-		options.MaxAttempts, options.MaxNotRun = 2, 2
+		options.MaxRuns, options.MaxSends = 2, 2
 	}
 	return retry.Decide(attempt, s.retryBudget, options, r.dispatcher.options.Now())
 }
 
 func (r *requestRun) finalError(f fault, cause retry.Cause) *Error {
 	reason := UpstreamFailed
-	if cause == retry.PastDue {
+	if cause == retry.DeadlinePassed {
 		reason = Deadline
 	}
 	retryAfter := f.retryAfter
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -26,9 +26,9 @@
 	verdict := d.suspectMarks.Admit(fp, now).Verdict
 	mark := d.suspectMarks.Mark(fp, now)
 	d.poisonMu.Unlock()
-	line := d.options.Log.Info().Stringer("fingerprint", fp).Stringer("verdict", verdict).Int("crashes", mark.Crashes())
-	if mark.Trying != "" {
-		line = line.Str("trying", string(mark.Trying)).Str("trying_on", string(mark.TryingOn))
+	line := d.options.Log.Info().Stringer("fingerprint", fp).Stringer("verdict", verdict).Int("crashes", mark.CountedDeaths())
+	if mark.TrialVM != "" {
+		line = line.Str("trying", string(mark.TrialVM)).Str("trying_on", string(mark.TrialUpstream))
 	}
 	line.Func(addFields).Msg(message)
 }
@@ -37,7 +37,7 @@
 // false if the request is no longer a suspect that this daemon may try.
 func (d *Dispatcher) claimTrial(fp poison.Fingerprint, upstreamName ident.Upstream, now time.Time) bool {
 	d.poisonMu.Lock()
-	ok := d.suspectMarks.Try(fp, upstreamName, now)
+	ok := d.suspectMarks.ClaimTrial(fp, upstreamName, now)
 	d.poisonMu.Unlock()
 	if ok {
 		d.signalUrgentDigest()
@@ -50,20 +50,20 @@
 func (d *Dispatcher) startTrial(fp poison.Fingerprint, upstreamName ident.Upstream, now time.Time) bool {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.suspectMarks.Begin(fp, upstreamName, now)
+	return d.suspectMarks.StartTrial(fp, upstreamName, now)
 }
 
 // renewTrial extends a trial. No urgent digest is needed, since the regular ones tell of it.
 func (d *Dispatcher) renewTrial(fp poison.Fingerprint, upstreamName ident.Upstream, now time.Time) {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	d.suspectMarks.Try(fp, upstreamName, now)
+	d.suspectMarks.ClaimTrial(fp, upstreamName, now)
 }
 
 // finishTrial ends this daemon's trial. A success clears the request.
 func (d *Dispatcher) finishTrial(fp poison.Fingerprint, succeeded bool) {
 	d.poisonMu.Lock()
-	d.suspectMarks.Tried(fp, succeeded, d.options.Now())
+	d.suspectMarks.EndTrial(fp, succeeded, d.options.Now())
 	d.poisonMu.Unlock()
 	d.signalUrgentDigest()
 }
@@ -72,7 +72,7 @@
 // died. It returns false if the suspect hasn't.
 func (d *Dispatcher) passProbation(fp poison.Fingerprint, tokens int) bool {
 	d.poisonMu.Lock()
-	ok := d.suspectMarks.Passed(fp, tokens, d.options.Now())
+	ok := d.suspectMarks.Progressed(fp, tokens, d.options.Now())
 	d.poisonMu.Unlock()
 	if ok {
 		d.signalUrgentDigest()
@@ -85,14 +85,14 @@
 func (d *Dispatcher) isUnrelatedDeath(fp poison.Fingerprint, death poison.Death) bool {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.suspectMarks.Unrelated(fp, death, d.options.Now())
+	return d.suspectMarks.IsUnrelatedDeath(fp, death, d.options.Now())
 }
 
 // isTrialHeldBy reports whether the given daemon runs the suspect's trial.
 func (d *Dispatcher) isTrialHeldBy(fp poison.Fingerprint, vm ident.VM) bool {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.suspectMarks.Mark(fp, d.options.Now()).Trying == vm
+	return d.suspectMarks.Mark(fp, d.options.Now()).TrialVM == vm
 }
 
 // competingTrial returns the lowest-named other daemon with a trial on the upstream, "" if
@@ -100,14 +100,14 @@
 func (d *Dispatcher) competingTrial(upstreamName ident.Upstream) ident.VM {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.suspectMarks.Rival(upstreamName, d.options.Now())
+	return d.suspectMarks.PeerTrialVM(upstreamName, d.options.Now())
 }
 
 // peerTrials returns the upstreams on which peers run trials, sorted by name.
 func (d *Dispatcher) peerTrials(now time.Time) []ident.Upstream {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
-	return d.suspectMarks.Taken(now)
+	return d.suspectMarks.PeerTrialUpstreams(now)
 }
 
 // quarantineForPeers takes other work off the upstreams on which peers run trials, up to the
--- a/internal/duties/counts.go
+++ b/internal/duties/counts.go
@@ -19,7 +19,7 @@
 )
 
 // appendBackoff is the delay after failed appends of counts.
-var appendBackoff = retry.Backoff{First: 100 * time.Millisecond, Max: 800 * time.Millisecond}
+var appendBackoff = retry.Backoff{Initial: 100 * time.Millisecond, Max: 800 * time.Millisecond}
 
 var (
 	requestsCounted = metrics.Counter("usage_requests_counted")
@@ -102,7 +102,7 @@
 			}
 		}
 		wait := pacer.NextStart() - c.options.Now()
-		pause.For(ctx, max(wait, appendBackoff.Pause(failures, rand.Float64())))
+		pause.For(ctx, max(wait, appendBackoff.Delay(failures, rand.Float64())))
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -46,12 +46,12 @@
 
 // defaultBackoff is the wait after failed reads. Its maximum is part of the time that a daemon
 // needs to recover after an outage of the store.
-var defaultBackoff = retry.Backoff{First: 50 * time.Millisecond, Max: 400 * time.Millisecond}
+var defaultBackoff = retry.Backoff{Initial: 50 * time.Millisecond, Max: 400 * time.Millisecond}
 
 // lowPriorityBackoff is the same for a low-priority view that isn't loaded yet. A thousand
 // daemons that start at once ask for more than the store can send within a call's timeout: if
 // they retried quickly, their calls would keep timing out for ever.
-var lowPriorityBackoff = retry.Backoff{First: 50 * time.Millisecond, Max: 16 * time.Second}
+var lowPriorityBackoff = retry.Backoff{Initial: 50 * time.Millisecond, Max: 16 * time.Second}
 
 // Sink receives the records of a partition. Its methods aren't called concurrently.
 type Sink interface {
@@ -155,7 +155,7 @@
 		}
 		f.reportContact(false, err)
 		failures++
-		pause.For(ctx, f.retryBackoff().Pause(failures, rand.Float64()))
+		pause.For(ctx, f.retryBackoff().Delay(failures, rand.Float64()))
 	}
 }
 
--- a/internal/gateway/course.go
+++ b/internal/gateway/course.go
@@ -8,7 +8,7 @@
 // has been sent to the caller no other response can replace it, so the stream is either
 // resumed or aborted.
 type streamState struct {
-	rule          retry.Rule
+	rule          retry.Limits
 	sends         retry.Sends
 	headerSent    bool  // the caller has the response header
 	lastEventID   int   // ID of the last event forwarded to the caller, 0: none
@@ -29,9 +29,9 @@
 // mayHaveRun is false only if the upstream certainly did not run the request.
 func (s *streamState) actionAfterFailure(mayHaveRun bool) streamAction {
 	if !mayHaveRun {
-		s.sends.NotRun()
+		s.sends.MarkNotRun()
 	}
-	if s.rule.Forbids(s.sends) == retry.None {
+	if s.rule.StopCause(s.sends) == retry.None {
 		return tryNextUpstream
 	}
 	return s.finalAction()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -123,7 +123,7 @@
 }
 
 func newHedgeBudget() *hedgeBudget {
-	return &hedgeBudget{budget: retry.NewBudget(retry.CallHedges(), time.Now())}
+	return &hedgeBudget{budget: retry.NewBudget(retry.CallHedgeBudget(), time.Now())}
 }
 
 func (h *hedgeBudget) tryTake() bool {
@@ -139,8 +139,8 @@
 }
 
 // sendRule returns the limits on the sends of one call.
-func sendRule(route routes.Route, repeatable bool) retry.Rule {
-	return retry.Rule{Repeatable: repeatable, MaxRuns: route.MaxAttempts, MaxSends: maxSends}
+func sendRule(route routes.Route, repeatable bool) retry.Limits {
+	return retry.Limits{Repeatable: repeatable, MaxRuns: route.MaxAttempts, MaxSends: maxSends}
 }
 
 // New returns a Gateway.
@@ -195,7 +195,7 @@
 
 	tried        map[string]bool // incarnations of the upstreams that it was sent to
 	results      chan sendResult // has room for all sends
-	rule         retry.Rule
+	rule         retry.Limits
 	sends        retry.Sends
 	inFlight     int     // sends without an outcome yet
 	serverErrors int     // responses with status 500 from upstreams that ran the call
@@ -239,13 +239,13 @@
 // hedgeDelay returns the time without a response after which a hedged request is sent.
 func (a *activeCall) hedgeDelay() time.Duration {
 	delay, ok := retry.HedgeAfter(a.route.Target)
-	if !ok || !a.g.policy.On(policy.Hedge) {
+	if !ok || !a.g.policy.Enabled(policy.Hedge) {
 		return hedgeDisabledDelay
 	}
 	return delay
 }
 
-func (a *activeCall) maySendAgain() bool { return a.rule.Forbids(a.sends) == retry.None }
+func (a *activeCall) maySendAgain() bool { return a.rule.StopCause(a.sends) == retry.None }
 
 // send starts a send to an upstream not tried before. It reports false if there is none.
 func (a *activeCall) send(ctx context.Context) bool {
@@ -313,13 +313,13 @@
 	switch {
 	case r.err != nil:
 		if !mayHaveRun(nil, r.err) {
-			a.sends.NotRun()
+			a.sends.MarkNotRun()
 		}
-		a.g.log.Warn().Str("request", a.call.ID).Str("upstream", r.upstream.Incarnation()).Int("send", a.sends.Made).
+		a.g.log.Warn().Str("request", a.call.ID).Str("upstream", r.upstream.Incarnation()).Int("send", a.sends.Total).
 			Dur("left", time.Until(a.call.Deadline)).Err(r.err).Msg("send failed")
 		return nil
 	case r.response.NotRun:
-		a.sends.NotRun()
+		a.sends.MarkNotRun()
 		a.lastResponse = r.response
 		a.g.log.Info().Str("request", a.call.ID).Str("upstream", r.upstream.Incarnation()).Int("status", r.response.Status).
 			Int("load", r.response.Load).Msg("upstream refused")
@@ -356,18 +356,18 @@
 // report updates the metrics and logs the result of a call.
 func (a *activeCall) report(response *Answer, refusal *Refusal, duration time.Duration) {
 	callDuration.Observe(duration)
-	callsResent.Add(int64(max(0, a.sends.Made-1)))
+	callsResent.Add(int64(max(0, a.sends.Total-1)))
 	if refusal == nil {
 		callsAnswered.Add(1)
-		if a.sends.Made > 1 {
+		if a.sends.Total > 1 {
 			a.g.log.Info().Str("request", a.call.ID).Str("route", a.route.Name).Int("status", response.Status).
-				Int("sends", a.sends.Made).Strs("tried", a.sendSummaries()).Dur("took", duration).Msg("call answered after more than one send")
+				Int("sends", a.sends.Total).Strs("tried", a.sendSummaries()).Dur("took", duration).Msg("call answered after more than one send")
 		}
 		return
 	}
 	callsRefused.Add(1)
 	a.g.log.Warn().Str("request", a.call.ID).Str("route", a.route.Name).Str("service", a.service).
-		Int("status", refusal.Status).Str("reason", refusal.Reason).Int("sends", a.sends.Made).Int("may_have_run", a.sends.Runs).Strs("tried", a.sendSummaries()).
+		Int("status", refusal.Status).Str("reason", refusal.Reason).Int("sends", a.sends.Total).Int("may_have_run", a.sends.Runs).Strs("tried", a.sendSummaries()).
 		Dur("took", duration).Msg("call refused")
 }
 
--- a/internal/gateway/pick.go
+++ b/internal/gateway/pick.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		cost := b.costLocked(u, now)
-		if !b.policy.On(policy.Load) {
+		if !b.policy.Enabled(policy.Load) {
 			cost = float64((i + b.picks) % len(candidates))
 		}
 		if best < 0 || cost < bestCost {
@@ -106,13 +106,13 @@
 	if now-state.reportedAt < reportedLoadTTL {
 		cost = max(cost, float64(state.reportedLoad))
 	}
-	if b.policy.On(policy.Warm) && (state.lastResponseAt == 0 || now-state.lastResponseAt > warmDuration) {
+	if b.policy.Enabled(policy.Warm) && (state.lastResponseAt == 0 || now-state.lastResponseAt > warmDuration) {
 		cost += coldCost
 	}
 	if u.DataCentre != b.localDataCentre {
 		cost += remoteCost
 	}
-	if b.suspects.Holds(u.Incarnation(), now) {
+	if b.suspects.IsSuspect(u.Incarnation(), now) {
 		cost += suspectCost
 	}
 	return cost
@@ -140,7 +140,7 @@
 // recordSuccess notes a response and clears suspicion of the upstream. load is the load
 // reported with the response, -1 if there was none.
 func (b *balancer) recordSuccess(incarnation string, load int, now time.Duration) {
-	b.suspects.Worked(incarnation)
+	b.suspects.Succeeded(incarnation)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state := b.stateLocked(incarnation, now)
@@ -152,7 +152,7 @@
 
 // recordFailure marks an upstream as suspected.
 func (b *balancer) recordFailure(incarnation string, now time.Duration) {
-	if b.policy.On(policy.Suspicion) {
+	if b.policy.Enabled(policy.Suspicion) {
 		b.suspects.Failed(incarnation, now)
 	}
 }
@@ -162,7 +162,7 @@
 
 // trim drops the state of upstreams that are gone.
 func (b *balancer) trim(now time.Duration) {
-	b.suspects.Trim(now)
+	b.suspects.DropExpired(now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for incarnation, state := range b.states {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -173,7 +173,7 @@
 func (s *activeStream) handleNonStream(u registry.Upstream, response *Answer) (*StreamResult, streamAction) {
 	s.g.log.Info().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("status", response.Status).
 		Bool("not_run", response.NotRun).Int("after", s.lastEventID).Msg("upstream response is not a stream")
-	if !response.NotRun && !s.headerSent && (response.Status < 500 || s.rule.Forbids(s.sends) != retry.None) {
+	if !response.NotRun && !s.headerSent && (response.Status < 500 || s.rule.StopCause(s.sends) != retry.None) {
 		return &StreamResult{Answer: response}, tryNextUpstream
 	}
 	return nil, s.actionAfterFailure(!response.NotRun)
@@ -216,7 +216,7 @@
 
 // handleFailure processes a send without a response, or with an incomplete one.
 func (s *activeStream) handleFailure(u registry.Upstream, err error) streamAction {
-	s.g.log.Warn().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("send", s.sends.Made).Int("after", s.lastEventID).
+	s.g.log.Warn().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("send", s.sends.Total).Int("after", s.lastEventID).
 		Dur("left", time.Until(s.call.Deadline)).Err(err).Msg("stream failed")
 	return s.actionAfterFailure(mayHaveRun(nil, err))
 }
@@ -232,16 +232,16 @@
 	switch {
 	case r.Err != nil:
 		streamsAborted.Add(1)
-		s.g.log.Warn().Str("request", s.call.ID).Str("route", s.route.Name).Int("after", s.lastEventID).Int("sends", s.sends.Made).
+		s.g.log.Warn().Str("request", s.call.ID).Str("route", s.route.Name).Int("after", s.lastEventID).Int("sends", s.sends.Total).
 			Dur("took", duration).Msg("stream aborted")
 	case r.Refusal != nil:
 		streamsRefused.Add(1)
 		s.g.log.Warn().Str("request", s.call.ID).Str("route", s.route.Name).Str("service", s.service).Int("status", r.Refusal.Status).
-			Str("reason", r.Refusal.Reason).Int("sends", s.sends.Made).Int("may_have_run", s.sends.Runs).Dur("took", duration).Msg("stream refused")
+			Str("reason", r.Refusal.Reason).Int("sends", s.sends.Total).Int("may_have_run", s.sends.Runs).Dur("took", duration).Msg("stream refused")
 	default:
 		streamsCompleted.Add(1)
-		if s.sends.Made > 1 {
-			s.g.log.Info().Str("request", s.call.ID).Str("route", s.route.Name).Int("events", s.lastEventID).Int("sends", s.sends.Made).
+		if s.sends.Total > 1 {
+			s.g.log.Info().Str("request", s.call.ID).Str("route", s.route.Name).Int("events", s.lastEventID).Int("sends", s.sends.Total).
 				Dur("took", duration).Msg("stream completed after more than one send")
 		}
 	}
--- a/internal/health/group.go
+++ b/internal/health/group.go
@@ -157,9 +157,9 @@
 	})
 }
 
-// Spotless reports whether a success of the upstream would change nothing, so that the
+// CanSkipSuccess reports whether a success of the upstream would change nothing, so that the
 // caller need not call Step for each answer.
-func (g *Group) Spotless(name ident.Upstream) bool {
+func (g *Group) CanSkipSuccess(name ident.Upstream) bool {
 	m := g.find(name)
 	return m == nil || m.state == Up && m.silentFaults == 0 && m.malformedFaults == 0
 }
@@ -168,11 +168,11 @@
 type View struct {
 	State   State
 	Leaving bool
-	// FirstHand: a source other than a peer says that the upstream is leaving.
-	FirstHand bool
-	Eligible  bool    // new work may start there
-	Weight    float64 // share (0 to 1) of its usual load that it may get
-	BootID    string  // as last reported, "" if not known
+	// LeavingFirstHand: a source other than a peer says that the upstream is leaving.
+	LeavingFirstHand bool
+	Eligible         bool    // new work may start there
+	Weight           float64 // share (0 to 1) of its usual load that it may get
+	BootID           string  // as last reported, "" if not known
 }
 
 // View returns the health of an upstream, false if it isn't in the group.
@@ -182,11 +182,11 @@
 		return View{}, false
 	}
 	return View{
-		State:     m.state,
-		Leaving:   m.leaving,
-		FirstHand: m.leavingFirstHand,
-		Eligible:  m.eligible,
-		Weight:    m.weight,
-		BootID:    m.bootID,
+		State:            m.state,
+		Leaving:          m.leaving,
+		LeavingFirstHand: m.leavingFirstHand,
+		Eligible:         m.eligible,
+		Weight:           m.weight,
+		BootID:           m.bootID,
 	}, true
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -88,7 +88,7 @@
 					holdUntil = past.at.Add(time.Second << min(silentFaults-2, 4))
 				}
 				suspect()
-			case Garbled:
+			case Malformed:
 				if malformedFaults++; malformedFaults >= 3 {
 					suspect()
 				}
--- a/internal/health/member.go
+++ b/internal/health/member.go
@@ -17,7 +17,7 @@
 			m.holdUntil = now.Add(g.options.SilentHold << min(m.silentFaults-2, 4))
 		}
 		return g.markSuspect(m, "silent", now)
-	case Garbled:
+	case Malformed:
 		m.malformedFaults++
 		if m.malformedFaults >= g.options.MalformedLimit {
 			return g.markSuspect(m, "garbled answers", now)
--- a/internal/health/message.go
+++ b/internal/health/message.go
@@ -95,8 +95,8 @@
 	Reset
 	// Silent: no progress for the progress timeout. Makes a suspect.
 	Silent
-	// Garbled: a malformed answer. Several in a row make a suspect.
-	Garbled
+	// Malformed: a malformed answer. Several in a row make a suspect.
+	Malformed
 )
 
 // Source is who said that an upstream is leaving.
--- a/internal/health/suspects.go
+++ b/internal/health/suspects.go
@@ -66,23 +66,23 @@
 	return min(d, MaxSuspicion)
 }
 
-// Worked records a success of an incarnation, which ends its suspicion.
-func (s *Suspects) Worked(incarnation string) {
+// Succeeded records a success of an incarnation, which ends its suspicion.
+func (s *Suspects) Succeeded(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.byIncarnation, incarnation)
 }
 
-// Holds reports whether an incarnation gets no new work now.
-func (s *Suspects) Holds(incarnation string, now time.Duration) bool {
+// IsSuspect reports whether an incarnation gets no new work now.
+func (s *Suspects) IsSuspect(incarnation string, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry := s.byIncarnation[incarnation]
 	return entry != nil && now < entry.until
 }
 
-// Trim drops incarnations whose suspicion ended long ago.
-func (s *Suspects) Trim(now time.Duration) {
+// DropExpired drops incarnations whose suspicion ended long ago.
+func (s *Suspects) DropExpired(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, entry := range s.byIncarnation {
--- a/internal/health/suspects_test.go
+++ b/internal/health/suspects_test.go
@@ -32,14 +32,14 @@
 				now += time.Duration(random.IntN(1500)) * time.Millisecond
 				id := [...]string{"a", "b"}[random.IntN(2)]
 				if random.IntN(3) == 0 {
-					suspects.Worked(id)
+					suspects.Succeeded(id)
 					reference[id].failedAt = nil
 				} else {
 					suspects.Failed(id, now)
 					reference[id].failedAt = append(reference[id].failedAt, now)
 				}
 				askedAt := now + time.Duration(random.IntN(5000))*time.Millisecond
-				Expect(suspects.Holds(id, askedAt)).To(Equal(reference[id].holds(askedAt)), "seed %d, %s at %v", seed, id, askedAt)
+				Expect(suspects.IsSuspect(id, askedAt)).To(Equal(reference[id].holds(askedAt)), "seed %d, %s at %v", seed, id, askedAt)
 			}
 		}
 	})
@@ -50,16 +50,16 @@
 	It("shares a failure among all senders, by incarnation", func() {
 		s := NewSuspects()
 		s.Failed("engine/1", 0)
-		Expect(s.Holds("engine/1", MinSuspicion-1)).To(BeTrue())
-		Expect(s.Holds("engine/1", MinSuspicion)).To(BeFalse())
-		Expect(s.Holds("engine/2", 0)).To(BeFalse())
+		Expect(s.IsSuspect("engine/1", MinSuspicion-1)).To(BeTrue())
+		Expect(s.IsSuspect("engine/1", MinSuspicion)).To(BeFalse())
+		Expect(s.IsSuspect("engine/2", 0)).To(BeFalse())
 	})
 
 	It("drops only incarnations that failed long ago", func() {
 		s := NewSuspects()
 		s.Failed("old", 0)
 		s.Failed("new", suspectTTL)
-		s.Trim(suspectTTL + MinSuspicion + 1)
+		s.DropExpired(suspectTTL + MinSuspicion + 1)
 		Expect(s.byIncarnation).To(HaveLen(1))
 		Expect(s.byIncarnation).To(HaveKey("new"))
 	})
--- a/internal/peer/copies.go
+++ b/internal/peer/copies.go
@@ -270,14 +270,14 @@
 
 func encodeCopy(c poison.Copy) *peerpb.PlaceCopyRequest {
 	return &peerpb.PlaceCopyRequest{
-		Fingerprint: uint64(c.Fingerprint), Vm: string(c.Sender.VM), Number: c.Sender.Number, Wanted: string(c.Wanted),
+		Fingerprint: uint64(c.Fingerprint), Vm: string(c.Sender.VM), Number: c.Sender.Sequence, Wanted: string(c.Preferred),
 	}
 }
 
 func decodeCopy(in *peerpb.PlaceCopyRequest) poison.Copy {
 	return poison.Copy{
 		Fingerprint: poison.Fingerprint(in.GetFingerprint()),
-		Sender:      poison.Sender{VM: ident.VM(in.GetVm()), Number: in.GetNumber()},
-		Wanted:      ident.Upstream(in.GetWanted()),
+		Sender:      poison.Sender{VM: ident.VM(in.GetVm()), Sequence: in.GetNumber()},
+		Preferred:   ident.Upstream(in.GetWanted()),
 	}
 }
--- a/internal/peer/copies_test.go
+++ b/internal/peer/copies_test.go
@@ -17,7 +17,7 @@
 func ownedBy(d *daemon, owner ident.VM) poison.Copy {
 	GinkgoHelper()
 	for n := range 1000 {
-		c := poison.Copy{Fingerprint: poison.Fingerprint(n + 1), Sender: poison.Sender{VM: d.options.Self, Number: 1}, Wanted: "e1"}
+		c := poison.Copy{Fingerprint: poison.Fingerprint(n + 1), Sender: poison.Sender{VM: d.options.Self, Sequence: 1}, Preferred: "e1"}
 		if vm, _ := d.Owner(c.Fingerprint.String()); vm == owner {
 			return c
 		}
@@ -41,7 +41,7 @@
 		b.copies.asked = 0
 		for i, d := range []*daemon{a, b, c} {
 			request.Sender.VM = d.options.Self
-			request.Wanted = ident.Upstream([]string{"e1", "e2", "e3"}[i])
+			request.Preferred = ident.Upstream([]string{"e1", "e2", "e3"}[i])
 			at, err := d.Place(context.Background(), request)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(at).To(BeEquivalentTo("e1"))
--- a/internal/peer/digest_test.go
+++ b/internal/peer/digest_test.go
@@ -51,7 +51,7 @@
 		s.Dispatch.Poison = slices.DeleteFunc(s.Dispatch.Poison, func(m poison.Mark) bool { return m.Fingerprint == f })
 		if r.IntN(2) == 0 {
 			s.Dispatch.Poison = append(s.Dispatch.Poison, poison.Mark{
-				Fingerprint: f, Deaths: []poison.Death{{Upstream: up, BootID: "b"}}, Expires: time.UnixMilli(r.Int64N(1e12) + 1).UTC(), Trying: "vm",
+				Fingerprint: f, Deaths: []poison.Death{{Upstream: up, BootID: "b"}}, Expires: time.UnixMilli(r.Int64N(1e12) + 1).UTC(), TrialVM: "vm",
 			})
 		}
 	case 4:
--- a/internal/peer/fakes_test.go
+++ b/internal/peer/fakes_test.go
@@ -69,7 +69,7 @@
 // fakeCopies places copies as the dispatcher does.
 type fakeCopies struct {
 	mu     sync.Mutex
-	places *poison.Places
+	places *poison.Placements
 	asked  int
 }
 
@@ -142,7 +142,7 @@
 // startDaemon runs a service over loopback until the test's end or stop.
 func startDaemon(vm ident.VM, change func(*Options), seeds ...string) (d *daemon, stop func()) {
 	GinkgoHelper()
-	d = &daemon{digests: newFakeDigests(), copies: &fakeCopies{places: poison.NewPlaces()}, config: newFakeConfig(0), events: timeline.New(vm, 0)}
+	d = &daemon{digests: newFakeDigests(), copies: &fakeCopies{places: poison.NewPlacements()}, config: newFakeConfig(0), events: timeline.New(vm, 0)}
 	options := Options{
 		Self: vm, DataCentre: "dc", ListenAddress: "127.0.0.1:0", Token: "a shared secret", Seeds: seeds,
 		Digests: d.digests, Copies: d.copies, Config: d.config, Steps: fakeSteps{}, Timeline: d.events,
--- a/internal/peer/marks.go
+++ b/internal/peer/marks.go
@@ -14,13 +14,13 @@
 	out := &peerpb.PoisonMark{
 		Fingerprint: uint64(m.Fingerprint),
 		Expires:     toMillis(m.Expires),
-		Trying:      string(m.Trying),
-		TryingOn:    string(m.TryingOn),
-		TryingUntil: toMillis(m.TryingUntil),
+		Trying:      string(m.TrialVM),
+		TryingOn:    string(m.TrialUpstream),
+		TryingUntil: toMillis(m.TrialExpires),
 	}
 	for _, d := range m.Deaths {
 		out.Deaths = append(out.Deaths, &peerpb.Death{
-			Upstream: string(d.Upstream), BootId: d.BootID, Forgiven: d.Forgiven, Tokens: uint32(d.Tokens),
+			Upstream: string(d.Upstream), BootId: d.BootID, Forgiven: d.Cleared, Tokens: uint32(d.Tokens),
 		})
 	}
 	return out
@@ -28,15 +28,15 @@
 
 func decodeMark(m *peerpb.PoisonMark) poison.Mark {
 	out := poison.Mark{
-		Fingerprint: poison.Fingerprint(m.GetFingerprint()),
-		Expires:     fromMillis(m.GetExpires()),
-		Trying:      ident.VM(m.GetTrying()),
-		TryingOn:    ident.Upstream(m.GetTryingOn()),
-		TryingUntil: fromMillis(m.GetTryingUntil()),
+		Fingerprint:   poison.Fingerprint(m.GetFingerprint()),
+		Expires:       fromMillis(m.GetExpires()),
+		TrialVM:       ident.VM(m.GetTrying()),
+		TrialUpstream: ident.Upstream(m.GetTryingOn()),
+		TrialExpires:  fromMillis(m.GetTryingUntil()),
 	}
 	for _, d := range m.GetDeaths() {
 		out.Deaths = append(out.Deaths, poison.Death{
-			Upstream: ident.Upstream(d.GetUpstream()), BootID: d.GetBootId(), Forgiven: d.GetForgiven(),
+			Upstream: ident.Upstream(d.GetUpstream()), BootID: d.GetBootId(), Cleared: d.GetForgiven(),
 			Tokens: int(d.GetTokens()),
 		})
 	}
--- a/internal/poison/mark.go
+++ b/internal/poison/mark.go
@@ -45,11 +45,11 @@
 type Death struct {
 	Upstream ident.Upstream `json:"upstream"`
 	BootID   string         `json:"boot_id"` // of the process that ended
-	// Forgiven: the death no longer counts against the request, because the request
+	// Cleared: the death no longer counts against the request, because the request
 	// later succeeded in a trial or got past the position of this death.
-	Forgiven bool `json:"forgiven,omitempty"`
-	// Seen: an attempt of this daemon ran on the process. Not sent to peers.
-	Seen bool `json:"-"`
+	Cleared bool `json:"forgiven,omitempty"`
+	// SeenLocally: an attempt of this daemon ran on the process. Not sent to peers.
+	SeenLocally bool `json:"-"`
 	// Tokens is the position of the death: the number of tokens that the answer had. If
 	// several copies of the request ran on the process, it is that of the furthest one.
 	Tokens int `json:"tokens,omitempty"`
@@ -64,7 +64,7 @@
 // past its own position in a trial without proving anything.
 func (d *Death) mergeProgress(other Death) bool {
 	advanced := other.Tokens > d.Tokens
-	d.Seen = d.Seen || other.Seen
+	d.SeenLocally = d.SeenLocally || other.SeenLocally
 	d.Tokens = max(d.Tokens, other.Tokens)
 	return advanced
 }
@@ -74,29 +74,29 @@
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Deaths      []Death     `json:"deaths"` // sorted by upstream, then boot ID
 	Expires     time.Time   `json:"expires"`
-	// Trying is the daemon that has claimed the suspect's trial, "" if none has. Its claim
+	// TrialVM is the daemon that has claimed the suspect's trial, "" if none has. Its claim
 	// expires unless it is renewed, so that the claim of a dead daemon ends.
-	Trying      ident.VM       `json:"trying,omitempty"`
-	TryingOn    ident.Upstream `json:"trying_on,omitempty"`   // kept free for the trial
-	TryingUntil time.Time      `json:"trying_until,omitzero"` // when the claim expires
+	TrialVM       ident.VM       `json:"trying,omitempty"`
+	TrialUpstream ident.Upstream `json:"trying_on,omitempty"`   // kept free for the trial
+	TrialExpires  time.Time      `json:"trying_until,omitzero"` // when the claim expires
 	// trialStarted: the trial is this daemon's own and runs. Before, the daemon waits for
 	// the upstream to become idle.
 	trialStarted bool
 }
 
-// Crashes returns the number of deaths that count against the request.
-func (m *Mark) Crashes() int {
+// CountedDeaths returns the number of deaths that count against the request.
+func (m *Mark) CountedDeaths() int {
 	n := 0
 	for _, d := range m.Deaths {
-		if !d.Forgiven {
+		if !d.Cleared {
 			n++
 		}
 	}
 	return n
 }
 
-// Has reports whether the mark contains a death of the same process as d.
-func (m *Mark) Has(d Death) bool {
+// HasDeath reports whether the mark contains a death of the same process as d.
+func (m *Mark) HasDeath(d Death) bool {
 	_, found := slices.BinarySearchFunc(m.Deaths, d, compareDeaths)
 	return found
 }
@@ -105,8 +105,8 @@
 func (m *Mark) addDeath(d Death) bool {
 	i, found := slices.BinarySearchFunc(m.Deaths, d, compareDeaths)
 	if found {
-		newlyCleared := d.Forgiven && !m.Deaths[i].Forgiven
-		m.Deaths[i].Forgiven = m.Deaths[i].Forgiven || d.Forgiven
+		newlyCleared := d.Cleared && !m.Deaths[i].Cleared
+		m.Deaths[i].Cleared = m.Deaths[i].Cleared || d.Cleared
 		return m.Deaths[i].mergeProgress(d) || newlyCleared
 	}
 	m.Deaths = slices.Insert(m.Deaths, i, d)
@@ -119,7 +119,7 @@
 // dropOneDeath drops the first death that no longer counts, or the last death if all of
 // them count.
 func (m *Mark) dropOneDeath() {
-	i := slices.IndexFunc(m.Deaths, func(d Death) bool { return d.Forgiven })
+	i := slices.IndexFunc(m.Deaths, func(d Death) bool { return d.Cleared })
 	if i < 0 {
 		i = len(m.Deaths) - 1
 	}
@@ -132,12 +132,12 @@
 
 func (m *Mark) clearDeaths() {
 	for i := range m.Deaths {
-		m.Deaths[i].Forgiven = true
+		m.Deaths[i].Cleared = true
 	}
 }
 
 func (m *Mark) endTrial() {
-	m.Trying, m.TryingOn, m.TryingUntil, m.trialStarted = "", "", time.Time{}, false
+	m.TrialVM, m.TrialUpstream, m.TrialExpires, m.trialStarted = "", "", time.Time{}, false
 }
 
 // mergeTrial adopts the trial that a peer's mark names and reports whether that changed
@@ -147,20 +147,20 @@
 // upstream. A trial of this daemon that already runs isn't given up: it started after
 // all peers had heard of the claim. No claim is kept beyond maxExpires.
 func (m *Mark) mergeTrial(from ident.VM, received Mark, self ident.VM, maxExpires time.Time) bool {
-	if received.Trying != from {
-		if m.Trying == from {
+	if received.TrialVM != from {
+		if m.TrialVM == from {
 			m.endTrial()
 			return true
 		}
 		return false // the claim of a third daemon, or none
 	}
-	if m.Trying == self && m.trialStarted || m.Trying != "" && m.Trying < from {
+	if m.TrialVM == self && m.trialStarted || m.TrialVM != "" && m.TrialVM < from {
 		return false
 	}
-	if received.TryingUntil.After(maxExpires) {
-		received.TryingUntil = maxExpires
+	if received.TrialExpires.After(maxExpires) {
+		received.TrialExpires = maxExpires
 	}
-	changed := m.Trying != from || m.TryingOn != received.TryingOn
-	m.Trying, m.TryingOn, m.TryingUntil, m.trialStarted = from, received.TryingOn, received.TryingUntil, false
+	changed := m.TrialVM != from || m.TrialUpstream != received.TrialUpstream
+	m.TrialVM, m.TrialUpstream, m.TrialExpires, m.trialStarted = from, received.TrialUpstream, received.TrialExpires, false
 	return changed
 }
--- a/internal/poison/places.go
+++ b/internal/poison/places.go
@@ -20,8 +20,8 @@
 // Sender identifies one copy of a request that a daemon handles. All attempts that the
 // daemon makes for this copy have the same Sender.
 type Sender struct {
-	VM     ident.VM
-	Number uint64 // unique within the daemon's process
+	VM       ident.VM
+	Sequence uint64 // unique within the daemon's process
 }
 
 // Copy is a copy of a request that is about to be sent. It needs a placement only while
@@ -29,23 +29,23 @@
 type Copy struct {
 	Fingerprint Fingerprint
 	Sender      Sender
-	Wanted      ident.Upstream // where the copy's daemon would send it
+	Preferred   ident.Upstream // where the copy's daemon would send it
 }
 
-// Places assigns all copies of a request to one upstream. Whether a request crashes its
+// Placements assigns all copies of a request to one upstream. Whether a request crashes its
 // upstream is known only after one copy has run. If several daemons chose an upstream
 // for their copies independently before that, each copy could cost one upstream. So one
 // daemon places all copies of a request, and at most the upstream that it assigned is
 // lost.
 //
-// Places does no I/O and reads no clock; it is not safe for concurrent use.
+// Placements does no I/O and reads no clock; it is not safe for concurrent use.
 //
 // Invariants:
 //   - within placementTTL of the first copy's placement all senders get the same
 //     upstream, except that the only sender of a request may move to another one;
 //   - a placement is dropped after twice placementTTL, so memory use doesn't grow with
 //     time.
-type Places struct {
+type Placements struct {
 	current, previous map[Fingerprint]*placement // generations, see rotate
 	currentSince      time.Time
 }
@@ -55,26 +55,26 @@
 	senders  []Sender // at most maxSenders
 }
 
-// NewPlaces returns an empty set of placements.
-func NewPlaces() *Places {
-	return &Places{current: map[Fingerprint]*placement{}, previous: map[Fingerprint]*placement{}}
+// NewPlacements returns an empty set of placements.
+func NewPlacements() *Placements {
+	return &Placements{current: map[Fingerprint]*placement{}, previous: map[Fingerprint]*placement{}}
 }
 
 // Place returns the upstream that the copy must be sent to.
-func (p *Places) Place(c Copy, now time.Time) ident.Upstream {
+func (p *Placements) Place(c Copy, now time.Time) ident.Upstream {
 	p.rotate(now)
 	existing := p.current[c.Fingerprint]
 	if existing == nil {
 		existing = p.previous[c.Fingerprint]
 	}
 	if existing == nil {
-		p.current[c.Fingerprint] = &placement{c.Wanted, []Sender{c.Sender}}
-		return c.Wanted
+		p.current[c.Fingerprint] = &placement{c.Preferred, []Sender{c.Sender}}
+		return c.Preferred
 	}
 	if existing.hasOnlySender(c.Sender) {
 		// Its upstream refused the copy or died while running it; no other copy is there.
-		existing.upstream = c.Wanted
-		return c.Wanted
+		existing.upstream = c.Preferred
+		return c.Preferred
 	}
 	existing.addSender(c.Sender)
 	return existing.upstream
@@ -83,7 +83,7 @@
 // rotate starts a new generation of placements if the current one is full or
 // placementTTL old. The current one becomes the previous one, unless it is twice
 // placementTTL old and is dropped.
-func (p *Places) rotate(now time.Time) {
+func (p *Placements) rotate(now time.Time) {
 	age := now.Sub(p.currentSince)
 	if age < placementTTL && len(p.current) < maxPlacements {
 		return
--- a/internal/poison/places_test.go
+++ b/internal/poison/places_test.go
@@ -43,22 +43,22 @@
 	}
 	switch {
 	case now.Sub(last) >= 2*placementTTL:
-		return c.Wanted
+		return c.Preferred
 	case now.Sub(first.placedAt) >= placementTTL:
 		return ""
 	case onlySender && c.Sender == first.Sender:
-		return c.Wanted
+		return c.Preferred
 	}
 	return required
 }
 
 var _ = Describe("Placement of copies", func() {
 	copyOf := func(fp int, vm string, wanted string) Copy {
-		return Copy{Fingerprint: Fingerprint(fp), Sender: Sender{VM: ident.VM(vm), Number: 1}, Wanted: ident.Upstream(wanted)}
+		return Copy{Fingerprint: Fingerprint(fp), Sender: Sender{VM: ident.VM(vm), Sequence: 1}, Preferred: ident.Upstream(wanted)}
 	}
 
 	It("gives all copies of a request the same upstream, and each request its own", func() {
-		p := NewPlaces()
+		p := NewPlacements()
 		Expect(p.Place(copyOf(1, "a", "u1"), epoch)).To(BeEquivalentTo("u1"))
 		Expect(p.Place(copyOf(1, "b", "u2"), epoch)).To(BeEquivalentTo("u1"))
 		Expect(p.Place(copyOf(2, "b", "u2"), epoch)).To(BeEquivalentTo("u2"))
@@ -68,7 +68,7 @@
 	// The upstream refused a request of which there is no other copy: the request must not
 	// wait for that upstream.
 	It("lets the only sender of a request move, and no sender once there are two", func() {
-		p := NewPlaces()
+		p := NewPlacements()
 		p.Place(copyOf(1, "a", "u1"), epoch)
 		Expect(p.Place(copyOf(1, "a", "u2"), epoch)).To(BeEquivalentTo("u2"))
 		Expect(p.Place(copyOf(1, "b", "u3"), epoch)).To(BeEquivalentTo("u2"))
@@ -76,7 +76,7 @@
 	})
 
 	It("drops placements after their lifetime and bounds their number", func() {
-		p := NewPlaces()
+		p := NewPlacements()
 		p.Place(copyOf(1, "a", "u1"), epoch)
 		Expect(p.Place(copyOf(1, "b", "u2"), epoch.Add(2*placementTTL))).To(BeEquivalentTo("u2"))
 		for fp := range 2*maxPlacements + 10 {
@@ -89,12 +89,12 @@
 		checked := 0
 		for seed := range uint64(40) {
 			random := rand.New(rand.NewPCG(seed, 5))
-			p, reference := NewPlaces(), &referencePlacements{}
+			p, reference := NewPlacements(), &referencePlacements{}
 			now := epoch
 			for step := range 400 {
 				now = now.Add(time.Duration(random.IntN(600)) * time.Millisecond)
 				c := copyOf(random.IntN(5), fmt.Sprint("vm", random.IntN(4)), fmt.Sprint("u", random.IntN(6)))
-				c.Sender.Number = uint64(random.IntN(3))
+				c.Sender.Sequence = uint64(random.IntN(3))
 				got := p.Place(c, now)
 				if required := reference.requiredUpstream(c, now); required != "" {
 					checked++
@@ -109,7 +109,7 @@
 
 var _ = Describe("Memory of answered requests", func() {
 	It("keeps a request for its lifetime and bounds their number", func() {
-		a := NewAnswered()
+		a := NewAnsweredRequests()
 		Expect(a.Has(1, epoch)).To(BeFalse())
 		a.Add(1, epoch)
 		Expect(a.Has(1, epoch.Add(answeredTTL))).To(BeTrue())
--- a/internal/poison/poison.go
+++ b/internal/poison/poison.go
@@ -43,26 +43,26 @@
 	RetryAfter time.Duration
 }
 
-// Keeper holds the marks that one daemon knows. It does no I/O and reads no clock; it is
+// Tracker holds the marks that one daemon knows. It does no I/O and reads no clock; it is
 // not safe for concurrent use.
 //
 // Invariants:
 //   - a request with two deaths that count isn't admitted until its mark expires. So a
 //     request that crashes its upstream at its start, at some token or at its end costs
 //     at most two upstreams. Copies that other daemons have in flight before they hear
-//     of the first death run on the same upstream (see [Places]), or are stopped when
+//     of the first death run on the same upstream (see [Placements]), or are stopped when
 //     they hear of it;
 //   - the deaths of a mark are a set, and a death that stopped counting never counts
 //     again, so merging is commutative and idempotent, and its result doesn't depend on
 //     the order in which peers are heard;
 //   - once the marks have spread, at most one daemon runs a suspect.
-type Keeper struct {
+type Tracker struct {
 	options Options
 	marks   map[Fingerprint]*Mark
 }
 
 // New returns an empty keeper.
-func New(o Options) *Keeper {
+func New(o Options) *Tracker {
 	if o.MarkTTL <= 0 {
 		o.MarkTTL = 10 * time.Minute
 	}
@@ -72,27 +72,27 @@
 	if o.TrialTTL <= 0 {
 		o.TrialTTL = 5 * time.Second
 	}
-	return &Keeper{options: o, marks: map[Fingerprint]*Mark{}}
+	return &Tracker{options: o, marks: map[Fingerprint]*Mark{}}
 }
 
 // Admit returns whether and how a request may run now. It changes nothing.
-func (k *Keeper) Admit(fp Fingerprint, now time.Time) Decision {
+func (k *Tracker) Admit(fp Fingerprint, now time.Time) Decision {
 	m := k.unexpiredMark(fp, now)
-	if m == nil || m.Crashes() == 0 {
+	if m == nil || m.CountedDeaths() == 0 {
 		return Decision{Verdict: Clean}
 	}
-	if m.Crashes() >= deathsToConvict {
+	if m.CountedDeaths() >= deathsToConvict {
 		return Decision{Verdict: Convicted, RetryAfter: m.Expires.Sub(now)}
 	}
-	if m.Trying != "" && m.Trying != k.options.Self && now.Before(m.TryingUntil) {
-		return Decision{Verdict: Busy, RetryAfter: m.TryingUntil.Sub(now)}
+	if m.TrialVM != "" && m.TrialVM != k.options.Self && now.Before(m.TrialExpires) {
+		return Decision{Verdict: Busy, RetryAfter: m.TrialExpires.Sub(now)}
 	}
 	return Decision{Verdict: Suspect}
 }
 
 // Died records that an upstream's process ended while the request ran on it. It reports
 // whether that changed the mark, so that peers have to be told at once.
-func (k *Keeper) Died(fp Fingerprint, d Death, now time.Time) bool {
+func (k *Tracker) Died(fp Fingerprint, d Death, now time.Time) bool {
 	m := k.unexpiredMark(fp, now)
 	if m == nil {
 		m = k.insertMark(fp, now)
@@ -104,41 +104,41 @@
 	return true
 }
 
-// Try claims the suspect's trial, on an upstream, for this daemon. To keep the claim, the
-// caller repeats Try before TrialTTL has passed. Try reports false, and claims nothing,
+// ClaimTrial claims the suspect's trial, on an upstream, for this daemon. To keep the claim, the
+// caller repeats ClaimTrial before TrialTTL has passed. ClaimTrial reports false, and claims nothing,
 // if the request is no suspect any more or another daemon has its trial.
-func (k *Keeper) Try(fp Fingerprint, upstream ident.Upstream, now time.Time) bool {
+func (k *Tracker) ClaimTrial(fp Fingerprint, upstream ident.Upstream, now time.Time) bool {
 	if k.Admit(fp, now).Verdict != Suspect {
 		return false
 	}
 	m := k.marks[fp]
-	m.Trying = k.options.Self
-	m.TryingOn = upstream
-	m.TryingUntil = now.Add(k.options.TrialTTL)
+	m.TrialVM = k.options.Self
+	m.TrialUpstream = upstream
+	m.TrialExpires = now.Add(k.options.TrialTTL)
 	return true
 }
 
-// Begin is [Keeper.Try] for a trial that runs from now on: it is no longer given up for
+// StartTrial is [Tracker.ClaimTrial] for a trial that runs from now on: it is no longer given up for
 // the claim of another daemon.
-func (k *Keeper) Begin(fp Fingerprint, upstream ident.Upstream, now time.Time) bool {
-	if !k.Try(fp, upstream, now) {
+func (k *Tracker) StartTrial(fp Fingerprint, upstream ident.Upstream, now time.Time) bool {
+	if !k.ClaimTrial(fp, upstream, now) {
 		return false
 	}
 	k.marks[fp].trialStarted = true
 	return true
 }
 
-// Tried ends the trial that this daemon has claimed. A success clears the request: its
+// EndTrial ends the trial that this daemon has claimed. A success clears the request: its
 // deaths must have been caused by another request that ran beside it.
-func (k *Keeper) Tried(fp Fingerprint, succeeded bool, now time.Time) {
+func (k *Tracker) EndTrial(fp Fingerprint, succeeded bool, now time.Time) {
 	m := k.unexpiredMark(fp, now)
 	if m == nil {
 		return
 	}
-	if m.Trying == k.options.Self {
+	if m.TrialVM == k.options.Self {
 		m.endTrial()
 	}
-	if succeeded && m.Crashes() < deathsToConvict {
+	if succeeded && m.CountedDeaths() < deathsToConvict {
 		m.clearDeaths()
 	}
 }
@@ -148,18 +148,18 @@
 // not yet sent.
 const progressMargin = 16
 
-// Passed takes the number of tokens that a request in this daemon's trial has. If they
-// are past the positions of all its deaths, Passed clears the request, ends the trial and
+// Progressed takes the number of tokens that a request in this daemon's trial has. If they
+// are past the positions of all its deaths, Progressed clears the request, ends the trial and
 // reports true. It does so once for a request, and only if this daemon knows the position
 // of every death: a request that was cleared before runs its trial to the end, so that
 // one that crashes upstreams at no fixed position is rejected as well.
-func (k *Keeper) Passed(fp Fingerprint, tokens int, now time.Time) bool {
+func (k *Tracker) Progressed(fp Fingerprint, tokens int, now time.Time) bool {
 	m := k.unexpiredMark(fp, now)
-	if m == nil || m.Trying != k.options.Self || m.Crashes() >= deathsToConvict {
+	if m == nil || m.TrialVM != k.options.Self || m.CountedDeaths() >= deathsToConvict {
 		return false
 	}
 	for _, d := range m.Deaths {
-		if d.Forgiven || !d.Seen || tokens < d.Tokens+progressMargin {
+		if d.Cleared || !d.SeenLocally || tokens < d.Tokens+progressMargin {
 			return false
 		}
 	}
@@ -168,20 +168,20 @@
 	return true
 }
 
-// Unrelated reports whether d, a death of a suspect outside a trial, is no evidence
+// IsUnrelatedDeath reports whether d, a death of a suspect outside a trial, is no evidence
 // against it, because its other deaths have quite different positions. A request that
 // crashes upstreams does so at one position. If two engines end by chance, one with a slow
 // request and one with the hedged copy of it, the request must not be rejected.
-func (k *Keeper) Unrelated(fp Fingerprint, d Death, now time.Time) bool {
+func (k *Tracker) IsUnrelatedDeath(fp Fingerprint, d Death, now time.Time) bool {
 	m := k.unexpiredMark(fp, now)
-	if m == nil || m.Crashes() == 0 {
+	if m == nil || m.CountedDeaths() == 0 {
 		return false
 	}
 	for _, known := range m.Deaths {
-		if known.Forgiven {
+		if known.Cleared {
 			continue
 		}
-		if !known.Seen || known.sameProcess(d) || max(known.Tokens-d.Tokens, d.Tokens-known.Tokens) < progressMargin {
+		if !known.SeenLocally || known.sameProcess(d) || max(known.Tokens-d.Tokens, d.Tokens-known.Tokens) < progressMargin {
 			return false
 		}
 	}
@@ -189,7 +189,7 @@
 }
 
 // Merge adopts what is new in a peer's marks and returns the requests whose marks changed.
-func (k *Keeper) Merge(from ident.VM, marks []Mark, now time.Time) []Fingerprint {
+func (k *Tracker) Merge(from ident.VM, marks []Mark, now time.Time) []Fingerprint {
 	var changed []Fingerprint
 	for _, received := range marks {
 		if now.Before(received.Expires) && k.mergeMark(from, received, now) {
@@ -199,14 +199,14 @@
 	return changed
 }
 
-func (k *Keeper) mergeMark(from ident.VM, received Mark, now time.Time) bool {
+func (k *Tracker) mergeMark(from ident.VM, received Mark, now time.Time) bool {
 	m := k.unexpiredMark(received.Fingerprint, now)
 	if m == nil {
 		m = k.insertMark(received.Fingerprint, now)
 	}
 	changed := false
 	for _, d := range received.Deaths {
-		d.Seen = false
+		d.SeenLocally = false
 		changed = m.addDeath(d) || changed
 	}
 	// The peer's clock may be ahead: no mark lives longer than a new one of this daemon.
@@ -219,22 +219,22 @@
 	return m.mergeTrial(from, received, k.options.Self, now.Add(k.options.TrialTTL)) || changed
 }
 
-// Forget ends the trials of a daemon that is gone.
-func (k *Keeper) Forget(vm ident.VM) {
+// EndTrialsOf ends the trials of a daemon that is gone.
+func (k *Tracker) EndTrialsOf(vm ident.VM) {
 	for _, m := range k.marks {
-		if m.Trying == vm {
+		if m.TrialVM == vm {
 			m.endTrial()
 		}
 	}
 }
 
-// Taken returns the upstreams of the trials that other daemons have claimed, sorted and
+// PeerTrialUpstreams returns the upstreams of the trials that other daemons have claimed, sorted and
 // each once.
-func (k *Keeper) Taken(now time.Time) []ident.Upstream {
+func (k *Tracker) PeerTrialUpstreams(now time.Time) []ident.Upstream {
 	var taken []ident.Upstream
 	for _, m := range k.marks {
-		if m.Trying != "" && m.Trying != k.options.Self && now.Before(m.TryingUntil) {
-			taken = append(taken, m.TryingOn)
+		if m.TrialVM != "" && m.TrialVM != k.options.Self && now.Before(m.TrialExpires) {
+			taken = append(taken, m.TrialUpstream)
 		}
 	}
 	slices.Sort(taken)
@@ -243,7 +243,7 @@
 
 // Mark returns a copy of a request's mark. The copy has no deaths if there is no mark or
 // it has expired.
-func (k *Keeper) Mark(fp Fingerprint, now time.Time) Mark {
+func (k *Tracker) Mark(fp Fingerprint, now time.Time) Mark {
 	m := k.unexpiredMark(fp, now)
 	if m == nil {
 		return Mark{Fingerprint: fp}
@@ -253,23 +253,23 @@
 	return c
 }
 
-// Rival returns the other daemon that has claimed a trial on an upstream, the one with
+// PeerTrialVM returns the other daemon that has claimed a trial on an upstream, the one with
 // the lowest name if several have, "" if none has.
-func (k *Keeper) Rival(upstream ident.Upstream, now time.Time) ident.VM {
+func (k *Tracker) PeerTrialVM(upstream ident.Upstream, now time.Time) ident.VM {
 	var lowest ident.VM
 	for _, m := range k.marks {
-		if m.TryingOn != upstream || m.Trying == k.options.Self || !now.Before(m.TryingUntil) {
+		if m.TrialUpstream != upstream || m.TrialVM == k.options.Self || !now.Before(m.TrialExpires) {
 			continue
 		}
-		if lowest == "" || m.Trying < lowest {
-			lowest = m.Trying
+		if lowest == "" || m.TrialVM < lowest {
+			lowest = m.TrialVM
 		}
 	}
 	return lowest
 }
 
 // Marks returns copies of the marks that haven't expired, sorted by fingerprint, for peers.
-func (k *Keeper) Marks(now time.Time) []Mark {
+func (k *Tracker) Marks(now time.Time) []Mark {
 	out := make([]Mark, 0, len(k.marks))
 	for _, m := range k.marks {
 		if !now.Before(m.Expires) {
@@ -283,8 +283,8 @@
 	return out
 }
 
-// Tick drops expired marks.
-func (k *Keeper) Tick(now time.Time) {
+// DropExpired drops expired marks.
+func (k *Tracker) DropExpired(now time.Time) {
 	for fp, m := range k.marks {
 		if !now.Before(m.Expires) {
 			delete(k.marks, fp)
@@ -293,7 +293,7 @@
 }
 
 // unexpiredMark returns a request's mark, nil if there is none or it has expired.
-func (k *Keeper) unexpiredMark(fp Fingerprint, now time.Time) *Mark {
+func (k *Tracker) unexpiredMark(fp Fingerprint, now time.Time) *Mark {
 	m := k.marks[fp]
 	if m == nil || !now.Before(m.Expires) {
 		return nil
@@ -303,7 +303,7 @@
 
 // insertMark adds an empty mark, in place of one that has expired or of another request's
 // if there is no room.
-func (k *Keeper) insertMark(fp Fingerprint, now time.Time) *Mark {
+func (k *Tracker) insertMark(fp Fingerprint, now time.Time) *Mark {
 	if _, replaced := k.marks[fp]; !replaced && len(k.marks) >= k.options.MaxMarks {
 		k.evictMark()
 	}
@@ -315,7 +315,7 @@
 // evictMark drops the least important mark: the one with the fewest counted deaths, then
 // the first to expire, then the lowest fingerprint. The order is total, so that the
 // result doesn't depend on the order of the map.
-func (k *Keeper) evictMark() {
+func (k *Tracker) evictMark() {
 	var victim *Mark
 	for _, m := range k.marks {
 		if victim == nil || evictsBefore(m, victim) {
@@ -329,8 +329,8 @@
 
 // evictsBefore reports whether a is evicted before b.
 func evictsBefore(a, b *Mark) bool {
-	if a.Crashes() != b.Crashes() {
-		return a.Crashes() < b.Crashes()
+	if a.CountedDeaths() != b.CountedDeaths() {
+		return a.CountedDeaths() < b.CountedDeaths()
 	}
 	if !a.Expires.Equal(b.Expires) {
 		return a.Expires.Before(b.Expires)
--- a/internal/poison/poison_test.go
+++ b/internal/poison/poison_test.go
@@ -36,7 +36,7 @@
 func (r *referenceModel) clear(fp Fingerprint) {
 	if r.countedDeaths(fp) < 2 {
 		for i := range r.deaths[fp] {
-			r.deaths[fp][i].Forgiven = true
+			r.deaths[fp][i].Cleared = true
 		}
 	}
 }
@@ -44,7 +44,7 @@
 func (r *referenceModel) countedDeaths(fp Fingerprint) int {
 	count := 0
 	for _, d := range r.deaths[fp] {
-		if !d.Forgiven {
+		if !d.Cleared {
 			count++
 		}
 	}
@@ -63,7 +63,7 @@
 // returns the number of upstreams lost and whether the last send was rejected.
 func resendThroughFleet(seed uint64, shared bool) (upstreamsLost int, rejected bool) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	var daemons []*Keeper
+	var daemons []*Tracker
 	for i := range 5 {
 		daemons = append(daemons, New(Options{Self: ident.VM(fmt.Sprint("vm", i))}))
 	}
@@ -77,9 +77,9 @@
 			continue
 		}
 		upstreamsLost++
-		k.Try(7, "q", now)
+		k.ClaimTrial(7, "q", now)
 		k.Died(7, Death{Upstream: ident.Upstream(fmt.Sprint("u", upstreamsLost)), BootID: "1"}, now)
-		k.Tried(7, false, now)
+		k.EndTrial(7, false, now)
 		for _, to := range daemons {
 			if shared {
 				to.Merge(k.options.Self, k.Marks(now), now)
@@ -105,12 +105,12 @@
 					k.Died(fp, d, now)
 					reference.died(fp, d, now)
 				case 1:
-					if k.Try(fp, d.Upstream, now) {
-						k.Tried(fp, true, now)
+					if k.ClaimTrial(fp, d.Upstream, now) {
+						k.EndTrial(fp, true, now)
 						reference.clear(fp)
 					}
 				}
-				k.Tick(now)
+				k.DropExpired(now)
 				Expect(k.Admit(fp, now).Verdict).To(Equal(reference.verdict(fp, now)), "seed %d", seed)
 			}
 		}
@@ -134,8 +134,8 @@
 	It("merges marks to the same result whatever their order and repetition", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
 		a.Died(1, Death{Upstream: "u1", BootID: "x"}, epoch)
-		a.Try(1, "u2", epoch)
-		a.Tried(1, true, epoch)
+		a.ClaimTrial(1, "u2", epoch)
+		a.EndTrial(1, true, epoch)
 		b.Died(1, Death{Upstream: "u1", BootID: "x"}, epoch)
 		b.Died(1, Death{Upstream: "u3", BootID: "y"}, epoch)
 		c1, c2 := New(Options{Self: "c"}), New(Options{Self: "c"})
@@ -153,14 +153,14 @@
 	It("gives the trial of a suspect to one daemon at a time", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
 		a.Died(1, Death{Upstream: "u1"}, epoch)
-		Expect(a.Try(1, "q", epoch)).To(BeTrue())
+		Expect(a.ClaimTrial(1, "q", epoch)).To(BeTrue())
 		b.Merge("a", a.Marks(epoch), epoch)
 		Expect(b.Admit(1, epoch).Verdict).To(Equal(Busy))
-		Expect(b.Taken(epoch)).To(Equal([]ident.Upstream{"q"}))
-		Expect(a.Taken(epoch)).To(BeEmpty())
-		Expect(b.Try(1, "q", epoch)).To(BeFalse())
+		Expect(b.PeerTrialUpstreams(epoch)).To(Equal([]ident.Upstream{"q"}))
+		Expect(a.PeerTrialUpstreams(epoch)).To(BeEmpty())
+		Expect(b.ClaimTrial(1, "q", epoch)).To(BeFalse())
 		Expect(b.Admit(1, epoch.Add(5*time.Second)).Verdict).To(Equal(Suspect))
-		b.Forget("a")
+		b.EndTrialsOf("a")
 		Expect(b.Admit(1, epoch).Verdict).To(Equal(Suspect))
 	})
 
@@ -169,40 +169,40 @@
 	// cost of one upstream each.
 	It("gives a trial that two daemons claim at once to the one with the lower name", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
-		for _, k := range []*Keeper{a, b} {
+		for _, k := range []*Tracker{a, b} {
 			k.Died(1, Death{Upstream: "u1"}, epoch)
 		}
-		Expect(a.Try(1, "q", epoch)).To(BeTrue())
-		Expect(b.Try(1, "r", epoch)).To(BeTrue())
+		Expect(a.ClaimTrial(1, "q", epoch)).To(BeTrue())
+		Expect(b.ClaimTrial(1, "r", epoch)).To(BeTrue())
 		marksOfA, marksOfB := a.Marks(epoch), b.Marks(epoch)
 		a.Merge("b", marksOfB, epoch)
 		b.Merge("a", marksOfA, epoch)
-		Expect(b.Begin(1, "r", epoch)).To(BeFalse())
+		Expect(b.StartTrial(1, "r", epoch)).To(BeFalse())
 		Expect(b.Admit(1, epoch).Verdict).To(Equal(Busy))
-		Expect(a.Begin(1, "q", epoch)).To(BeTrue())
+		Expect(a.StartTrial(1, "q", epoch)).To(BeTrue())
 	})
 
 	It("finds the lowest-named other daemon with a trial on an upstream", func() {
 		k := New(Options{Self: "b"})
 		until := epoch.Add(time.Second)
 		for fp, vm := range []ident.VM{"c", "a", "d"} {
-			k.Merge(vm, []Mark{{Fingerprint: Fingerprint(fp + 1), Expires: until, Trying: vm, TryingOn: "q", TryingUntil: until}}, epoch)
+			k.Merge(vm, []Mark{{Fingerprint: Fingerprint(fp + 1), Expires: until, TrialVM: vm, TrialUpstream: "q", TrialExpires: until}}, epoch)
 		}
-		Expect(k.Rival("q", epoch)).To(BeEquivalentTo("a"))
-		Expect(k.Rival("r", epoch)).To(BeEmpty())
-		Expect(k.Rival("q", until)).To(BeEmpty())
+		Expect(k.PeerTrialVM("q", epoch)).To(BeEquivalentTo("a"))
+		Expect(k.PeerTrialVM("r", epoch)).To(BeEmpty())
+		Expect(k.PeerTrialVM("q", until)).To(BeEmpty())
 		k.Died(9, Death{Upstream: "u1"}, epoch)
-		k.Try(9, "s", epoch)
-		Expect(k.Rival("s", epoch)).To(BeEmpty(), "the trial is its own")
+		k.ClaimTrial(9, "s", epoch)
+		Expect(k.PeerTrialVM("s", epoch)).To(BeEmpty(), "the trial is its own")
 	})
 
 	It("keeps a trial that runs when a daemon with a lower name claims it", func() {
 		b := New(Options{Self: "b"})
 		b.Died(1, Death{Upstream: "u1"}, epoch)
-		Expect(b.Begin(1, "r", epoch)).To(BeTrue())
-		b.Merge("a", []Mark{{Fingerprint: 1, Expires: epoch.Add(time.Minute), Trying: "a", TryingOn: "q", TryingUntil: epoch.Add(time.Second)}}, epoch)
+		Expect(b.StartTrial(1, "r", epoch)).To(BeTrue())
+		b.Merge("a", []Mark{{Fingerprint: 1, Expires: epoch.Add(time.Minute), TrialVM: "a", TrialUpstream: "q", TrialExpires: epoch.Add(time.Second)}}, epoch)
 		Expect(b.Admit(1, epoch).Verdict).To(Equal(Suspect))
-		Expect(b.Try(1, "r", epoch)).To(BeTrue())
+		Expect(b.ClaimTrial(1, "r", epoch)).To(BeTrue())
 	})
 
 	// The upstream died when the request had 40 tokens. In a trial the request gets past
@@ -210,17 +210,17 @@
 	// at token 16.
 	It("clears a request past the position of its death, but only once", func() {
 		k := New(Options{Self: "a"})
-		k.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 40}, epoch)
-		Expect(k.Passed(1, 99, epoch)).To(BeFalse(), "not in a trial")
-		k.Try(1, "u2", epoch)
-		Expect(k.Passed(1, progressMargin, epoch)).To(BeFalse())
-		Expect(k.Passed(1, 40+progressMargin-1, epoch)).To(BeFalse())
-		Expect(k.Passed(1, 40+progressMargin, epoch)).To(BeTrue())
+		k.Died(1, Death{Upstream: "u1", SeenLocally: true, Tokens: 40}, epoch)
+		Expect(k.Progressed(1, 99, epoch)).To(BeFalse(), "not in a trial")
+		k.ClaimTrial(1, "u2", epoch)
+		Expect(k.Progressed(1, progressMargin, epoch)).To(BeFalse())
+		Expect(k.Progressed(1, 40+progressMargin-1, epoch)).To(BeFalse())
+		Expect(k.Progressed(1, 40+progressMargin, epoch)).To(BeTrue())
 		Expect(k.Admit(1, epoch).Verdict).To(Equal(Clean))
-		k.Died(1, Death{Upstream: "u2", Seen: true, Tokens: 90}, epoch)
-		k.Try(1, "u3", epoch)
-		Expect(k.Passed(1, 500, epoch)).To(BeFalse(), "has to run its trial to the end now")
-		k.Died(1, Death{Upstream: "u3", Seen: true, Tokens: 500}, epoch)
+		k.Died(1, Death{Upstream: "u2", SeenLocally: true, Tokens: 90}, epoch)
+		k.ClaimTrial(1, "u3", epoch)
+		Expect(k.Progressed(1, 500, epoch)).To(BeFalse(), "has to run its trial to the end now")
+		k.Died(1, Death{Upstream: "u3", SeenLocally: true, Tokens: 500}, epoch)
 		Expect(k.Admit(1, epoch).Verdict).To(Equal(Convicted))
 	})
 
@@ -230,21 +230,21 @@
 	// third one in a trial.
 	It("doesn't clear a request before the position of its furthest copy", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
-		b.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 450}, epoch)
-		a.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 500}, epoch)
+		b.Died(1, Death{Upstream: "u1", SeenLocally: true, Tokens: 450}, epoch)
+		a.Died(1, Death{Upstream: "u1", SeenLocally: true, Tokens: 500}, epoch)
 		Expect(b.Merge("a", a.Marks(epoch), epoch)).To(Equal([]Fingerprint{1}))
-		b.Try(1, "u2", epoch)
-		Expect(b.Passed(1, 450+progressMargin, epoch)).To(BeFalse())
-		Expect(b.Passed(1, 500+progressMargin, epoch)).To(BeTrue())
+		b.ClaimTrial(1, "u2", epoch)
+		Expect(b.Progressed(1, 450+progressMargin, epoch)).To(BeFalse())
+		Expect(b.Progressed(1, 500+progressMargin, epoch)).To(BeTrue())
 	})
 
 	It("doesn't clear a request by a position that this daemon doesn't know", func() {
 		a, b := New(Options{Self: "a"}), New(Options{Self: "b"})
-		a.Died(1, Death{Upstream: "u1", Seen: true, Tokens: 40}, epoch)
+		a.Died(1, Death{Upstream: "u1", SeenLocally: true, Tokens: 40}, epoch)
 		b.Merge("a", a.Marks(epoch), epoch)
-		b.Try(1, "u2", epoch)
-		Expect(b.Passed(1, 500, epoch)).To(BeFalse())
-		Expect(b.Unrelated(1, Death{Upstream: "u2", Seen: true, Tokens: 500}, epoch)).To(BeFalse())
+		b.ClaimTrial(1, "u2", epoch)
+		Expect(b.Progressed(1, 500, epoch)).To(BeFalse())
+		Expect(b.IsUnrelatedDeath(1, Death{Upstream: "u2", SeenLocally: true, Tokens: 500}, epoch)).To(BeFalse())
 	})
 
 	It("bounds the number of marks and evicts the least important first", func() {
@@ -271,11 +271,11 @@
 			case 0:
 				fmt.Fprintf(&out, "died %d on %s: %v\n", fp, up, k.Died(fp, Death{Upstream: up, BootID: "b"}, now))
 			case 1:
-				fmt.Fprintf(&out, "try %d on %s: %v\n", fp, up, k.Try(fp, up, now))
+				fmt.Fprintf(&out, "try %d on %s: %v\n", fp, up, k.ClaimTrial(fp, up, now))
 			case 2:
-				k.Tried(fp, random.IntN(2) == 0, now)
+				k.EndTrial(fp, random.IntN(2) == 0, now)
 			case 3:
-				k.Merge("vm2", []Mark{{Fingerprint: fp, Expires: now.Add(time.Minute), Trying: "vm2", TryingOn: up, TryingUntil: now.Add(time.Second)}}, now)
+				k.Merge("vm2", []Mark{{Fingerprint: fp, Expires: now.Add(time.Minute), TrialVM: "vm2", TrialUpstream: up, TrialExpires: now.Add(time.Second)}}, now)
 			}
 			d := k.Admit(fp, now)
 			fmt.Fprintf(&out, "%v: %d is %v, retry after %v\n", now.Sub(epoch), fp, d.Verdict, d.RetryAfter)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -49,8 +49,8 @@
 	return s
 }
 
-// On reports whether a mechanism is switched on.
-func (s Set) On(m Mechanism) bool { return !s.disabled[m] }
+// Enabled reports whether a mechanism is switched on.
+func (s Set) Enabled(m Mechanism) bool { return !s.disabled[m] }
 
 // Parse reads a comma-separated list of the mechanisms to switch off. The error names the
 // first one that doesn't exist.
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -14,14 +14,16 @@
 	return time.Duration(hedgeFraction * float64(objective)), objective > 0
 }
 
-// GenerationHedges limits second copies of generations, which occupy a slot of an engine for
+// GenerationHedgeBudget limits second copies of generations, which occupy a slot of an engine for
 // seconds, to a twentieth of the generations, or to one per second where these are few.
-func GenerationHedges() BudgetOptions {
+func GenerationHedgeBudget() BudgetOptions {
 	return BudgetOptions{PerSuccess: 0.05, PerSecond: 1, Capacity: 10}
 }
 
-// CallHedges limits second copies of calls: if a whole service becomes slow, copies of all
+// CallHedgeBudget limits second copies of calls: if a whole service becomes slow, copies of all
 // its calls would double its load. The capacity lets a burst through: the reward calls of a
 // step are sent by the dozen, and if one server of nine is slow, a tenth of them are late
 // and all of these may have a copy.
-func CallHedges() BudgetOptions { return BudgetOptions{PerSuccess: 0.1, PerSecond: 3, Capacity: 50} }
+func CallHedgeBudget() BudgetOptions {
+	return BudgetOptions{PerSuccess: 0.1, PerSecond: 3, Capacity: 50}
+}
--- a/internal/retry/jitter.go
+++ b/internal/retry/jitter.go
@@ -8,14 +8,14 @@
 // bound. With equal delays they would repeat them at the same time, and the service would
 // fail again.
 type Backoff struct {
-	First time.Duration // bound of the delay after the first failure
-	Max   time.Duration // largest bound
+	Initial time.Duration // bound of the delay after the first failure
+	Max     time.Duration // largest bound
 }
 
-// Pause returns the delay after this many failures in a row. random is a number from the
+// Delay returns the delay after this many failures in a row. random is a number from the
 // uniform distribution over [0, 1).
-func (b Backoff) Pause(failures int, random float64) time.Duration {
-	bound := b.First
+func (b Backoff) Delay(failures int, random float64) time.Duration {
+	bound := b.Initial
 	for n := 1; n < failures && bound < b.Max; n++ {
 		bound *= 2
 	}
--- a/internal/retry/jitter_test.go
+++ b/internal/retry/jitter_test.go
@@ -11,14 +11,14 @@
 )
 
 var _ = Describe("Backoff", func() {
-	backoff := retry.Backoff{First: 50 * time.Millisecond, Max: 400 * time.Millisecond}
+	backoff := retry.Backoff{Initial: 50 * time.Millisecond, Max: 400 * time.Millisecond}
 
 	It("doubles the bound of the delay up to the largest", func() {
 		for failures, bound := range map[int]time.Duration{
 			1: 50 * time.Millisecond, 2: 100 * time.Millisecond, 4: 400 * time.Millisecond, 5: 400 * time.Millisecond, 1000: 400 * time.Millisecond,
 		} {
-			Expect(backoff.Pause(failures, 0)).To(BeZero())
-			Expect(backoff.Pause(failures, 0.5)).To(Equal(bound / 2))
+			Expect(backoff.Delay(failures, 0)).To(BeZero())
+			Expect(backoff.Delay(failures, 0.5)).To(Equal(bound / 2))
 		}
 	})
 
@@ -31,7 +31,7 @@
 		random := rand.New(rand.NewPCG(1, 5))
 		var counts [slots]int
 		for range daemons {
-			delay := backoff.Pause(5, random.Float64())
+			delay := backoff.Delay(5, random.Float64())
 			counts[int(delay*slots/backoff.Max)]++
 		}
 		for _, n := range counts {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -51,13 +51,13 @@
 
 // The causes.
 const (
-	None         Cause = iota
-	NotSafe            // a send may have run the request, which isn't idempotent
-	Answered           // the upstream's answer is final
-	Exhausted          // the maximum number of runs or of sends
-	OverBudget         // too many repetitions in recent traffic
-	PastDue            // the deadline has passed
-	NotResumable       // the caller has a part of the answer and the request can't be resumed
+	None           Cause = iota
+	NotSafe              // a send may have run the request, which isn't idempotent
+	Answered             // the upstream's answer is final
+	Exhausted            // the maximum number of runs or of sends
+	OverBudget           // too many repetitions in recent traffic
+	DeadlinePassed       // the deadline has passed
+	NotResumable         // the caller has a part of the answer and the request can't be resumed
 )
 
 // String describes the cause.
@@ -65,8 +65,8 @@
 	return [...]string{"none", "not safe", "answered", "exhausted", "over budget", "deadline passed", "not resumable"}[c]
 }
 
-// Attempt describes a request after one of its attempts failed.
-type Attempt struct {
+// FailedAttempt describes a request after one of its attempts failed.
+type FailedAttempt struct {
 	Outcome    outcome.Outcome // of the failed attempt
 	Idempotent bool            // the request may run more than once
 	// Resumable: the request, a generation, may continue after the chunks that were
@@ -75,34 +75,34 @@
 	// Transient: the outcome Ran was a temporary failure of the upstream (a 5xx answer),
 	// not an answer to the request.
 	Transient bool
-	// Died: the upstream's process is known to have ended. A repetition after that needs no
+	// UpstreamDied: the upstream's process is known to have ended. A repetition after that needs no
 	// token: a death concerns all requests in flight at once, and a request that crashes
 	// its upstreams is stopped after the second death.
-	Died bool
+	UpstreamDied bool
 	// Sends counts the sends of the request so far, this one included.
 	Sends Sends
-	// Sent: the caller already has a part of the answer.
-	Sent     bool
-	Deadline time.Time // zero: none
+	// AnswerStarted: the caller already has a part of the answer.
+	AnswerStarted bool
+	Deadline      time.Time // zero: none
 }
 
 // Options limit the repetitions of a request.
 type Options struct {
-	MaxAttempts int // maximum number of runs; default 4
-	// MaxNotRun is the maximum number of sends, which include those that certainly didn't
+	MaxRuns int // maximum number of runs; default 4
+	// MaxSends is the maximum number of sends, which include those that certainly didn't
 	// run the request: many in a row are refused while a group restarts. Default three
 	// times the maximum number of runs.
-	MaxNotRun      int
+	MaxSends       int
 	InitialBackoff time.Duration // delay before the third send, doubles with each further one; default 20 ms
 	MaxBackoff     time.Duration // upper bound of the delay; default 500 ms
 }
 
 func (o Options) withDefaults() Options {
-	if o.MaxAttempts <= 0 {
-		o.MaxAttempts = 4
+	if o.MaxRuns <= 0 {
+		o.MaxRuns = 4
 	}
-	if o.MaxNotRun <= 0 {
-		o.MaxNotRun = 3 * o.MaxAttempts
+	if o.MaxSends <= 0 {
+		o.MaxSends = 3 * o.MaxRuns
 	}
 	if o.InitialBackoff <= 0 {
 		o.InitialBackoff = 20 * time.Millisecond
@@ -117,42 +117,42 @@
 type Decision struct {
 	Action Action
 	Cause  Cause         // why Action is Fail, else None
-	After  time.Duration // delay before the next attempt
+	Delay  time.Duration // delay before the next attempt
 }
 
 // Decide returns what follows a failed attempt. It takes a token from the budget only if it
 // allows a repetition that needs one.
-func Decide(a Attempt, budget *Budget, o Options, now time.Time) Decision {
+func Decide(a FailedAttempt, budget *Budget, o Options, now time.Time) Decision {
 	o = o.withDefaults()
 	if cause := failCause(a, o, now); cause != None {
 		return Decision{Action: Fail, Cause: cause}
 	}
-	if a.Outcome != outcome.NotRun && !a.Died && !budget.Take(now) {
+	if a.Outcome != outcome.NotRun && !a.UpstreamDied && !budget.Take(now) {
 		return Decision{Action: Fail, Cause: OverBudget}
 	}
-	delay := backoffBefore(a.Sends.Made, o)
-	if a.Sent {
-		return Decision{Action: Resume, After: delay}
+	delay := backoffBefore(a.Sends.Total, o)
+	if a.AnswerStarted {
+		return Decision{Action: Resume, Delay: delay}
 	}
-	return Decision{Action: Retry, After: delay}
+	return Decision{Action: Retry, Delay: delay}
 }
 
 // failCause returns the cause by which the first matching rule forbids a repetition, None if
 // no rule does.
-func failCause(a Attempt, o Options, now time.Time) Cause {
-	limits := Rule{Repeatable: a.Idempotent, MaxRuns: o.MaxAttempts, MaxSends: o.MaxNotRun}
-	cause := limits.Forbids(a.Sends)
+func failCause(a FailedAttempt, o Options, now time.Time) Cause {
+	limits := Limits{Repeatable: a.Idempotent, MaxRuns: o.MaxRuns, MaxSends: o.MaxSends}
+	cause := limits.StopCause(a.Sends)
 	switch {
 	case a.Outcome == outcome.Ran && !(a.Transient && a.Idempotent):
 		return Answered
 	case cause == NotSafe:
 		return NotSafe
-	case a.Sent && !a.Resumable:
+	case a.AnswerStarted && !a.Resumable:
 		return NotResumable
 	case cause != None:
 		return cause
 	case !a.Deadline.IsZero() && !now.Before(a.Deadline):
-		return PastDue
+		return DeadlinePassed
 	}
 	return None
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -21,23 +21,23 @@
 	for range n {
 		s.Begin()
 		if o == outcome.NotRun {
-			s.NotRun()
+			s.MarkNotRun()
 		}
 	}
 	return s
 }
 
 // forEachAttempt calls check with each combination of the inputs of a decision.
-func forEachAttempt(check func(retry.Attempt)) {
+func forEachAttempt(check func(retry.FailedAttempt)) {
 	bools := []bool{false, true}
 	for _, o := range []outcome.Outcome{outcome.Unknown, outcome.NotRun, outcome.Ran} {
 		for _, idempotent := range bools {
 			for _, resumable := range bools {
 				for _, sent := range bools {
 					for _, attempts := range []int{1, 3, 4, 12} {
-						a := retry.Attempt{Outcome: o, Idempotent: idempotent, Resumable: resumable, Sent: sent, Sends: sendsWithOutcome(attempts, o)}
+						a := retry.FailedAttempt{Outcome: o, Idempotent: idempotent, Resumable: resumable, AnswerStarted: sent, Sends: sendsWithOutcome(attempts, o)}
 						check(a)
-						a.Transient, a.Died = true, true
+						a.Transient, a.UpstreamDied = true, true
 						check(a)
 					}
 				}
@@ -49,14 +49,14 @@
 // expectedAction is the rule of the package in short: a request that may have run is
 // repeated only if it may run twice, and one whose answer the caller has a part of only if
 // it can be resumed. tokens is the budget.
-func expectedAction(a retry.Attempt, tokens int) retry.Action {
+func expectedAction(a retry.FailedAttempt, tokens int) retry.Action {
 	maxSends := map[outcome.Outcome]int{outcome.NotRun: 12, outcome.Unknown: 4, outcome.Ran: 4}[a.Outcome]
 	mayRepeat := a.Outcome == outcome.NotRun || a.Idempotent && (a.Outcome == outcome.Unknown || a.Transient)
-	covered := a.Outcome == outcome.NotRun || a.Died || tokens > 0
-	if !mayRepeat || !covered || a.Sends.Made >= maxSends || a.Sent && !a.Resumable {
+	covered := a.Outcome == outcome.NotRun || a.UpstreamDied || tokens > 0
+	if !mayRepeat || !covered || a.Sends.Total >= maxSends || a.AnswerStarted && !a.Resumable {
 		return retry.Fail
 	}
-	if a.Sent {
+	if a.AnswerStarted {
 		return retry.Resume
 	}
 	return retry.Retry
@@ -64,18 +64,18 @@
 
 // keepsPromise reports whether an action keeps the promise that a request which may have run
 // and isn't idempotent doesn't run again.
-func keepsPromise(a retry.Attempt, action retry.Action) bool {
+func keepsPromise(a retry.FailedAttempt, action retry.Action) bool {
 	return action == retry.Fail || a.Idempotent || a.Outcome == outcome.NotRun
 }
 
 // decideWithFullBudget decides with the default options and a full budget.
-func decideWithFullBudget(a retry.Attempt) retry.Decision {
+func decideWithFullBudget(a retry.FailedAttempt) retry.Decision {
 	return retry.Decide(a, retry.NewBudget(retry.BudgetOptions{}, epoch), retry.Options{}, epoch)
 }
 
 var _ = Describe("Decide", func() {
 	It("agrees with the short rule, with and without a token left", func() {
-		forEachAttempt(func(a retry.Attempt) {
+		forEachAttempt(func(a retry.FailedAttempt) {
 			for _, tokens := range []int{0, 1} {
 				budget := retry.NewBudget(retry.BudgetOptions{Capacity: 1}, epoch)
 				if tokens == 0 {
@@ -90,7 +90,7 @@
 
 	It("negative control: retrying every failure breaks the promise", func() {
 		violations := 0
-		forEachAttempt(func(a retry.Attempt) {
+		forEachAttempt(func(a retry.FailedAttempt) {
 			if !keepsPromise(a, retry.Retry) {
 				violations++
 			}
@@ -99,8 +99,8 @@
 	})
 
 	It("repeats nothing at the deadline", func() {
-		a := retry.Attempt{Outcome: outcome.NotRun, Sends: sendsWithOutcome(1, outcome.NotRun), Deadline: epoch}
-		Expect(retry.Decide(a, retry.NewBudget(retry.BudgetOptions{}, epoch), retry.Options{}, epoch).Cause).To(Equal(retry.PastDue))
+		a := retry.FailedAttempt{Outcome: outcome.NotRun, Sends: sendsWithOutcome(1, outcome.NotRun), Deadline: epoch}
+		Expect(retry.Decide(a, retry.NewBudget(retry.BudgetOptions{}, epoch), retry.Options{}, epoch).Cause).To(Equal(retry.DeadlinePassed))
 	})
 
 	// A group restarts. Its upstreams refuse the request, one after the other, until the
@@ -109,9 +109,9 @@
 	It("counts runs and refused sends separately", func() {
 		sends := sendsWithOutcome(11, outcome.NotRun)
 		sends.Begin()
-		a := retry.Attempt{Outcome: outcome.Unknown, Idempotent: true, Sends: sends}
+		a := retry.FailedAttempt{Outcome: outcome.Unknown, Idempotent: true, Sends: sends}
 		Expect(decideWithFullBudget(a).Cause).To(Equal(retry.Exhausted), "twelve sends are the maximum")
-		a.Sends.Made = 11
+		a.Sends.Total = 11
 		Expect(decideWithFullBudget(a).Action).To(Equal(retry.Retry))
 		a.Outcome, a.Idempotent = outcome.NotRun, false
 		Expect(decideWithFullBudget(a).Cause).To(Equal(retry.NotSafe), "an earlier send may have run the request")
@@ -121,11 +121,11 @@
 		var b strings.Builder
 		budget := retry.NewBudget(retry.BudgetOptions{Capacity: 10}, epoch)
 		now := epoch
-		forEachAttempt(func(a retry.Attempt) {
+		forEachAttempt(func(a retry.FailedAttempt) {
 			now = now.Add(50 * time.Millisecond)
 			d := retry.Decide(a, budget, retry.Options{}, now)
 			fmt.Fprintf(&b, "%v idempotent=%v resumable=%v sent=%v attempts=%d died=%v -> %v (%v) after %v, %.2f tokens\n",
-				a.Outcome, a.Idempotent, a.Resumable, a.Sent, a.Sends.Made, a.Died, d.Action, d.Cause, d.After, budget.Tokens(now))
+				a.Outcome, a.Idempotent, a.Resumable, a.AnswerStarted, a.Sends.Total, a.UpstreamDied, d.Action, d.Cause, d.Delay, budget.Tokens(now))
 		})
 		golden.Expect("session.golden", b.String())
 	})
--- a/internal/retry/sends.go
+++ b/internal/retry/sends.go
@@ -2,22 +2,22 @@
 
 // Sends counts the sends of one request to upstreams.
 type Sends struct {
-	Made int // all, those in flight included
-	Runs int // those of them that ran the request or may have
+	Total int // all, those in flight included
+	Runs  int // those of them that ran the request or may have
 }
 
 // Begin counts a send that is about to leave. From then on it may run the request.
 func (s *Sends) Begin() {
-	s.Made++
+	s.Total++
 	s.Runs++
 }
 
-// NotRun records that one of the sends certainly didn't run the request.
-func (s *Sends) NotRun() { s.Runs-- }
+// MarkNotRun records that one of the sends certainly didn't run the request.
+func (s *Sends) MarkNotRun() { s.Runs-- }
 
-// Rule limits the sends of one request. A refusal costs an upstream next to nothing, so
+// Limits limits the sends of one request. A refusal costs an upstream next to nothing, so
 // runs and sends have separate limits.
-type Rule struct {
+type Limits struct {
 	// Repeatable: the request may run more than once. That is so for an idempotent call, and
 	// for a stream that continues after the last event received.
 	Repeatable bool
@@ -25,13 +25,13 @@
 	MaxSends   int // includes those that didn't run the request
 }
 
-// Forbids returns why no further send may follow, None if one may. It applies both to a
+// StopCause returns why no further send may follow, None if one may. It applies both to a
 // repetition after a failure and to a second copy beside a send in flight.
-func (r Rule) Forbids(s Sends) Cause {
+func (r Limits) StopCause(s Sends) Cause {
 	switch {
 	case s.Runs > 0 && !r.Repeatable:
 		return NotSafe
-	case s.Runs > 0 && s.Runs >= r.MaxRuns, s.Made >= r.MaxSends:
+	case s.Runs > 0 && s.Runs >= r.MaxRuns, s.Total >= r.MaxSends:
 		return Exhausted
 	}
 	return None
