--- a/internal/dispatch/capacity.go
+++ b/internal/dispatch/capacity.go
@@ -40,7 +40,7 @@
 func (s *shard) observeLatency(sl *slot, latency time.Duration) {
 	oldLimit := sl.member.concurrencyLimit()
 	if s.kind == config.KindEngine {
-		sl.member.controller.Suggest(s.updateUnloadedTime(latency, sl.upstreamInFlight), s.dispatcher.options.Now())
+		sl.member.controller.SuggestBaseline(s.updateUnloadedTime(latency, sl.upstreamInFlight), s.dispatcher.options.Now())
 	}
 	sl.member.controller.ObserveClass(sl.class, latency, sl.upstreamInFlight, s.dispatcher.options.Now())
 	if sl.member.concurrencyLimit() != oldLimit {
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -294,11 +294,11 @@
 // bookSlot counts a new attempt on a member and returns its slot.
 func (s *shard) bookSlot(m *member, fp poison.Fingerprint, now time.Time) *slot {
 	m.inFlight++
-	m.limitShare.Note(m.inFlight, now)
+	m.limitShare.RecordOwn(m.inFlight, now)
 	s.quarantine.countAttempt(fp, 1)
-	s.routingTable.AddOwn(m.target.Name, 1)
+	s.routingTable.AddOwnInFlight(m.target.Name, 1)
 	entry, _ := s.routingTable.Member(m.target.Name)
-	return &slot{member: m, fingerprint: fp, bootID: m.bootID, started: now, upstreamInFlight: entry.Own + entry.Peers}
+	return &slot{member: m, fingerprint: fp, bootID: m.bootID, started: now, upstreamInFlight: entry.OwnInFlight + entry.PeersInFlight}
 }
 
 // releaseSlotLocked releases a slot. completed means that the attempt succeeded, so that
@@ -306,11 +306,11 @@
 func (s *shard) releaseSlotLocked(sl *slot, completed bool) {
 	now := s.dispatcher.options.Now()
 	sl.member.inFlight--
-	sl.member.limitShare.Note(sl.member.inFlight, now)
+	sl.member.limitShare.RecordOwn(sl.member.inFlight, now)
 	s.quarantine.countAttempt(sl.fingerprint, -1)
 	s.reserveDemand.remove(sl)
 	if s.members[sl.member.target.Name] == sl.member { // otherwise it was removed, or replaced under the same name
-		s.routingTable.AddOwn(sl.member.target.Name, -1)
+		s.routingTable.AddOwnInFlight(sl.member.target.Name, -1)
 	}
 	if s.admission.queue != nil && !sl.outsideQueue {
 		if completed {
--- a/internal/dispatch/idle.go
+++ b/internal/dispatch/idle.go
@@ -27,7 +27,7 @@
 		peersClear := competitor == "" && s.dispatcher.peersReportClear(fp, name, drained)
 		s.mu.Lock()
 		entry, _ := s.routingTable.Member(name)
-		idle := peersClear && m.inFlight <= s.quarantine.pastProbation[name] && entry.Peers == 0
+		idle := peersClear && m.inFlight <= s.quarantine.pastProbation[name] && entry.PeersInFlight == 0
 		wake := s.quarantine.wake
 		s.quarantine.wakeWaiters++
 		s.mu.Unlock()
--- a/internal/dispatch/need.go
+++ b/internal/dispatch/need.go
@@ -22,7 +22,7 @@
 )
 
 func (d *reserveDemand) add(sl *slot, route routing.Request, table *routing.Table) {
-	sl.class, sl.sensitive = route.Class, table.Sensitive(route)
+	sl.class, sl.sensitive = route.Class, table.LatencySensitive(route)
 	d.adjust(sl, 1)
 }
 
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -181,7 +181,7 @@
 		daemons = s.daemonsPerUpstream
 	}
 	s.reserveDemand.daemons = daemons
-	s.routingTable.SetDaemons(daemons)
+	s.routingTable.SetDaemonCount(daemons)
 	for _, m := range s.used {
 		peers := sums[m.target.Name]
 		if s.daemonsPerUpstream > 0 {
@@ -189,8 +189,8 @@
 			// upstream's load report counts their requests as well.
 			peers = max(peers, m.othersInFlight)
 		}
-		s.routingTable.SetPeers(m.target.Name, peers)
-		m.limitShare.HeardAt(m.concurrencyLimit(), peers, daemons, asOf)
+		s.routingTable.SetPeersInFlight(m.target.Name, peers)
+		m.limitShare.UpdatePeersAt(m.concurrencyLimit(), peers, daemons, asOf)
 	}
 	s.admission.capacityStale = true
 }
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -21,7 +21,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			u, _ := s.routingTable.Member("e0")
-			return u.Peers
+			return u.PeersInFlight
 		}
 		d.Merge("vm2", Digest{InFlight: map[ident.Upstream]int{"e0": 9}})
 		g.Expect(peers()).To(Equal(9))
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -49,7 +49,7 @@
 	s.renewTrials(now)
 	s.quarantineForPeers(peerTrials)
 	if s.kind == config.KindEngine && s.dispatcher.options.Policy != PolicyNaive {
-		s.routingTable.SetReserve(s.reserveDemand.update())
+		s.routingTable.UpdateReserve(s.reserveDemand.update())
 	}
 	s.admitWaiting(now)
 	s.dropUnused()
@@ -146,7 +146,7 @@
 	m.loaded = loadedVersions(report)
 	m.reportedAt = now
 	m.othersInFlight = max(0, report.Running-m.inFlight)
-	s.routingTable.Report(name, report.Running, report.Queued, now.Add(-time.Duration(report.AgeMillis)*time.Millisecond))
+	s.routingTable.RecordLoadReport(name, report.Running, report.Queued, now.Add(-time.Duration(report.AgeMillis)*time.Millisecond))
 	s.applyHealthEvent(health.Reported{Upstream: name, BootID: report.BootID, Leaving: report.Leaving}, now)
 	s.updateRouting(m)
 	s.admitWaiting(now)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -247,7 +247,7 @@
 		s.applyHealthEvent(health.SaidLeaving{Upstream: name, Source: health.FromAnswer}, now)
 	}
 	if fault.kind == upstream.Rejected && !fault.leaving {
-		sl.member.controller.Overloaded(now)
+		sl.member.controller.RecordOverload(now)
 		s.updateRouting(sl.member)
 	}
 }
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -58,7 +58,7 @@
 	inFlight           int       // this daemon's requests in flight
 	configuredLimit    int       // concurrency limit by settings, 0: the controller finds it
 	controller         *limits.Controller
-	limitShare         limits.Sharer                   // this daemon's share of the concurrency limit
+	limitShare         limits.ShareTracker             // this daemon's share of the concurrency limit
 	bootID             string                          // of its process, by the last report
 	serving            map[ident.Model]ident.Version   // version in use by model
 	loaded             map[ident.Model][]ident.Version // versions loaded in memory
@@ -74,7 +74,7 @@
 		dispatcher:   d,
 		name:         name,
 		members:      map[ident.Upstream]*member{},
-		routingTable: routing.NewTable(routing.Options{Self: d.options.DataCentre, Seed: d.options.Seed}),
+		routingTable: routing.NewTable(routing.Options{DataCentre: d.options.DataCentre, Seed: d.options.Seed}),
 		health:       health.New(d.options.Health),
 		admission:    newAdmission(d.options.Policy),
 		retryBudget:  retry.NewBudget(d.options.RetryBudget, now),
@@ -146,7 +146,7 @@
 		u.Eligible = m.usable()
 		u.Weight = m.weight
 		u.Limit = m.concurrencyLimit()
-		u.Own = m.inFlight
+		u.OwnInFlight = m.inFlight
 		u.Serving = newestVersion(m.serving)
 		list = append(list, u)
 	}
@@ -180,7 +180,7 @@
 	}
 	m := &member{target: upstream.Target{Name: name}, eligible: true, weight: 1, prober: newProber()}
 	m.controller = limits.NewController(limits.Options{Min: minLimit})
-	m.limitShare.Heard(m.controller.Limit(), 0, 0, 1)
+	m.limitShare.UpdatePeers(m.controller.Limit(), 0, 0, 1)
 	return m
 }
 
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -53,17 +53,17 @@
 	}
 	local, remote := f.splitByDataCentre(dataCentre, group)
 	if len(f.Daemons) == 0 {
-		chosen := routing.Favourites(string(self), local, subsetSize)
-		chosen = append(chosen, routing.Favourites(string(self), remote, subsetSize-len(chosen))...)
+		chosen := routing.TopRanked(string(self), local, subsetSize)
+		chosen = append(chosen, routing.TopRanked(string(self), remote, subsetSize-len(chosen))...)
 		return upstreamChoice{upstreams: setOf(chosen), daemonsPerUpstream: assumedDaemonsPerUpstream}
 	}
 	chosen, daemonsPerUpstream := local, len(f.Daemons)
 	if len(local) > maxWholeGroupSize {
 		chosen = routing.Subset(string(self), local, namesOf(f.Daemons), subsetSize)
-		daemonsPerUpstream = routing.Keepers(len(local), len(f.Daemons), subsetSize)
+		daemonsPerUpstream = routing.DaemonsPerUpstream(len(local), len(f.Daemons), subsetSize)
 	}
 	if len(local) < subsetSize {
-		chosen = append(slices.Clone(chosen), routing.Favourites(string(self), remote, subsetSize-len(local))...)
+		chosen = append(slices.Clone(chosen), routing.TopRanked(string(self), remote, subsetSize-len(local))...)
 	}
 	return upstreamChoice{upstreams: setOf(chosen), daemonsPerUpstream: daemonsPerUpstream}
 }
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -241,10 +241,10 @@
 		return out
 	}
 	for _, service := range s.options.Scaled() {
-		for _, dc := range slices.Sorted(maps.Keys(service.Market.Prices)) {
+		for _, dc := range slices.Sorted(maps.Keys(service.Market.RegularPrices)) {
 			out.Names = append(out.Names, scalingDuty(service.Service, dc))
 			state := ServersState{Service: service.Service, DataCentre: dc, There: service.There[dc], Ordered: -1}
-			if count, ok := s.view.plannerLocked(service.Service).Last(scaling.Key{DataCentre: dc, Spot: true}); ok {
+			if count, ok := s.view.plannerLocked(service.Service).LastOrdered(scaling.Pool{DataCentre: dc, Spot: true}); ok {
 				state.Ordered = count
 			}
 			out.Servers = append(out.Servers, state)
--- a/internal/duties/log.go
+++ b/internal/duties/log.go
@@ -66,9 +66,9 @@
 
 	mu             sync.Mutex
 	usage          *usage.State
-	planners       map[string]*scaling.Ledger // by service
-	inContactSince time.Duration              // since when the store has answered without an interruption
-	recordsLost    bool                       // log records are missing, and none after them has been read yet
+	planners       map[string]*scaling.Planner // by service
+	inContactSince time.Duration               // since when the store has answered without an interruption
+	recordsLost    bool                        // log records are missing, and none after them has been read yet
 }
 
 func newView(o Options) *view {
@@ -84,7 +84,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.usage = usage.NewState()
-	v.planners = map[string]*scaling.Ledger{}
+	v.planners = map[string]*scaling.Planner{}
 	v.inContactSince = v.options.Now()
 	v.recordsLost = false
 }
@@ -147,17 +147,17 @@
 func (v *view) applyOrderLocked(o orderRecord) {
 	planner, now := v.plannerLocked(o.Service), v.options.Now()
 	if o.Unavailable {
-		planner.Refused(o.Order.Key, now)
+		planner.RecordUnavailable(o.Order.Pool, now)
 		return
 	}
-	planner.Ordered(o.Order, now)
+	planner.RecordOrder(o.Order, now)
 }
 
 // plannerLocked returns the planner of a service, which it adds if necessary.
-func (v *view) plannerLocked(service string) *scaling.Ledger {
+func (v *view) plannerLocked(service string) *scaling.Planner {
 	planner := v.planners[service]
 	if planner == nil {
-		planner = scaling.NewLedger()
+		planner = scaling.NewPlanner()
 		v.planners[service] = planner
 	}
 	return planner
--- a/internal/duties/log_test.go
+++ b/internal/duties/log_test.go
@@ -15,7 +15,7 @@
 	{Usage: &usage.Record{Counted: &usage.Counted{Writer: "w", Sequence: 1, Windows: []usage.WindowCounts{{Window: 100, Counts: map[string]int{"a": 1}}}}}},
 	{Usage: &usage.Record{Decided: &usage.Decided{Report: usage.WindowCounts{Window: 100, Counts: map[string]int{"a": 1}}}}},
 	{Usage: &usage.Record{Sent: &usage.Sent{Window: 100}}},
-	{Ordered: &orderRecord{Service: "s", Order: scaling.Order{Key: scaling.Key{DataCentre: "a", Spot: true}, Count: 3}}},
+	{Ordered: &orderRecord{Service: "s", Order: scaling.Order{Pool: scaling.Pool{DataCentre: "a", Spot: true}, Count: 3}}},
 }
 
 func TestRecordsRoundTrip(t *testing.T) {
--- a/internal/duties/scaler.go
+++ b/internal/duties/scaler.go
@@ -26,7 +26,7 @@
 // Scaled describes a service whose servers may be ordered, and its servers now.
 type Scaled struct {
 	Service string
-	Market  scaling.Market             // what may be ordered
+	Market  scaling.ServiceSpec        // what may be ordered
 	There   map[string]scaling.Servers // existing servers by data centre
 	Samples int                        // total of one batch of each of the service's models
 }
@@ -77,7 +77,7 @@
 func (s *scaler) decide(service Scaled, now time.Duration) []scaling.Order {
 	s.view.mu.Lock()
 	defer s.view.mu.Unlock()
-	return s.view.plannerLocked(service.Service).Decide(service.Market, scaling.View{Now: now, There: service.There, Samples: service.Samples})
+	return s.view.plannerLocked(service.Service).Decide(service.Market, scaling.State{Now: now, Servers: service.There, StepSamples: service.Samples})
 }
 
 // placeOrder places an order and records the outcome.
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -100,14 +100,14 @@
 
 // market describes the servers of service that may be ordered. Each data centre has ten
 // regular servers, so that together they run up to 240 samples at once.
-var market = scaling.Market{Min: 1, Max: 20, Boot: 4 * time.Second, SpotPrice: 0.22, Prices: map[string]float64{"a": 1, "b": 1, "c": 1}, Slots: 8}
+var market = scaling.ServiceSpec{MinPerDataCentre: 1, MaxPerDataCentre: 20, BootTime: 4 * time.Second, SpotPrice: 0.22, RegularPrices: map[string]float64{"a": 1, "b": 1, "c": 1}, SlotsPerServer: 8}
 
 const service = "engines"
 
 // scaledServices returns the servers as every daemon sees them.
 func (c *testCluster) scaledServices() []duties.Scaled {
-	there := c.api.Servers(service, market.Boot)
-	for dc := range market.Prices {
+	there := c.api.Servers(service, market.BootTime)
+	for dc := range market.RegularPrices {
 		s := there[dc]
 		s.Regular = 10
 		there[dc] = s
@@ -127,7 +127,7 @@
 // spotServers returns the number of spot servers that have booted, by data centre.
 func (c *testCluster) spotServers() map[string]int {
 	out := map[string]int{}
-	for dc, s := range c.api.Servers(service, market.Boot) {
+	for dc, s := range c.api.Servers(service, market.BootTime) {
 		out[dc] = s.Spot
 	}
 	return out
--- a/internal/limits/controller.go
+++ b/internal/limits/controller.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// Overloaded records that the upstream refused a request because of its load. Refusals
+// RecordOverload records that the upstream refused a request because of its load. Refusals
 // within one window count once, because an overload causes many.
-func (c *Controller) Overloaded(now time.Time) {
+func (c *Controller) RecordOverload(now time.Time) {
 	if c.wasOverloaded && now.Sub(c.overloadedAt) < c.options.Window {
 		return
 	}
@@ -193,11 +193,11 @@
 	c.baselineCandidate, c.baselineSince = 0, now
 }
 
-// Suggest sets the baseline, typically from the unloaded token time of other upstreams of
+// SuggestBaseline sets the baseline, typically from the unloaded token time of other upstreams of
 // the same kind, if none is known yet. Otherwise a controller that first observes its
 // upstream during an overload would use the loaded token time as the baseline and let the
 // limit grow.
-func (c *Controller) Suggest(baseline time.Duration, now time.Time) {
+func (c *Controller) SuggestBaseline(baseline time.Duration, now time.Time) {
 	if c.baseline == 0 && baseline > 0 {
 		c.baseline, c.baselineSince = float64(baseline), now
 	}
--- a/internal/limits/policy_test.go
+++ b/internal/limits/policy_test.go
@@ -236,8 +236,8 @@
 	It("uses a suggested baseline only while it knows none", func() {
 		finalLimit := func(suggested time.Duration) int {
 			c := limits.NewController(limits.Options{Initial: 24})
-			c.Suggest(suggested, start)
-			c.Suggest(time.Hour, start)
+			c.SuggestBaseline(suggested, start)
+			c.SuggestBaseline(time.Hour, start)
 			for i := range 40 {
 				n := c.Limit()
 				c.Observe(time.Duration(10e6*(1+0.1*float64(n-1))), n, start.Add(time.Duration(i)*200*time.Millisecond))
@@ -260,11 +260,11 @@
 		}
 		Expect(c.Limit()).To(Equal(20))
 		for range 5 {
-			c.Overloaded(start)
+			c.RecordOverload(start)
 		}
 		Expect(c.Limit()).To(Equal(14))
 		for i := range 50 {
-			c.Overloaded(start.Add(time.Duration(i) * time.Second))
+			c.RecordOverload(start.Add(time.Duration(i) * time.Second))
 		}
 		Expect(c.Limit()).To(Equal(3))
 		observeEngine(c, 1000, start.Add(time.Hour))
--- a/internal/limits/share.go
+++ b/internal/limits/share.go
@@ -61,9 +61,9 @@
 // of them is used, which allows the fewest requests.
 const historySize = 64
 
-// Sharer tracks the share of one daemon at one upstream. It keeps past numbers of the
+// ShareTracker tracks the share of one daemon at one upstream. It keeps past numbers of the
 // daemon's requests in flight, which Share needs.
-type Sharer struct {
+type ShareTracker struct {
 	limit, own, peers, daemons int // see Share
 
 	history    [historySize]ownCount // ring buffer
@@ -77,9 +77,9 @@
 	own int
 }
 
-// Note records the number of requests that this daemon has in flight. Call it whenever
+// RecordOwn records the number of requests that this daemon has in flight. Call it whenever
 // that number changes.
-func (s *Sharer) Note(own int, now time.Time) {
+func (s *ShareTracker) RecordOwn(own int, now time.Time) {
 	if s.historyLen > 0 && !now.After(s.history[s.newest].at) {
 		s.history[s.newest].own = own
 		return
@@ -89,35 +89,35 @@
 	s.historyLen = min(historySize, s.historyLen+1)
 }
 
-// Heard records an update from the peers, and own, the number of requests that this
+// UpdatePeers records an update from the peers, and own, the number of requests that this
 // daemon had in flight when the update was made. The current number may be used while
 // updates are delayed by at most one round. With longer delays each further round then
 // adds the part of one round to the excess over the limit.
-func (s *Sharer) Heard(limit, own, peers, daemons int) {
+func (s *ShareTracker) UpdatePeers(limit, own, peers, daemons int) {
 	s.limit, s.own, s.peers, s.daemons = limit, own, peers, daemons
 }
 
-// HeardAt records an update from the peers that was made at the given time, and takes own
+// UpdatePeersAt records an update from the peers that was made at the given time, and takes own
 // from the numbers recorded for that time. If the peers made their updates at different
 // times, pass the earliest.
-func (s *Sharer) HeardAt(limit, peers, daemons int, made time.Time) {
-	s.Heard(limit, s.ownInFlightAt(made), peers, daemons)
+func (s *ShareTracker) UpdatePeersAt(limit, peers, daemons int, made time.Time) {
+	s.UpdatePeers(limit, s.ownInFlightAt(made), peers, daemons)
 }
 
 // SetLimit changes the limit between two updates.
-func (s *Sharer) SetLimit(limit int) { s.limit = limit }
+func (s *ShareTracker) SetLimit(limit int) { s.limit = limit }
 
 // Allowed returns the number of requests that this daemon may have in flight.
-func (s *Sharer) Allowed() int { return Share(s.limit, s.own, s.peers, s.daemons) }
+func (s *ShareTracker) Allowed() int { return Share(s.limit, s.own, s.peers, s.daemons) }
 
 // AllowedExact is Allowed before rounding up.
-func (s *Sharer) AllowedExact() float64 {
+func (s *ShareTracker) AllowedExact() float64 {
 	return ShareExact(s.limit, s.own, s.peers, s.daemons)
 }
 
 // ownInFlightAt returns the number of this daemon's requests that were in flight at a
 // time, or 0 if it is unknown.
-func (s *Sharer) ownInFlightAt(at time.Time) int {
+func (s *ShareTracker) ownInFlightAt(at time.Time) int {
 	if s.historyLen < historySize {
 		return s.lastAtOrBefore(at, 0)
 	}
@@ -130,7 +130,7 @@
 
 // lastAtOrBefore returns the number that was last recorded at or before a time, or
 // fallback if there is none.
-func (s *Sharer) lastAtOrBefore(at time.Time, fallback int) int {
+func (s *ShareTracker) lastAtOrBefore(at time.Time, fallback int) int {
 	for n := range s.historyLen {
 		count := s.history[(s.newest-n+historySize)%historySize]
 		if !count.at.After(at) {
--- a/internal/limits/share_test.go
+++ b/internal/limits/share_test.go
@@ -129,24 +129,24 @@
 	})
 
 	It("uses the requests in flight when the update was made", func() {
-		var s limits.Sharer
+		var s limits.ShareTracker
 		at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-		s.HeardAt(32, 0, 4, at(0))
+		s.UpdatePeersAt(32, 0, 4, at(0))
 		Expect(s.Allowed()).To(Equal(8))
 		for n := range 8 {
-			s.Note(n+1, at(100+n))
+			s.RecordOwn(n+1, at(100+n))
 		}
 		Expect(s.Allowed()).To(Equal(8), "no update, no increase")
-		s.HeardAt(32, 0, 4, at(103))
+		s.UpdatePeersAt(32, 0, 4, at(103))
 		Expect(s.Allowed()).To(Equal(4 + 24))
 		for n := range 100 {
-			s.Note(8+n%2, at(200+n))
+			s.RecordOwn(8+n%2, at(200+n))
 		}
-		s.HeardAt(32, 0, 4, at(103))
+		s.UpdatePeersAt(32, 0, 4, at(103))
 		Expect(s.Allowed()).To(Equal(8+22), "the lowest recorded number is used for times before the history")
-		s.HeardAt(32, 40, 4, at(400))
+		s.UpdatePeersAt(32, 40, 4, at(400))
 		Expect(s.Allowed()).To(Equal(8))
-		s.Heard(32, 8, 0, 4)
+		s.UpdatePeers(32, 8, 0, 4)
 		Expect(s.Allowed()).To(Equal(8 + 22))
 		Expect(limits.Share(0, 5, 5, 3)).To(Equal(0))
 		Expect(limits.Share(2, 0, 0, 13)).To(Equal(1))
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -16,7 +16,7 @@
 	t, random := newTable(n), rng(5)
 	t.AdvanceClock(start)
 	for i := range n {
-		t.AddOwn(name(i), random.IntN(24))
+		t.AddOwnInFlight(name(i), random.IntN(24))
 		for range 5 {
 			t.ObserveTokenTime(name(i), routing.ClassRollout, time.Duration(20+i%30)*time.Millisecond, 8)
 		}
@@ -27,19 +27,19 @@
 func benchmarkPick(b *testing.B, n int) {
 	atLimit, oneUpdated := newLoadedTable(n), newLoadedTable(n)
 	for i := range n {
-		atLimit.Update(name(i), func(u *routing.Upstream) { u.Limit = 1; u.Own += 1 })
+		atLimit.Update(name(i), func(u *routing.Upstream) { u.Limit = 1; u.OwnInFlight += 1 })
 	}
 	oneUpdated.Update(name(n/2), func(u *routing.Upstream) { u.Serving = 2 })
 	halfUpdated := newLoadedTable(n)
 	for i := range n / 2 {
-		halfUpdated.Update(name(2*i), func(u *routing.Upstream) { u.Serving, u.Limit, u.Own = 2, 8, 8+i%9 })
+		halfUpdated.Update(name(2*i), func(u *routing.Upstream) { u.Serving, u.Limit, u.OwnInFlight = 2, 8, 8+i%9 })
 	}
 	reserved := newLoadedTable(n)
 	for i := range n {
-		reserved.AddOwn(name(i), 4)
+		reserved.AddOwnInFlight(name(i), 4)
 	}
-	reserved.SetReserve(1) // records the bulk requests in flight
-	reserved.SetReserve(1e9)
+	reserved.UpdateReserve(1) // records the bulk requests in flight
+	reserved.UpdateReserve(1e9)
 	if reserved.ReserveSize() == 0 {
 		b.Fatal("no reserve")
 	}
--- a/internal/routing/favourites.go
+++ b/internal/routing/favourites.go
@@ -7,21 +7,21 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Keepers returns the number of daemons that use each upstream when every daemon uses
+// DaemonsPerUpstream returns the number of daemons that use each upstream when every daemon uses
 // its Subset. members and daemons are the numbers of upstreams and daemons; size is the
 // subset size.
-func Keepers(members, daemons, size int) int {
+func DaemonsPerUpstream(members, daemons, size int) int {
 	if members <= size || daemons <= minDaemonsPerUpstream {
 		return daemons
 	}
 	return max(minDaemonsPerUpstream, (size*daemons+members-1)/members)
 }
 
-// Favourites returns the n members with the highest rendezvous scores for this daemon,
+// TopRanked returns the n members with the highest rendezvous scores for this daemon,
 // in the order given. Unlike with Subset, some members may be returned for no daemon.
 // It is meant for members that other daemons are responsible for, and for the time
 // before the other daemons are known.
-func Favourites(self string, members []ident.Upstream, n int) []ident.Upstream {
+func TopRanked(self string, members []ident.Upstream, n int) []ident.Upstream {
 	if len(members) <= n {
 		return slices.Clone(members)
 	}
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -70,9 +70,9 @@
 	return peak
 }
 
-// Report records an upstream's report of its running and queued requests, made at
+// RecordLoadReport records an upstream's report of its running and queued requests, made at
 // the given time. Reports older than the last one are ignored.
-func (t *Table) Report(name ident.Upstream, running, queued int, at time.Time) {
+func (t *Table) RecordLoadReport(name ident.Upstream, running, queued int, at time.Time) {
 	i, ok := t.indexByName[name]
 	if !ok || at.Before(t.reports[i].reportedAt) {
 		return
@@ -80,7 +80,7 @@
 	t.AdvanceClock(at)
 	u, r := &t.members[i], &t.reports[i]
 	u.ReportedRunning, u.ReportedQueued, u.ReportedAt = running, queued, at
-	r.recordKnown(float64(u.Own+u.Peers), t.latestTime, t.options.ReportTTL)
+	r.recordKnown(float64(u.OwnInFlight+u.PeersInFlight), t.latestTime, t.options.ReportTTL)
 	r.reportedAt = at
 	r.unattributed = max(0, float64(running+queued)-r.peakSince(at, t.options.ReportTTL))
 	if t.reportExpired(r, t.latestTime) {
--- a/internal/routing/naive_test.go
+++ b/internal/routing/naive_test.go
@@ -49,7 +49,7 @@
 func (n *reference) update(u ident.Upstream, f func(*routing.Upstream)) {
 	m := n.member(u)
 	f(m)
-	n.history[u] = append(n.history[u], knownLoad{n.now, m.Own + m.Peers})
+	n.history[u] = append(n.history[u], knownLoad{n.now, m.OwnInFlight + m.PeersInFlight})
 }
 
 // loadBounds returns bounds of the load. The upper one uses the exact peak of the known
@@ -57,7 +57,7 @@
 // because the table only keeps one peak for each epoch.
 func (n *reference) loadBounds(u ident.Upstream) (low, high float64) {
 	m, r := n.member(u), n.reports[u]
-	known := float64(m.Own + m.Peers)
+	known := float64(m.OwnInFlight + m.PeersInFlight)
 	if r.madeAt.IsZero() || n.now.Sub(r.madeAt) > routing.DefaultReportTTL {
 		return known, known
 	}
@@ -138,15 +138,15 @@
 		switch r.IntN(7) {
 		case 0, 1:
 			d := r.IntN(12) - 5
-			t.AddOwn(u, d)
-			n.update(u, func(m *routing.Upstream) { m.Own = max(0, m.Own+d) })
+			t.AddOwnInFlight(u, d)
+			n.update(u, func(m *routing.Upstream) { m.OwnInFlight = max(0, m.OwnInFlight+d) })
 		case 2:
 			p := r.IntN(20)
-			t.SetPeers(u, p)
-			n.update(u, func(m *routing.Upstream) { m.Peers = p })
+			t.SetPeersInFlight(u, p)
+			n.update(u, func(m *routing.Upstream) { m.PeersInFlight = p })
 		case 3:
 			at, total := n.now.Add(-time.Duration(r.IntN(2500))*time.Millisecond), r.IntN(40)
-			t.Report(u, total, 0, at)
+			t.RecordLoadReport(u, total, 0, at)
 			if !at.Before(n.reports[u].madeAt) {
 				n.reports[u] = report{at, total, n.now}
 			}
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -52,7 +52,7 @@
 	if r.Only != "" {
 		return t.pickOnly(r)
 	}
-	if t.Sensitive(*r) {
+	if t.LatencySensitive(*r) {
 		if i := t.pickReserve(r); i != noMember {
 			return i
 		}
--- a/internal/routing/policy_test.go
+++ b/internal/routing/policy_test.go
@@ -16,14 +16,14 @@
 func peakToMeanLoad(size int, pick func(t *routing.Table) ident.Upstream, count bool) float64 {
 	t, sent, most := newTable(size), map[ident.Upstream]int{}, 0
 	for i := range size {
-		t.Report(name(i), i%5, 0, start.Add(-2*time.Second))
+		t.RecordLoadReport(name(i), i%5, 0, start.Add(-2*time.Second))
 	}
 	for range 400 {
 		u := pick(t)
 		sent[u]++
 		most = max(most, sent[u])
 		if count {
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 		}
 	}
 	return float64(most) * float64(size) / 400
@@ -57,12 +57,12 @@
 	It("does not count its own requests again when a load report includes them", func() {
 		t := newTable(3)
 		t.Load("u0", start)
-		t.AddOwn("u0", 10)
+		t.AddOwnInFlight("u0", 10)
 		t.Load("u0", start.Add(time.Second))
-		t.AddOwn("u0", -8)
-		t.Report("u0", 10, 0, start.Add(500*time.Millisecond))
+		t.AddOwnInFlight("u0", -8)
+		t.RecordLoadReport("u0", 10, 0, start.Add(500*time.Millisecond))
 		Expect(t.Load("u0", start.Add(time.Second))).To(Equal(2.0))
-		t.Report("u0", 15, 0, start.Add(time.Second))
+		t.RecordLoadReport("u0", 15, 0, start.Add(time.Second))
 		Expect(t.Load("u0", start.Add(time.Second))).To(Equal(7.0))
 		Expect(t.Load("u0", start.Add(9*time.Second))).To(Equal(2.0))
 	})
@@ -98,7 +98,7 @@
 		t, sent := newTable(13), map[ident.Upstream]int{}
 		for range 130 {
 			u, _ := t.Pick(request(1), start)
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 			sent[u]++
 		}
 		for _, n := range sent {
@@ -121,7 +121,7 @@
 			r := request(p)
 			r.Class = routing.ClassRollout
 			u, _ := t.Pick(r, start)
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 			sent[u]++
 		}
 		Expect(sent["u12"]).To(BeNumerically("<=", 10), "the mean is 20")
@@ -183,7 +183,7 @@
 		} {
 			u, _ := t.Pick(r, start)
 			Expect(t.Slowdown(u, routing.ClassRollout)).To(BeNumerically("<", 0.7))
-			t.Update(u, func(m *routing.Upstream) { m.Limit, m.Own = 1, 1 })
+			t.Update(u, func(m *routing.Upstream) { m.Limit, m.OwnInFlight = 1, 1 })
 			other, _ := t.Pick(r, start)
 			Expect(other).NotTo(Equal(u))
 			Expect(t.Slowdown(other, routing.ClassRollout)).To(BeNumerically("<", 0.85))
@@ -200,11 +200,11 @@
 	afterBulk := func(t *routing.Table) *routing.Table {
 		t.AdvanceClock(start)
 		for i := range t.Len() {
-			t.AddOwn(name(i), 16)
+			t.AddOwnInFlight(name(i), 16)
 		}
-		t.SetReserve(1)
+		t.UpdateReserve(1)
 		for i := range t.Len() {
-			t.AddOwn(name(i), -16)
+			t.AddOwnInFlight(name(i), -16)
 		}
 		return t
 	}
@@ -213,23 +213,23 @@
 	// takes as long as the batch that it runs in, even if slots were left free.
 	It("keeps bulk rollouts off the engines that serve production", func() {
 		t := afterBulk(newTable(9))
-		t.SetReserve(11)
+		t.UpdateReserve(11)
 		Expect(t.ReserveSize()).To(Equal(2))
 		usedByProduction := map[ident.Upstream]bool{}
 		for range 12 {
 			u, _ := t.Pick(production, start)
 			usedByProduction[u] = true
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 		}
 		Expect(usedByProduction).To(HaveLen(2))
 		for range 300 {
 			u, _ := t.Pick(bulk, start)
 			Expect(usedByProduction).NotTo(HaveKey(u))
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 		}
 		for range 200 {
 			u, _ := t.Pick(production, start)
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 			usedByProduction[u] = true
 		}
 		Expect(usedByProduction).To(HaveLen(9), "production that exceeds the reserve uses all upstreams")
@@ -237,14 +237,14 @@
 
 	It("serves step-critical rollouts, and bulk when no other upstream can", func() {
 		t := afterBulk(newTable(9))
-		t.SetReserve(1)
+		t.UpdateReserve(1)
 		t.Pick(bulk, start)
 		reserved, _ := t.Pick(long, start)
 		for i := range 9 {
 			u := name(i)
 			t.Update(u, func(m *routing.Upstream) { m.Eligible = u == reserved })
 		}
-		t.SetReserve(1)
+		t.UpdateReserve(1)
 		got, ok := t.Pick(bulk, start)
 		Expect(ok).To(BeTrue())
 		Expect(got).To(Equal(reserved))
@@ -256,11 +256,11 @@
 		maxOwn := func(daemons int) (highest int) {
 			t := newTable(9)
 			t.AdvanceClock(start)
-			t.SetDaemons(daemons)
+			t.SetDaemonCount(daemons)
 			own := map[ident.Upstream]int{}
 			for range 8 {
 				u, _ := t.Pick(production, start)
-				t.AddOwn(u, 1)
+				t.AddOwnInFlight(u, 1)
 				own[u]++
 				highest = max(highest, own[u])
 			}
@@ -272,7 +272,7 @@
 
 	It("spreads prefixes over a large reserve and keeps each on its upstream", func() {
 		t := afterBulk(newTable(522))
-		t.SetReserve(1e6)
+		t.UpdateReserve(1e6)
 		Expect(t.ReserveSize()).To(Equal(174))
 		used := map[ident.Upstream]int{}
 		for p := range uint64(600) {
@@ -281,7 +281,7 @@
 			u, _ := t.Pick(r, start)
 			again, _ := t.Pick(r, start)
 			Expect(again).To(Equal(u))
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 			used[u]++
 		}
 		Expect(len(used)).To(And(BeNumerically(">", 120), BeNumerically("<=", 174)))
@@ -292,17 +292,17 @@
 
 	It("excludes slow upstreams, holds at most a third of them, and is empty when not needed", func() {
 		t := afterBulk(newTrainedTable())
-		t.SetReserve(1e6)
+		t.UpdateReserve(1e6)
 		Expect(t.ReserveSize()).To(Equal(4))
 		for range 24 {
 			u, _ := t.Pick(production, start)
 			Expect(t.Slowdown(u, routing.ClassProduction)).To(BeNumerically("<=", 1.25))
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 		}
-		t.SetReserve(0)
+		t.UpdateReserve(0)
 		Expect(t.ReserveSize()).To(BeZero())
 		noBulk := newTable(9)
-		noBulk.SetReserve(100)
+		noBulk.UpdateReserve(100)
 		Expect(noBulk.ReserveSize()).To(BeZero(), "there is no bulk to separate")
 	})
 })
@@ -314,7 +314,7 @@
 			u, _ := t.Pick(routing.Request{}, start)
 			m, _ := t.Member(u)
 			Expect(m.DataCentre).To(Equal(ident.DataCentre("dc0")))
-			t.AddOwn(u, 1)
+			t.AddOwnInFlight(u, 1)
 		}
 	})
 
--- a/internal/routing/reserve.go
+++ b/internal/routing/reserve.go
@@ -40,11 +40,11 @@
 	expectedTokensWeight = 0.02
 )
 
-// SetReserve updates the reserve. inFlight is the number of latency-sensitive requests
+// UpdateReserve updates the reserve. inFlight is the number of latency-sensitive requests
 // in flight over all daemons; as many members are reserved as these fill, up to a
 // third of the eligible ones. None is reserved if inFlight is 0 or if there was little
 // bulk recently. Call it about every 50 ms.
-func (t *Table) SetReserve(inFlight float64) {
+func (t *Table) UpdateReserve(inFlight float64) {
 	remaining := 0
 	t.bulkPeak = max(t.sumLoad-inFlight, t.bulkPeak*bulkPeakDecay)
 	if inFlight > 0 && t.bulkPeak >= minBulkPerMember*float64(len(t.eligible.items)) {
@@ -65,9 +65,9 @@
 // ReserveSize returns the number of reserved members.
 func (t *Table) ReserveSize() int { return len(t.reserve.items) }
 
-// Sensitive reports whether a request is latency-sensitive and may therefore use the
+// LatencySensitive reports whether a request is latency-sensitive and may therefore use the
 // reserve: production, and step-critical rollouts.
-func (t *Table) Sensitive(r Request) bool {
+func (t *Table) LatencySensitive(r Request) bool {
 	return r.Class == ClassProduction || t.stepCritical(&r)
 }
 
@@ -127,8 +127,8 @@
 	return best
 }
 
-// SetDaemons sets the number of daemons that use the group, including this one.
-func (t *Table) SetDaemons(n int) { t.daemonCount = n }
+// SetDaemonCount sets the number of daemons that use the group, including this one.
+func (t *Table) SetDaemonCount(n int) { t.daemonCount = n }
 
 // withinAffinityShare reports whether one more request may be sent to a member for
 // prefix affinity. The affinity bound of a member is divided between the daemons for
@@ -139,7 +139,7 @@
 	if r.Class != ClassProduction || t.daemonCount <= 1 {
 		return true
 	}
-	return float64(t.members[i].Own) < max(1, affinityShareFactor*bound/float64(t.daemonCount))
+	return float64(t.members[i].OwnInFlight) < max(1, affinityShareFactor*bound/float64(t.daemonCount))
 }
 
 // reserveAccepts reports whether a reserved member may take one more request. load is
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -78,7 +78,7 @@
 	// Limit is the concurrency limit in requests, 0 if unknown.
 	Limit int
 	// Numbers of requests in flight from this daemon and from the other daemons.
-	Own, Peers int
+	OwnInFlight, PeersInFlight int
 	// ReportedRunning and ReportedQueued are the requests that the upstream counted
 	// in its last load report, which arrives with a delay.
 	ReportedRunning, ReportedQueued int
@@ -119,8 +119,8 @@
 
 // Options configures a Table. Zero values select the defaults.
 type Options struct {
-	// Self is this daemon's data centre.
-	Self ident.DataCentre
+	// DataCentre is this daemon's data centre.
+	DataCentre ident.DataCentre
 	// Seed initialises the random number generator.
 	Seed uint64
 	// PrefixLoadFactor is the maximum load of an upstream picked by prefix, as a
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -28,7 +28,7 @@
 			otherHashes = append(otherHashes, hashString(d))
 		}
 	}
-	perUpstream := Keepers(len(members), len(otherHashes)+1, size)
+	perUpstream := DaemonsPerUpstream(len(members), len(otherHashes)+1, size)
 	var mine []ident.Upstream
 	for _, name := range members {
 		if countPreferred(selfHash, otherHashes, hashString(string(name))) < perUpstream {
--- a/internal/routing/suite_test.go
+++ b/internal/routing/suite_test.go
@@ -41,7 +41,7 @@
 
 // newTable returns a table of n idle upstreams.
 func newTable(n int) *routing.Table {
-	t := routing.NewTable(routing.Options{Self: "dc0", Seed: 7})
+	t := routing.NewTable(routing.Options{DataCentre: "dc0", Seed: 7})
 	t.SetMembers(idleUpstreams(n))
 	return t
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -136,25 +136,25 @@
 	t.refresh(i)
 }
 
-// AddOwn adds delta to the number of this daemon's requests in flight at an upstream.
+// AddOwnInFlight adds delta to the number of this daemon's requests in flight at an upstream.
 // The number never falls below 0.
-func (t *Table) AddOwn(name ident.Upstream, delta int) {
+func (t *Table) AddOwnInFlight(name ident.Upstream, delta int) {
 	i, ok := t.indexByName[name]
 	if !ok {
 		return
 	}
-	t.members[i].Own = max(0, t.members[i].Own+delta)
+	t.members[i].OwnInFlight = max(0, t.members[i].OwnInFlight+delta)
 	t.refresh(i)
 }
 
-// SetPeers sets the number of requests that the other daemons have in flight at an
+// SetPeersInFlight sets the number of requests that the other daemons have in flight at an
 // upstream.
-func (t *Table) SetPeers(name ident.Upstream, n int) {
+func (t *Table) SetPeersInFlight(name ident.Upstream, n int) {
 	i, ok := t.indexByName[name]
 	if !ok {
 		return
 	}
-	t.members[i].Peers = max(0, n)
+	t.members[i].PeersInFlight = max(0, n)
 	t.refresh(i)
 }
 
@@ -174,13 +174,13 @@
 func (t *Table) refresh(i int) {
 	u, p := &t.members[i], &t.pickStates[i]
 	t.addToSums(i, -1)
-	t.reports[i].recordKnown(float64(u.Own+u.Peers), t.latestTime, t.options.ReportTTL)
+	t.reports[i].recordKnown(float64(u.OwnInFlight+u.PeersInFlight), t.latestTime, t.options.ReportTTL)
 	p.unattributed = t.reports[i].unattributed
 	p.unattributedUntil = t.reports[i].reportedAt.Add(t.options.ReportTTL).UnixNano()
-	p.load = float64(u.Own+u.Peers) + p.unattributed
+	p.load = float64(u.OwnInFlight+u.PeersInFlight) + p.unattributed
 	p.weight = min(1, max(minWeight, u.Weight))
 	p.loadMultiplier = 1 / p.weight
-	if u.DataCentre != t.options.Self {
+	if u.DataCentre != t.options.DataCentre {
 		p.loadMultiplier *= t.options.LocalityPenalty
 	}
 	p.limit = int32(max(0, u.Limit))
--- a/internal/scaling/model_test.go
+++ b/internal/scaling/model_test.go
@@ -131,7 +131,7 @@
 		return false
 	}
 	for ; existing < o.Count; existing++ {
-		w.servers = append(w.servers, &modelServer{dc: o.DataCentre, spot: o.Spot, readyAt: w.now + market.Boot, slowdown: 1})
+		w.servers = append(w.servers, &modelServer{dc: o.DataCentre, spot: o.Spot, readyAt: w.now + market.BootTime, slowdown: 1})
 	}
 	for _, s := range w.servers {
 		if existing > o.Count && s.dc == o.DataCentre && s.spot == o.Spot && s.removedAt == 0 {
@@ -232,7 +232,7 @@
 		}
 		var best *modelServer
 		for _, s := range w.servers {
-			if w.now >= s.readyAt && s.removedAt == 0 && len(s.running) < market.Slots && (best == nil || float64(len(s.running))+s.slowdown < float64(len(best.running))+best.slowdown) {
+			if w.now >= s.readyAt && s.removedAt == 0 && len(s.running) < market.SlotsPerServer && (best == nil || float64(len(s.running))+s.slowdown < float64(len(best.running))+best.slowdown) {
 				best = s
 			}
 		}
@@ -289,17 +289,17 @@
 // planned is the policy of this package, with the number of slots for each sample of a step
 // scaled by a factor.
 type planned struct {
-	planner        *Ledger
+	planner        *Planner
 	slotsPerSample float64
 }
 
 func (p *planned) apply(w *serviceModel) {
-	view := View{Now: w.now, There: w.currentServers(), Samples: int(p.slotsPerSample * 736)}
+	view := State{Now: w.now, Servers: w.currentServers(), StepSamples: int(p.slotsPerSample * 736)}
 	for _, o := range p.planner.Decide(market, view) {
 		if w.execute(o) {
-			p.planner.Ordered(o, w.now)
+			p.planner.RecordOrder(o, w.now)
 		} else {
-			p.planner.Refused(o.Key, w.now)
+			p.planner.RecordUnavailable(o.Pool, w.now)
 		}
 	}
 }
@@ -311,7 +311,7 @@
 func (p *utilisationBased) apply(w *serviceModel) {
 	slots, used, waiting := 0, 0, 0
 	for _, s := range w.servers {
-		slots += market.Slots
+		slots += market.SlotsPerServer
 		used += len(s.running)
 	}
 	for _, steps := range w.trainers {
@@ -321,17 +321,17 @@
 	}
 	const high, low, lowTime = 0.8, 0.3, 10 * time.Second
 	switch utilisation := float64(used+waiting) / float64(max(1, slots)); {
-	case utilisation > high && w.now-p.grownAt > market.Boot:
+	case utilisation > high && w.now-p.grownAt > market.BootTime:
 		p.grownAt, p.lowSince = w.now, w.now
 		for dc, s := range w.currentServers() {
-			w.execute(Order{Key{dc, true}, min(market.Max-s.Regular, s.Spot+4)})
+			w.execute(Order{Pool{dc, true}, min(market.MaxPerDataCentre-s.Regular, s.Spot+4)})
 		}
 	case utilisation > low:
 		p.lowSince = w.now
 	case w.now-p.lowSince > lowTime:
 		p.lowSince = w.now
 		for dc, s := range w.currentServers() {
-			w.execute(Order{Key{dc, true}, max(0, s.Spot-4)})
+			w.execute(Order{Pool{dc, true}, max(0, s.Spot-4)})
 		}
 	}
 }
@@ -382,9 +382,9 @@
 	}{
 		{"no orders", func() orderPolicy { return noOrders{} }},
 		{"by utilisation", func() orderPolicy { return &utilisationBased{} }},
-		{"planned, 1 slot a sample", func() orderPolicy { return &planned{NewLedger(), 1} }},
-		{"planned, 0.75", func() orderPolicy { return &planned{NewLedger(), 0.75} }},
-		{"planned, 1.6", func() orderPolicy { return &planned{NewLedger(), 1.6} }},
+		{"planned, 1 slot a sample", func() orderPolicy { return &planned{NewPlanner(), 1} }},
+		{"planned, 0.75", func() orderPolicy { return &planned{NewPlanner(), 0.75} }},
+		{"planned, 1.6", func() orderPolicy { return &planned{NewPlanner(), 1.6} }},
 	}
 	g := NewWithT(t)
 	for _, fault := range faults {
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -17,25 +17,25 @@
 	"time"
 )
 
-// Market describes which servers may be ordered for a service.
-type Market struct {
-	Min, Max int           // servers per data centre, regular and spot together
-	Boot     time.Duration // time from an order until the servers are ready
+// ServiceSpec describes which servers may be ordered for a service.
+type ServiceSpec struct {
+	MinPerDataCentre, MaxPerDataCentre int           // servers per data centre, regular and spot together
+	BootTime                           time.Duration // time from an order until the servers are ready
 	// SpotPrice is the price of a spot server as a fraction of that of a regular one, 0 if
 	// there are no spot servers.
 	SpotPrice float64
-	// Prices holds the price of a regular server by data centre. Servers can be ordered in
+	// RegularPrices holds the price of a regular server by data centre. Servers can be ordered in
 	// these data centres only.
-	Prices map[string]float64
-	Slots  int // samples that a server runs concurrently
+	RegularPrices  map[string]float64
+	SlotsPerServer int // samples that a server runs concurrently
 }
 
 // Servers holds the numbers of servers of a service in one data centre, without those that
 // are leaving.
 type Servers struct{ Regular, Spot int }
 
-// Key identifies the servers that an order applies to: those of one kind in one data centre.
-type Key struct {
+// Pool identifies the servers that an order applies to: those of one kind in one data centre.
+type Pool struct {
 	DataCentre string `cbor:"1,keyasint"`
 	Spot       bool   `cbor:"2,keyasint,omitempty"`
 }
@@ -43,17 +43,17 @@
 // Order sets the total number of servers of one kind in a data centre, including the
 // existing ones.
 type Order struct {
-	Key
+	Pool
 	Count int `cbor:"3,keyasint"`
 }
 
-// View is the state of a service that a decision is based on.
-type View struct {
-	Now   time.Duration      // only differences between times matter
-	There map[string]Servers // current servers by data centre
-	// Samples is the number of samples in one batch of each model of the service, added up;
+// State is the state of a service that a decision is based on.
+type State struct {
+	Now     time.Duration      // only differences between times matter
+	Servers map[string]Servers // current servers by data centre
+	// StepSamples is the number of samples in one batch of each model of the service, added up;
 	// 0 if unknown.
-	Samples int
+	StepSamples int
 }
 
 const (
@@ -75,11 +75,11 @@
 )
 
 // ServersNeeded returns the number of servers for the samples of a step.
-func (m Market) ServersNeeded(samples int) int {
-	if m.Slots <= 0 {
+func (m ServiceSpec) ServersNeeded(samples int) int {
+	if m.SlotsPerServer <= 0 {
 		return 0
 	}
-	return ceilDiv(slotsPerSample*float64(samples), float64(m.Slots))
+	return ceilDiv(slotsPerSample*float64(samples), float64(m.SlotsPerServer))
 }
 
 // ceilDiv returns a / b, rounded up.
@@ -91,10 +91,10 @@
 	return n
 }
 
-// Ledger records the orders of all daemons and decides on new ones.
-type Ledger struct {
-	orders        map[Key]placedOrder
-	unavailableAt map[Key]time.Duration // time of the last order for which no server was available
+// Planner records the orders of all daemons and decides on new ones.
+type Planner struct {
+	orders        map[Pool]placedOrder
+	unavailableAt map[Pool]time.Duration // time of the last order for which no server was available
 }
 
 // placedOrder is the last order for servers of one kind in one data centre.
@@ -103,25 +103,25 @@
 	orderedAt time.Duration
 }
 
-// NewLedger starts without recorded orders.
-func NewLedger() *Ledger {
-	return &Ledger{orders: map[Key]placedOrder{}, unavailableAt: map[Key]time.Duration{}}
+// NewPlanner starts without recorded orders.
+func NewPlanner() *Planner {
+	return &Planner{orders: map[Pool]placedOrder{}, unavailableAt: map[Pool]time.Duration{}}
 }
 
-// Ordered records an order that was carried out, or may have been.
-func (l *Ledger) Ordered(o Order, at time.Duration) {
-	l.orders[o.Key] = placedOrder{o.Count, at}
-	delete(l.unavailableAt, o.Key)
+// RecordOrder records an order that was carried out, or may have been.
+func (l *Planner) RecordOrder(o Order, at time.Duration) {
+	l.orders[o.Pool] = placedOrder{o.Count, at}
+	delete(l.unavailableAt, o.Pool)
 }
 
-// Last returns the number of servers in the last order, and false if there was none.
-func (l *Ledger) Last(k Key) (count int, ok bool) {
+// LastOrdered returns the number of servers in the last order, and false if there was none.
+func (l *Planner) LastOrdered(k Pool) (count int, ok bool) {
 	o, ok := l.orders[k]
 	return o.count, ok
 }
 
-// Refused records that no server was available for an order.
-func (l *Ledger) Refused(k Key, at time.Duration) { l.unavailableAt[k] = at }
+// RecordUnavailable records that no server was available for an order.
+func (l *Planner) RecordUnavailable(k Pool, at time.Duration) { l.unavailableAt[k] = at }
 
 // Decide returns the orders to give now, sorted by data centre. It only changes the number of
 // spot servers.
@@ -130,23 +130,23 @@
 // because all spot servers of a data centre may be reclaimed at once. Servers that a data
 // centre cannot provide, because of its maximum or because none is available, are ordered in
 // the others and stay there. Lost servers are ordered again.
-func (l *Ledger) Decide(m Market, v View) []Order {
-	if m.SpotPrice <= 0 || v.Samples <= 0 {
+func (l *Planner) Decide(m ServiceSpec, v State) []Order {
+	if m.SpotPrice <= 0 || v.StepSamples <= 0 {
 		return nil
 	}
 	current := l.currentOrPending(m, v)
 	target := maps.Clone(current)
-	missing := m.ServersNeeded(v.Samples) - totalServers(current)
+	missing := m.ServersNeeded(v.StepSamples) - totalServers(current)
 	switch {
 	case missing > 0:
 		l.addSpot(m, v, target, missing)
-	case float64(-missing) > maxSurplus*float64(m.ServersNeeded(v.Samples)):
+	case float64(-missing) > maxSurplus*float64(m.ServersNeeded(v.StepSamples)):
 		removeSpot(target, -missing)
 	}
 	var orders []Order
 	for _, dc := range slices.Sorted(maps.Keys(target)) {
 		if target[dc] != current[dc] {
-			orders = append(orders, Order{Key{dc, true}, target[dc].Spot})
+			orders = append(orders, Order{Pool{dc, true}, target[dc].Spot})
 		}
 	}
 	return orders
@@ -154,11 +154,11 @@
 
 // currentOrPending returns the servers of each data centre, including ordered ones that are
 // still booting.
-func (l *Ledger) currentOrPending(m Market, v View) map[string]Servers {
+func (l *Planner) currentOrPending(m ServiceSpec, v State) map[string]Servers {
 	out := map[string]Servers{}
-	for dc := range m.Prices {
-		s := v.There[dc]
-		if last, ok := l.orders[Key{dc, true}]; ok && v.Now-last.orderedAt < m.Boot+bootMargin {
+	for dc := range m.RegularPrices {
+		s := v.Servers[dc]
+		if last, ok := l.orders[Pool{dc, true}]; ok && v.Now-last.orderedAt < m.BootTime+bootMargin {
 			s.Spot = last.count
 		}
 		out[dc] = s
@@ -180,11 +180,11 @@
 
 // addSpot adds spot servers one by one, each to the data centre with the fewest servers that
 // has capacity.
-func (l *Ledger) addSpot(m Market, v View, servers map[string]Servers, missing int) {
+func (l *Planner) addSpot(m ServiceSpec, v State, servers map[string]Servers, missing int) {
 	for ; missing > 0; missing-- {
 		target := ""
 		for _, dc := range slices.Sorted(maps.Keys(servers)) {
-			if servers[dc].total() >= m.Max || l.recentlyUnavailable(dc, v.Now) {
+			if servers[dc].total() >= m.MaxPerDataCentre || l.recentlyUnavailable(dc, v.Now) {
 				continue
 			}
 			if target == "" || servers[dc].total() < servers[target].total() {
@@ -202,8 +202,8 @@
 
 // recentlyUnavailable reports whether an order of spot servers in a data centre found none
 // available within unavailableBackoff.
-func (l *Ledger) recentlyUnavailable(dc string, now time.Duration) bool {
-	at, unavailable := l.unavailableAt[Key{dc, true}]
+func (l *Planner) recentlyUnavailable(dc string, now time.Duration) bool {
+	at, unavailable := l.unavailableAt[Pool{dc, true}]
 	return unavailable && now-at < unavailableBackoff
 }
 
--- a/internal/standin/dutyapi/api.go
+++ b/internal/standin/dutyapi/api.go
@@ -30,8 +30,8 @@
 	mu         sync.Mutex
 	subjects   map[string]*subject
 	reports    map[int64]Report
-	servers    map[string]map[scaling.Key][]placed // orders by service, oldest first
-	closed     map[string]bool                     // data centres without spot servers
+	servers    map[string]map[scaling.Pool][]placed // orders by service, oldest first
+	closed     map[string]bool                      // data centres without spot servers
 	violations []string
 	calls      int
 	second     int64 // the last one in which a call came
@@ -56,7 +56,7 @@
 
 // New returns an API that has seen nothing.
 func New(o Options) *API {
-	return &API{options: o, subjects: map[string]*subject{}, reports: map[int64]Report{}, servers: map[string]map[scaling.Key][]placed{}, closed: map[string]bool{}}
+	return &API{options: o, subjects: map[string]*subject{}, reports: map[int64]Report{}, servers: map[string]map[scaling.Pool][]placed{}, closed: map[string]bool{}}
 }
 
 // usageSubject is that of all windows.
@@ -94,12 +94,12 @@
 		return status
 	}
 	if a.servers[service] == nil {
-		a.servers[service] = map[scaling.Key][]placed{}
+		a.servers[service] = map[scaling.Pool][]placed{}
 	}
-	if o.Spot && a.closed[o.DataCentre] && o.Count > last(a.servers[service][o.Key]) {
+	if o.Spot && a.closed[o.DataCentre] && o.Count > last(a.servers[service][o.Pool]) {
 		return NoneAvailable
 	}
-	a.servers[service][o.Key] = append(a.servers[service][o.Key], placed{o.Count, time.Now()})
+	a.servers[service][o.Pool] = append(a.servers[service][o.Pool], placed{o.Count, time.Now()})
 	return http.StatusOK
 }
 
@@ -157,7 +157,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed[dataCentre] = true
-	k := scaling.Key{DataCentre: dataCentre, Spot: true}
+	k := scaling.Pool{DataCentre: dataCentre, Spot: true}
 	if a.servers[service] != nil {
 		a.servers[service][k] = append(a.servers[service][k], placed{0, time.Now()})
 	}
