--- a/internal/app/rollouts.go
+++ b/internal/app/rollouts.go
@@ -59,9 +59,9 @@
 // stepOptions has the naive policy dispatch all samples at once.
 func stepOptions(policy string) rollout.Options {
 	if policy == settings.PolicyNaive {
-		return rollout.Options{Window: math.MaxInt32}
+		return rollout.Options{MaxGenerating: math.MaxInt32}
 	}
-	return rollout.Options{Window: window}
+	return rollout.Options{MaxGenerating: window}
 }
 
 // generator runs a step's attempts through the dispatcher.
@@ -126,7 +126,7 @@
 	default:
 		failure.Kind = rollout.Transient
 	}
-	return &rollouts.WorkError{Failure: failure, Err: err}
+	return &rollouts.AttemptError{Failure: failure, Err: err}
 }
 
 // refusedForGood says that the engine finds fault with the request itself: a
@@ -157,7 +157,7 @@
 	}
 	model := branch.Models[job.Model]
 	out := rollouts.JobSettings{
-		Model: job.Model, Scorer: job.Scorer, GroupSize: job.GroupSize, Bound: job.Bound(model),
+		Model: job.Model, Scorer: job.Scorer, GroupSize: job.GroupSize, StalenessBound: job.Bound(model),
 		MaxTokens: job.MaxTokens, StalenessWeight: branch.StalenessWeight, Cancelled: job.Cancelled,
 	}
 	if out.MaxTokens == 0 {
--- a/internal/httpapi/fakes_test.go
+++ b/internal/httpapi/fakes_test.go
@@ -159,7 +159,7 @@
 }
 
 func (s steps) Pull(_ context.Context, _ ident.Team, job ident.Job, step ident.Step, r rollouts.PullRequest) (*rollouts.PullResponse, error) {
-	if _, err := rollouts.DecodeHave(r.Have); err != nil {
+	if _, err := rollouts.DecodeCursor(r.Have); err != nil {
 		return nil, &rollouts.Error{Kind: rollouts.BadRequest, Reason: "have"}
 	}
 	s.w.reached.Add(1)
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("a complete session", func() {
 	It("returns the recorded actions", func() {
-		s := newStep(testSpec(3, 2), Options{Window: 4})
+		s := newStep(testSpec(3, 2), Options{MaxGenerating: 4})
 		var log strings.Builder
 		handle := func(ms int, e Event) {
 			fmt.Fprintf(&log, "%d %T %s\n", ms, e, formatEvent(e))
--- a/internal/rollout/naive_test.go
+++ b/internal/rollout/naive_test.go
@@ -328,7 +328,7 @@
 	minVersion := max(0, r.oldestAllowed()) // the staleness weight is 0 in all sessions
 	for _, id := range r.order {
 		s := r.samples[id]
-		if s.state == "waiting" && r.count("generating") < r.options.Window && r.canStart(now) {
+		if s.state == "waiting" && r.count("generating") < r.options.MaxGenerating && r.canStart(now) {
 			unfinished := len(r.samples) - r.count("ready") - r.count("idle")
 			straggler := unfinished <= max(2, int(r.options.StragglerShare*float64(len(r.samples))))
 			s.attempt++
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -33,7 +33,7 @@
 // while a pull could free memory. Otherwise incomplete groups could fill the memory
 // and no group would ever be completed.
 func (s *Step) canGenerate(now time.Duration) bool {
-	if s.index.counts[generating] >= s.options.Window || !s.breaker.allows(now, s.options.MaxProbeInterval) {
+	if s.index.counts[generating] >= s.options.MaxGenerating || !s.breaker.allows(now, s.options.MaxProbeInterval) {
 		return false
 	}
 	full := s.memoryFull || s.bufferedBytes >= s.options.MaxBufferedBytes
--- a/internal/rollout/session_test.go
+++ b/internal/rollout/session_test.go
@@ -272,11 +272,11 @@
 
 const sessionCount = 200
 
-var referenceOptions = Options{Window: 5, MaxScoring: 2, StragglerShare: 0.3}
+var referenceOptions = Options{MaxGenerating: 5, MaxScoring: 2, StragglerShare: 0.3}
 
 var _ = Describe("random sessions", func() {
 	It("uphold every guarantee to the trainer", func() {
-		options := Options{Window: 5, StragglerShare: 0.3}
+		options := Options{MaxGenerating: 5, StragglerShare: 0.3}
 		attempts := 0
 		for seed := range uint64(sessionCount) {
 			var steps []*Step
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -44,8 +44,8 @@
 
 // Options are the tuning parameters of a step. Zero fields get the defaults below.
 type Options struct {
-	Window     int // maximum number of attempts generating at the same time
-	MaxScoring int // maximum number of completions being scored at the same time; 0 means Window
+	MaxGenerating int // maximum number of attempts generating at the same time
+	MaxScoring    int // maximum number of completions being scored at the same time; 0 means Window
 	// MaxBufferedBytes limits the size of the completions kept. At the limit, no
 	// attempt starts as long as a group can be pulled.
 	MaxBufferedBytes int
@@ -69,8 +69,8 @@
 )
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.Window, DefaultMaxGenerating)
-	setDefault(&o.MaxScoring, o.Window)
+	setDefault(&o.MaxGenerating, DefaultMaxGenerating)
+	setDefault(&o.MaxScoring, o.MaxGenerating)
 	setDefault(&o.MaxBufferedBytes, DefaultMaxBufferedBytes)
 	setDefault(&o.BackoffBase, DefaultBackoffBase)
 	setDefault(&o.BackoffMax, DefaultBackoffMax)
--- a/internal/rollout/step_test.go
+++ b/internal/rollout/step_test.go
@@ -187,7 +187,7 @@
 
 var _ = Describe("scheduling", func() {
 	It("starts groups with the longest expected length first, each with all its samples, up to the concurrency limit", func() {
-		s := newStep(testSpec(3, 2), Options{Window: 3})
+		s := newStep(testSpec(3, 2), Options{MaxGenerating: 3})
 		var order []SampleID
 		for _, g := range actionsOf[Generate](s.Handle(at(0), Tick{})) {
 			order = append(order, g.ID)
@@ -214,7 +214,7 @@
 	// backoff for each slot, each sample was refused every few seconds, thousands of times
 	// in total, and the step resumed up to five seconds after the switch.
 	It("probes with a single attempt while attempts are refused, and starts the rest when a probe succeeds", func() {
-		s := newStep(testSpec(125, 4), Options{Window: 1024})
+		s := newStep(testSpec(125, 4), Options{MaxGenerating: 1024})
 		attempts := actionsOf[Generate](s.Handle(at(0), Tick{}))
 		Expect(attempts).To(HaveLen(500))
 		const switched, tick = 7030, 100
@@ -271,7 +271,7 @@
 
 	// Failure: the last sample runs on a slow engine, and the trainer waits for it alone.
 	It("marks only the last samples to start as stragglers, including their retries", func() {
-		s := newStep(testSpec(1, 8), Options{Window: 1}) // the previous sample is being scored when the next one starts
+		s := newStep(testSpec(1, 8), Options{MaxGenerating: 1}) // the previous sample is being scored when the next one starts
 		var order, stragglers []int
 		starts := actionsOf[Generate](s.Handle(at(0), Tick{}))
 		for remaining := 8; len(starts) > 0; remaining-- {
@@ -295,7 +295,7 @@
 	})
 
 	It("starts no attempts while the memory is full and a pull could free some", func() {
-		s := newStep(testSpec(4, 1), Options{Window: 1, MaxBufferedBytes: 1})
+		s := newStep(testSpec(4, 1), Options{MaxGenerating: 1, MaxBufferedBytes: 1})
 		completeSample(s, at(1), actionsOf[Generate](s.Handle(at(0), Tick{}))[0], 5)
 		Expect(s.DeliverableGroups()).To(Equal(1))
 		Expect(s.Counts().Generating).To(BeEquivalentTo(1)) // started while the first was being scored
@@ -308,7 +308,7 @@
 	// Failure: many steps together fill the daemon's memory although none exceeds its own
 	// limit.
 	It("starts no attempts under memory pressure from other steps if a pull could free some", func() {
-		s := newStep(testSpec(3, 1), Options{Window: 1})
+		s := newStep(testSpec(3, 1), Options{MaxGenerating: 1})
 		first := actionsOf[Generate](s.Handle(at(0), Tick{}))[0]
 		second := actionsOf[Generate](s.Handle(at(1), Generated{first.ID, 1, "t", 1, []Segment{{5, 0, 1}}}))[0]
 		s.Handle(at(2), Scored{first.ID, 1, 0.5})
--- a/internal/rollouts/api.go
+++ b/internal/rollouts/api.go
@@ -88,9 +88,9 @@
 // ErrInvalidCursor is returned for a cursor that isn't a base64 roaring bitmap.
 var ErrInvalidCursor = errors.New("rollouts: cursor isn't a base64 roaring bitmap")
 
-// EncodeHave encodes a cursor for a request: the bitmap of the numbers of the groups
+// EncodeCursor encodes a cursor for a request: the bitmap of the numbers of the groups
 // held, in roaring's portable format, as standard base64.
-func EncodeHave(have *roaring.Bitmap) (string, error) {
+func EncodeCursor(have *roaring.Bitmap) (string, error) {
 	data, err := have.ToBytes()
 	if err != nil {
 		return "", fmt.Errorf("rollouts: encode cursor: %w", err)
@@ -98,9 +98,9 @@
 	return base64.StdEncoding.EncodeToString(data), nil
 }
 
-// DecodeHave decodes a cursor. The empty string is the empty cursor. If s is invalid,
+// DecodeCursor decodes a cursor. The empty string is the empty cursor. If s is invalid,
 // the error is ErrInvalidCursor.
-func DecodeHave(s string) (have *roaring.Bitmap, err error) {
+func DecodeCursor(s string) (have *roaring.Bitmap, err error) {
 	have = roaring.New()
 	if s == "" {
 		return have, nil
--- a/internal/rollouts/interfaces.go
+++ b/internal/rollouts/interfaces.go
@@ -52,17 +52,17 @@
 	Score(ctx context.Context, r ScoreRequest) (float64, error)
 }
 
-// WorkError is a failure to generate or score a sample.
-type WorkError struct {
+// AttemptError is a failure to generate or score a sample.
+type AttemptError struct {
 	Failure rollout.Failure
 	Err     error
 }
 
 // Error implements error.
-func (e *WorkError) Error() string { return "rollouts: attempt failed: " + e.Err.Error() }
+func (e *AttemptError) Error() string { return "rollouts: attempt failed: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *WorkError) Unwrap() error { return e.Err }
+func (e *AttemptError) Unwrap() error { return e.Err }
 
 // Versions provides the newest published version of a model, as known from the weight
 // store or from peers, or 0 if none is known.
@@ -79,7 +79,7 @@
 	Model           ident.Model
 	Scorer          string  // name of the scorer group
 	GroupSize       int     // samples per prompt
-	Bound           int64   // staleness bound in versions, from the job or else its model
+	StalenessBound  int64   // staleness bound in versions, from the job or else its model
 	MaxTokens       int     // limit on the length of a completion, in tokens
 	StalenessWeight float64 // trade-off from 0 (only minimize idle time) to 1 (only minimize staleness)
 	Cancelled       bool
--- a/internal/rollouts/manager_test.go
+++ b/internal/rollouts/manager_test.go
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &cluster{
 			t:                t,
-			settings:         JobSettings{Model: "clerk", Scorer: "rolls", GroupSize: 2, Bound: 2},
+			settings:         JobSettings{Model: "clerk", Scorer: "rolls", GroupSize: 2, StalenessBound: 2},
 			jobExists:        true,
 			publishedVersion: 5,
 			generateTime:     time.Second,
@@ -114,7 +114,7 @@
 	case <-time.After(w.generateTime):
 	}
 	if r.Prompt == w.poisonPrompt {
-		return Generated{}, &WorkError{Failure: rollout.Failure{Kind: rollout.Poison, Reason: "poison"}, Err: errRefused}
+		return Generated{}, &AttemptError{Failure: rollout.Failure{Kind: rollout.Poison, Reason: "poison"}, Err: errRefused}
 	}
 	return Generated{Text: string(r.ID), Tokens: 4, Segments: []rollout.Segment{{Version: v, To: 4}}}, nil
 }
@@ -193,7 +193,7 @@
 
 // pull pulls step 1 from a daemon with a wait time of 2 s.
 func (w *cluster) pull(vm ident.VM, trainerVersion ident.Version, have ...uint32) (*PullResponse, error) {
-	cursor, _ := EncodeHave(roaring.BitmapOf(have...))
+	cursor, _ := EncodeCursor(roaring.BitmapOf(have...))
 	return w.managers[vm].Pull(w.t.Context(), team, job, 1, PullRequest{Have: cursor, TrainerVersion: trainerVersion, WaitMillis: 2000})
 }
 
@@ -253,7 +253,7 @@
 				g.Expect(errorKind(err)).To(Equal(UnknownStep))
 				g.Expect(time.Since(start)).To(BeNumerically("<=", 4*time.Second))
 				resubmit := newSubmitRequest(4)
-				resubmit.Have, _ = EncodeHave(roaring.BitmapOf(0, 1, 2))
+				resubmit.Have, _ = EncodeCursor(roaring.BitmapOf(0, 1, 2))
 				_, err = w.submit("b", resubmit)
 				g.Expect(err).NotTo(HaveOccurred())
 				answer, err := w.pull("b", 5, 0, 1, 2)
@@ -500,11 +500,11 @@
 }
 
 func FuzzDecodeHave(f *testing.F) {
-	valid, _ := EncodeHave(roaring.BitmapOf(1, 2, 3, 70000))
+	valid, _ := EncodeCursor(roaring.BitmapOf(1, 2, 3, 70000))
 	f.Add(valid)
 	f.Add("OzAAAAEAAAEAAQAAAA==")
 	f.Fuzz(func(t *testing.T, s string) {
-		have, err := DecodeHave(s)
+		have, err := DecodeCursor(s)
 		if err == nil {
 			have.Contains(1)
 		}
--- a/internal/rollouts/pull.go
+++ b/internal/rollouts/pull.go
@@ -73,7 +73,7 @@
 // pullFromRunner answers a pull from a step held here. keepAlive says whether the pull
 // resets the step's idle timeout.
 func (m *Manager) pullFromRunner(ctx context.Context, k stepKey, req PullRequest, keepAlive bool) (*PullResponse, error) {
-	have, err := DecodeHave(req.Have)
+	have, err := DecodeCursor(req.Have)
 	if err != nil {
 		return nil, &Error{Kind: BadRequest, Reason: "have", Err: err}
 	}
--- a/internal/rollouts/runner.go
+++ b/internal/rollouts/runner.go
@@ -211,9 +211,9 @@
 	if settings.Cancelled {
 		return &Error{Kind: Cancelled, Reason: "the job is cancelled in the configuration"}
 	}
-	if settings.Bound != r.stalenessBound {
-		r.stalenessBound = settings.Bound
-		r.handle(rollout.SetStalenessBound{Bound: settings.Bound})
+	if settings.StalenessBound != r.stalenessBound {
+		r.stalenessBound = settings.StalenessBound
+		r.handle(rollout.SetStalenessBound{Bound: settings.StalenessBound})
 	}
 	return nil
 }
--- a/internal/rollouts/runner_work.go
+++ b/internal/rollouts/runner_work.go
@@ -133,7 +133,7 @@
 
 // failureFrom returns the failure for an error of a Generator or a Scorer.
 func failureFrom(err error) rollout.Failure {
-	var work *WorkError
+	var work *AttemptError
 	if errors.As(err, &work) {
 		return work.Failure
 	}
--- a/internal/rollouts/submit.go
+++ b/internal/rollouts/submit.go
@@ -85,7 +85,7 @@
 	if total := promptBytes(req.Prompts); total > MaxStepBytes {
 		return nil, &Error{Kind: TooLarge, Reason: fmt.Sprintf("%d bytes of prompts exceed the limit of %d", total, MaxStepBytes)}
 	}
-	have, err := DecodeHave(req.Have)
+	have, err := DecodeCursor(req.Have)
 	if err != nil {
 		return nil, &Error{Kind: BadRequest, Reason: "have", Err: err}
 	}
@@ -141,7 +141,7 @@
 		Model:           settings.Model,
 		Prompts:         req.Prompts,
 		GroupSize:       settings.GroupSize,
-		StalenessBound:  settings.Bound,
+		StalenessBound:  settings.StalenessBound,
 		MaxTokens:       settings.MaxTokens,
 		Scorer:          settings.Scorer,
 		TrainerVersion:  req.TrainerVersion,
--- a/internal/standin/trainer/trainer.go
+++ b/internal/standin/trainer/trainer.go
@@ -144,7 +144,7 @@
 
 func (t *Trainer) submit(ctx context.Context, s *step) error {
 	for {
-		have, err := rollouts.EncodeHave(s.have)
+		have, err := rollouts.EncodeCursor(s.have)
 		if err != nil {
 			return err
 		}
@@ -186,7 +186,7 @@
 }
 
 func (t *Trainer) pullRequest(s *step) (rollouts.PullRequest, error) {
-	have, err := rollouts.EncodeHave(s.have)
+	have, err := rollouts.EncodeCursor(s.have)
 	return rollouts.PullRequest{
 		Have:           have,
 		TrainerVersion: ident.Version(t.newest.Load()),
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -60,7 +60,7 @@
 	if !host.ReadJSON(w, r, &request) {
 		return
 	}
-	have, err := rollouts.DecodeHave(request.Have)
+	have, err := rollouts.DecodeCursor(request.Have)
 	Expect(err).NotTo(HaveOccurred())
 	response := rollouts.PullResponse{JudgedBy: request.TrainerVersion, End: true}
 	for i, prompt := range step.Prompts {
