--- a/internal/batchrun/answer.go
+++ b/internal/batchrun/answer.go
@@ -161,15 +161,15 @@
 		case locate.Ask:
 			s.askOwners(ctx, id, a, search)
 		case locate.Pause:
-			pause.For(ctx, a.For)
+			pause.For(ctx, a.Duration)
 		case locate.Follow:
-			release = s.searchLocally(ctx, id, a.Parts, search)
+			release = s.searchLocally(ctx, id, a.Partitions, search)
 		case locate.Found:
 			callsForwarded.Add(1)
 			return remoteHandler{s, a.Address}, release, nil
-		case locate.FoundHere:
+		case locate.FoundLocally:
 			return s.Here(), release, nil
-		case locate.Nowhere:
+		case locate.NotFound:
 			release()
 			return nil, nil, ErrNotFound
 		case locate.Unsure:
@@ -192,7 +192,7 @@
 		owners = s.directory.lastKnown()
 		s.options.Logger.Warn().Err(err).Int("known", len(owners)).Msg("failed to read the partition owners; using the last known ones")
 	}
-	search.Owners(owners)
+	search.SetOwners(owners)
 }
 
 // askOwners asks several owners concurrently whether they hold a batch.
@@ -209,10 +209,10 @@
 	_ = g.Wait() // none of them returns an error
 	for i, address := range a.Addresses {
 		if errs[i] != nil {
-			search.Unreachable(address)
+			search.RecordUnreachable(address)
 			continue
 		}
-		search.Answered(address, a.Confirm, answers[i])
+		search.RecordAnswer(address, a.Confirm, answers[i])
 	}
 }
 
@@ -248,7 +248,7 @@
 		releases = append(releases, s.partitions[n].follower.Hold())
 	}
 	confirmed := s.Here().catchUp(ctx, list)
-	search.Followed(s.partitionForBatch(id) != nil, confirmed)
+	search.RecordFollow(s.partitionForBatch(id) != nil, confirmed)
 	return func() {
 		for _, release := range releases {
 			release()
--- a/internal/batchrun/orders.go
+++ b/internal/batchrun/orders.go
@@ -150,7 +150,7 @@
 
 // recordLoaded enters a completed load into the registry.
 func recordLoaded(view *fleet.View, l batch.Loaded) {
-	view.Upstreams(func(reg *registry.Registry, _ time.Duration) { reg.Loaded(l.Engine, l.Started, l.Model, l.Version) })
+	view.Upstreams(func(reg *registry.Registry, _ time.Duration) { reg.RecordLoad(l.Engine, l.Started, l.Model, l.Version) })
 }
 
 // claimAndLoad claims an engine, orders the load and waits for it. It returns what was
@@ -192,7 +192,7 @@
 	}
 	newer := false
 	x.options.View.Upstreams(func(reg *registry.Registry, _ time.Duration) {
-		newer = reg.Restarted(u.ID, report.Started, report.Versions)
+		newer = reg.RecordRestart(u.ID, report.Started, report.Versions)
 	})
 	x.options.Logger.Warn().Str("upstream", u.Incarnation()).Int64("reported_start", report.Started).Bool("newer", newer).
 		Msg("engine reported a different start time than the known one")
--- a/internal/batchrun/share_test.go
+++ b/internal/batchrun/share_test.go
@@ -38,7 +38,7 @@
 				case 2:
 					r.Remove(engineAt(i, 1).ID, now)
 				case 3:
-					r.Loaded(engineAt(i, 1).ID, 0, "m1", int64(random.IntN(5)))
+					r.RecordLoad(engineAt(i, 1).ID, 0, "m1", int64(random.IntN(5)))
 				case 4:
 					u := engineAt(i, 1)
 					u.Leaving = true
@@ -111,7 +111,7 @@
 		version := int64(1)
 		allocsPerCall[engines] = testing.AllocsPerRun(100, func() {
 			version++
-			view.Upstreams(func(r *registry.Registry, _ time.Duration) { r.Loaded("e17", 0, "m0", version) })
+			view.Upstreams(func(r *registry.Registry, _ time.Duration) { r.RecordLoad("e17", 0, "m0", version) })
 			s.enginesFor("engines", settings, demand, "m0")
 		})
 		g.Expect(allocsPerCall[engines]).To(BeNumerically("<", 100), "after a load on another engine, %d engines", engines)
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -122,7 +122,7 @@
 	first := x.text.eventCount() == x.startEvents
 	if first {
 		r.s.options.View.Upstreams(func(reg *registry.Registry, _ time.Duration) {
-			reg.Serves(x.upstream.ID, x.upstream.Started, x.model, e.Version)
+			reg.RecordServed(x.upstream.ID, x.upstream.Started, x.model, e.Version)
 		})
 	}
 	switch {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -136,7 +136,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.upstreams.Expire(v.now())
-	return v.upstreams.Of(service)
+	return v.upstreams.ByService(service)
 }
 
 // Members counts the changes of a service's upstreams but for those of their weights.
@@ -144,7 +144,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.upstreams.Expire(v.now())
-	return v.upstreams.Members(service)
+	return v.upstreams.MemberChanges(service)
 }
 
 // Sample returns so many of a service's upstreams that aren't leaving, see registry.Sample.
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -72,7 +72,7 @@
 
 // clearCrashes drops the crashes recorded for a request once an upstream that ran it has
 // responded: a request that crashes upstreams never gets a response.
-func (g *Gateway) clearCrashes(ctx context.Context, call *Call, response *Answer) {
+func (g *Gateway) clearCrashes(ctx context.Context, call *Call, response *Response) {
 	if response.NotRun || call.succeeded.Swap(true) {
 		return
 	}
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -31,14 +31,14 @@
 	killers int             // killer requests that reached an upstream
 }
 
-func (f *crashingUpstreams) Call(_ context.Context, u registry.Upstream, c *Call, _ bool) (*Answer, error) {
+func (f *crashingUpstreams) Call(_ context.Context, u registry.Upstream, c *Call, _ bool) (*Response, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down[u.ID] {
 		return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("connection refused")}
 	}
 	if string(c.Body) != "killer" {
-		return &Answer{Status: http.StatusOK, Load: -1}, nil
+		return &Response{Status: http.StatusOK, Load: -1}, nil
 	}
 	f.killers++
 	f.down[u.ID] = !f.resetOnly
@@ -78,7 +78,7 @@
 				f := &crashingUpstreams{resetOnly: resetOnly, down: map[string]bool{}}
 				gate := New(Options{View: view, Upstreams: f, Crashes: tracker, Suspects: health.NewSuspects(), DataCentre: "here", Now: now, Logger: zerolog.Nop()})
 				r := routes.Route{Kind: routes.Safe, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
-				do := func(body string) (*Answer, *Refusal) {
+				do := func(body string) (*Response, *Refusal) {
 					return gate.Do(ctx, r, &Call{ID: "c", Body: []byte(body), Deadline: time.Now().Add(time.Second)})
 				}
 				for range 5 {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -26,11 +26,11 @@
 // fakeUpstreams respond by the behaviour set for their ID and count the sends.
 type fakeUpstreams struct {
 	mu         sync.Mutex
-	behaviours map[string]func(ctx context.Context) (*Answer, error) // by ID
-	sends      map[string]int                                        // by ID
+	behaviours map[string]func(ctx context.Context) (*Response, error) // by ID
+	sends      map[string]int                                          // by ID
 }
 
-func (f *fakeUpstreams) Call(ctx context.Context, u registry.Upstream, _ *Call, _ bool) (*Answer, error) {
+func (f *fakeUpstreams) Call(ctx context.Context, u registry.Upstream, _ *Call, _ bool) (*Response, error) {
 	f.mu.Lock()
 	f.sends[u.ID]++
 	respond := f.behaviours[u.ID]
@@ -64,28 +64,30 @@
 }
 
 // behaviour is how an upstream responds to one send.
-type behaviour = func(ctx context.Context) (*Answer, error)
+type behaviour = func(ctx context.Context) (*Response, error)
 
 // ok responds with status 200 after a delay.
 func ok(delay time.Duration) behaviour {
-	return func(ctx context.Context) (*Answer, error) {
+	return func(ctx context.Context) (*Response, error) {
 		select {
 		case <-ctx.Done():
 			return nil, &exchange.Failure{Kind: exchange.Cancelled, Sent: true, Err: ctx.Err()}
 		case <-time.After(delay):
-			return &Answer{Status: 200, Load: 1}, nil
+			return &Response{Status: 200, Load: 1}, nil
 		}
 	}
 }
 
 // status responds with a status at once.
 func status(code int, notRun bool) behaviour {
-	return func(context.Context) (*Answer, error) { return &Answer{Status: code, NotRun: notRun, Load: -1}, nil }
+	return func(context.Context) (*Response, error) {
+		return &Response{Status: code, NotRun: notRun, Load: -1}, nil
+	}
 }
 
 // fails returns no response; sent tells whether the request may have left the gateway.
 func fails(kind exchange.Kind, sent bool) behaviour {
-	return func(context.Context) (*Answer, error) {
+	return func(context.Context) (*Response, error) {
 		return nil, &exchange.Failure{Kind: kind, Sent: sent, Err: errors.New("test")}
 	}
 }
@@ -264,9 +266,9 @@
 				response, refusal := gate.Do(context.Background(), route(routes.Safe, 2), call())
 				got := 0
 				if response != nil {
-					got = response.Failures
+					got = response.ServerErrors
 				} else {
-					got = refusal.Failures
+					got = refusal.ServerErrors
 				}
 				g.Expect(got).To(Equal(c.want))
 				synctest.Wait()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -24,16 +24,16 @@
 
 // Resume tells an upstream where a stream has to start.
 type Resume struct {
-	Resumable bool  // the route allows streams to be resumed
-	After     int   // ID of the last event that the caller has, 0: none
-	Version   int64 // model weight version that must produce the remaining events, 0: any
+	Resumable   bool  // the route allows streams to be resumed
+	LastEventID int   // ID of the last event that the caller has, 0: none
+	Version     int64 // model weight version that must produce the remaining events, 0: any
 }
 
 // Stream is an upstream's response to a call on a streaming route.
 type Stream struct {
-	Answer         // has its whole body if Events is nil
-	Version int64  // model weight version at the first event, 0: unknown
-	Events  Events // nil: the response is not a stream
+	Response        // has its whole body if Events is nil
+	Version  int64  // model weight version at the first event, 0: unknown
+	Events   Events // nil: the response is not a stream
 }
 
 // Events reads the events of a stream. It is not safe for concurrent use.
@@ -60,9 +60,9 @@
 // StreamResult is the result of a call on a streaming route. It is zero after a complete
 // stream; otherwise one field is set.
 type StreamResult struct {
-	Answer  *Answer  // the upstream's response, which is not a stream
-	Refusal *Refusal // nothing was sent to the caller
-	Err     error    // ErrStreamAborted
+	Response *Response // the upstream's response, which is not a stream
+	Refusal  *Refusal  // nothing was sent to the caller
+	Err      error     // ErrStreamAborted
 }
 
 // Stream sends a call and forwards the events to writer as they arrive. after is the ID of
@@ -133,7 +133,7 @@
 // or nil and the action to take.
 func (s *activeStream) send(ctx context.Context, u registry.Upstream) (*StreamResult, streamAction) {
 	startedAt := time.Now()
-	stream, err := s.g.upstreams.Open(ctx, u, s.call, Resume{Resumable: s.rule.Repeatable, After: s.lastEventID, Version: s.requiredVersion()})
+	stream, err := s.g.upstreams.Open(ctx, u, s.call, Resume{Resumable: s.rule.Repeatable, LastEventID: s.lastEventID, Version: s.requiredVersion()})
 	if err != nil {
 		s.g.recordSend(ctx, u, s.call, nil, err)
 		return nil, s.handleFailure(u, err)
@@ -142,17 +142,17 @@
 		if !stream.NotRun {
 			s.g.countRun(s.call, startedAt)
 		}
-		s.g.recordSend(ctx, u, s.call, &stream.Answer, nil)
-		return s.handleNonStream(u, &stream.Answer)
+		s.g.recordSend(ctx, u, s.call, &stream.Response, nil)
+		return s.handleNonStream(u, &stream.Response)
 	}
 	defer stream.Events.Close()
 	err = s.forwardEvents(stream)
 	if err == nil {
-		s.g.recordSend(ctx, u, s.call, &stream.Answer, nil)
+		s.g.recordSend(ctx, u, s.call, &stream.Response, nil)
 		return &StreamResult{}, tryNextUpstream
 	}
 	if errors.Is(err, errCallerGone) {
-		s.g.recordSend(ctx, u, s.call, &stream.Answer, nil)
+		s.g.recordSend(ctx, u, s.call, &stream.Response, nil)
 		return &StreamResult{Err: ErrStreamAborted}, abortStream
 	}
 	s.g.recordSend(ctx, u, s.call, nil, err)
@@ -170,11 +170,11 @@
 
 // handleNonStream processes a response that is not a stream. It returns the final result,
 // or nil and the action to take.
-func (s *activeStream) handleNonStream(u registry.Upstream, response *Answer) (*StreamResult, streamAction) {
+func (s *activeStream) handleNonStream(u registry.Upstream, response *Response) (*StreamResult, streamAction) {
 	s.g.log.Info().Str("request", s.call.ID).Str("upstream", u.Incarnation()).Int("status", response.Status).
 		Bool("not_run", response.NotRun).Int("after", s.lastEventID).Msg("upstream response is not a stream")
 	if !response.NotRun && !s.headerSent && (response.Status < 500 || s.rule.StopCause(s.sends) != retry.None) {
-		return &StreamResult{Answer: response}, tryNextUpstream
+		return &StreamResult{Response: response}, tryNextUpstream
 	}
 	return nil, s.actionAfterFailure(!response.NotRun)
 }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -54,7 +54,7 @@
 	firstEventDelay time.Duration
 }
 
-func (f *fakeStreams) Call(context.Context, registry.Upstream, *Call, bool) (*Answer, error) {
+func (f *fakeStreams) Call(context.Context, registry.Upstream, *Call, bool) (*Response, error) {
 	return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("only streams are supported")}
 }
 
@@ -67,11 +67,11 @@
 	case b.unreachable:
 		return nil, &exchange.Failure{Kind: exchange.Dial, Err: errors.New("test")}
 	case b.status != 0:
-		return &Stream{Answer: Answer{Status: b.status, NotRun: b.notRun, Load: -1}}, nil
+		return &Stream{Response: Response{Status: b.status, NotRun: b.notRun, Load: -1}}, nil
 	case r.Version != 0 && r.Version != b.version:
-		return &Stream{Answer: Answer{Status: http.StatusMisdirectedRequest, NotRun: true, Load: -1}}, nil
+		return &Stream{Response: Response{Status: http.StatusMisdirectedRequest, NotRun: true, Load: -1}}, nil
 	}
-	return &Stream{Answer: Answer{Status: 200, Load: -1}, Version: b.version, Events: &fakeEvents{f: f, ctx: ctx, behaviour: b, upstream: u.ID, last: r.After}}, nil
+	return &Stream{Response: Response{Status: 200, Load: -1}, Version: b.version, Events: &fakeEvents{f: f, ctx: ctx, behaviour: b, upstream: u.ID, last: r.LastEventID}}, nil
 }
 
 // fakeEvents is a stream that one upstream produces.
@@ -196,8 +196,8 @@
 		return "aborted"
 	case r.Refusal != nil:
 		return fmt.Sprint(r.Refusal.Status)
-	case r.Answer != nil:
-		return fmt.Sprint(r.Answer.Status)
+	case r.Response != nil:
+		return fmt.Sprint(r.Response.Status)
 	default:
 		return "whole"
 	}
@@ -211,7 +211,7 @@
 	result := gate.Stream(context.Background(), r, call(), 3, f)
 	g.Expect(outcomeOf(result)).To(Equal("whole"))
 	g.Expect(f.received).To(Equal([]string{"u0:4"}))
-	g.Expect(f.opened[0].After).To(Equal(3))
+	g.Expect(f.opened[0].LastEventID).To(Equal(3))
 }
 
 // Guards against upstreams that keep producing a stream whose caller disconnected: the first
--- a/internal/locate/search.go
+++ b/internal/locate/search.go
@@ -40,31 +40,31 @@
 }
 
 // Pause means: wait, then call Next again.
-type Pause struct{ For time.Duration }
+type Pause struct{ Duration time.Duration }
 
 // Follow means: read these partitions locally, and record the result.
-type Follow struct{ Parts []int }
+type Follow struct{ Partitions []int }
 
 // Found is a result: the daemon at Address holds the batch.
 type Found struct{ Address string }
 
-// FoundHere is a result: the batch is in a partition that this daemon reads.
-type FoundHere struct{}
+// FoundLocally is a result: the batch is in a partition that this daemon reads.
+type FoundLocally struct{}
 
-// Nowhere is a result: certainly no partition has the batch.
-type Nowhere struct{}
+// NotFound is a result: certainly no partition has the batch.
+type NotFound struct{}
 
 // Unsure is a result: whether a partition has the batch could not be determined.
 type Unsure struct{}
 
-func (ReadOwners) action() {}
-func (Ask) action()        {}
-func (Pause) action()      {}
-func (Follow) action()     {}
-func (Found) action()      {}
-func (FoundHere) action()  {}
-func (Nowhere) action()    {}
-func (Unsure) action()     {}
+func (ReadOwners) action()   {}
+func (Ask) action()          {}
+func (Pause) action()        {}
+func (Follow) action()       {}
+func (Found) action()        {}
+func (FoundLocally) action() {}
+func (NotFound) action()     {}
+func (Unsure) action()       {}
 
 // Answer is a daemon's reply to a query.
 type Answer struct {
@@ -112,7 +112,7 @@
 	case s.result != nil:
 		return s.result
 	case len(s.unconfirmed) == 0:
-		return Nowhere{}
+		return NotFound{}
 	case s.followed:
 		return Unsure{}
 	case s.owners == nil:
@@ -125,10 +125,10 @@
 		return Ask{Addresses: addresses, Confirm: true}
 	}
 	if now-s.startedAt >= OwnerTimeout {
-		return Follow{Parts: slices.Sorted(maps.Keys(s.unconfirmed))}
+		return Follow{Partitions: slices.Sorted(maps.Keys(s.unconfirmed))}
 	}
 	s.startRound()
-	return Pause{For: RoundPause}
+	return Pause{Duration: RoundPause}
 }
 
 // startRound makes the search read the owners again and query all of them.
@@ -149,14 +149,14 @@
 	return slices.Sorted(maps.Keys(set))
 }
 
-// Owners sets the owners' addresses by partition, as far as they are known.
-func (s *Search) Owners(byPartition map[int]string) {
+// SetOwners sets the owners' addresses by partition, as far as they are known.
+func (s *Search) SetOwners(byPartition map[int]string) {
 	s.owners = map[int]string{}
 	maps.Copy(s.owners, byPartition)
 }
 
-// Answered records a daemon's reply to Ask. confirm is Ask.Confirm.
-func (s *Search) Answered(address string, confirm bool, a Answer) {
+// RecordAnswer records a daemon's reply to Ask. confirm is Ask.Confirm.
+func (s *Search) RecordAnswer(address string, confirm bool, a Answer) {
 	if a.Found {
 		s.result = Found{Address: address}
 		return
@@ -168,15 +168,15 @@
 	}
 }
 
-// Unreachable records that a daemon did not reply to Ask.
-func (s *Search) Unreachable(address string) { s.stages[address] = unreachable }
+// RecordUnreachable records that a daemon did not reply to Ask.
+func (s *Search) RecordUnreachable(address string) { s.stages[address] = unreachable }
 
-// Followed records the result of reading partitions locally: whether the batch was found, and
+// RecordFollow records the result of reading partitions locally: whether the batch was found, and
 // which partitions certainly do not have it.
-func (s *Search) Followed(found bool, confirmed []int) {
+func (s *Search) RecordFollow(found bool, confirmed []int) {
 	s.followed = true
 	if found {
-		s.result = FoundHere{}
+		s.result = FoundLocally{}
 		return
 	}
 	s.markConfirmed(confirmed)
--- a/internal/locate/search_test.go
+++ b/internal/locate/search_test.go
@@ -26,10 +26,10 @@
 		case ReadOwners:
 			f.now += 4 * time.Millisecond
 			if f.storeDown {
-				s.Owners(nil)
+				s.SetOwners(nil)
 				continue
 			}
-			s.Owners(f.owners)
+			s.SetOwners(f.owners)
 		case Ask:
 			f.now += 2 * time.Millisecond
 			for _, address := range a.Addresses {
@@ -37,9 +37,9 @@
 				f.ask(s, address, a.Confirm)
 			}
 		case Pause:
-			f.now += a.For
+			f.now += a.Duration
 		case Follow:
-			f.follow(s, a.Parts)
+			f.follow(s, a.Partitions)
 		default:
 			return a
 		}
@@ -49,7 +49,7 @@
 
 func (f *fleet) ask(s *Search, address string, confirm bool) {
 	if f.dead[address] {
-		s.Unreachable(address)
+		s.RecordUnreachable(address)
 		return
 	}
 	answer := Answer{}
@@ -59,12 +59,12 @@
 			answer.Confirmed = append(answer.Confirmed, p)
 		}
 	}
-	s.Answered(address, confirm, answer)
+	s.RecordAnswer(address, confirm, answer)
 }
 
 func (f *fleet) follow(s *Search, partitions []int) {
 	if f.storeDown {
-		s.Followed(false, nil)
+		s.RecordFollow(false, nil)
 		return
 	}
 	found := false
@@ -76,7 +76,7 @@
 			confirmed = append(confirmed, p)
 		}
 	}
-	s.Followed(found, confirmed)
+	s.RecordFollow(found, confirmed)
 }
 
 // readAllLocally returns the result of reading every partition locally.
@@ -85,9 +85,9 @@
 	case f.storeDown:
 		return Unsure{}
 	case f.batchPartition >= 0:
-		return FoundHere{}
+		return FoundLocally{}
 	}
-	return Nowhere{}
+	return NotFound{}
 }
 
 // A call on a batch may reach any daemon, while owners are dead, cut off or being replaced.
@@ -120,7 +120,7 @@
 		case Found:
 			g.Expect(f.batchPartition).To(BeNumerically(">=", 0), "seed %d", seed)
 			g.Expect(f.loaded[got.Address]).To(ContainElement(f.batchPartition), "seed %d", seed)
-		case Nowhere:
+		case NotFound:
 			g.Expect(f.batchPartition).To(Equal(-1), "seed %d", seed)
 		case Unsure:
 			g.Expect(want).To(Equal(Unsure{}), "seed %d", seed)
@@ -140,7 +140,7 @@
 		want           Action
 	}{
 		{batchPartition: 1, queries: 2, want: Found{Address: "b"}},
-		{batchPartition: -1, queries: 4, want: Nowhere{}},
+		{batchPartition: -1, queries: 4, want: NotFound{}},
 	} {
 		g := NewWithT(t)
 		f := &fleet{owners: map[int]string{0: "a", 1: "b"}, loaded: map[string][]int{"a": {0}, "b": {1}}, batchPartition: c.batchPartition}
@@ -157,6 +157,6 @@
 	g := NewWithT(t)
 	f := &fleet{owners: map[int]string{0: "a"}, loaded: map[string][]int{"a": {0}}, batchPartition: 0, dead: map[string]bool{"a": true}}
 	s := New([]int{0}, nil, 0)
-	g.Expect(f.run(s)).To(Equal(FoundHere{}))
+	g.Expect(f.run(s)).To(Equal(FoundLocally{}))
 	g.Expect(f.now).To(And(BeNumerically(">=", OwnerTimeout), BeNumerically("<", OwnerTimeout+2*RoundPause)))
 }
--- a/internal/registry/members_test.go
+++ b/internal/registry/members_test.go
@@ -37,7 +37,7 @@
 		random := rand.New(rand.NewPCG(seed, 9))
 		r := New()
 		for step := range 200 {
-			before, changes := r.Sample("s0", 5), r.Members("s0")
+			before, changes := r.Sample("s0", 5), r.MemberChanges("s0")
 			u := Upstream{
 				ID: fmt.Sprint("u", random.IntN(15)), Service: fmt.Sprint("s", random.IntN(2)), Address: fmt.Sprint("a", random.IntN(12)),
 				Started: int64(1 + random.IntN(3)), Leaving: random.IntN(4) == 0, Models: map[string]int64{"m": int64(random.IntN(3))},
@@ -46,21 +46,21 @@
 			case 0:
 				r.Remove(u.ID, time.Duration(step))
 			case 1:
-				r.Loaded(u.ID, 0, "m", int64(step))
+				r.RecordLoad(u.ID, 0, "m", int64(step))
 			default:
 				r.Put(u)
 			}
 			for _, n := range []int{1, 5, 100} {
 				g.Expect(r.Sample("s0", n)).To(HaveExactElements(referenceSample(r, "s0", n)), "seed %d, step %d", seed, step)
 			}
-			if r.Members("s0") == changes {
+			if r.MemberChanges("s0") == changes {
 				g.Expect(len(r.Sample("s0", 5))).To(Equal(len(before)))
 				for i, x := range r.Sample("s0", 5) {
 					g.Expect(x.equalExceptModels(before[i])).To(BeTrue(), "seed %d, step %d", seed, step)
 				}
 			}
 			all := slices.DeleteFunc(r.All(), func(x Upstream) bool { return x.Service != "s1" })
-			g.Expect(r.Of("s1")).To(HaveLen(len(all)))
+			g.Expect(r.ByService("s1")).To(HaveLen(len(all)))
 		}
 	}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -149,10 +149,10 @@
 	return true
 }
 
-// Restarted records the start time (Unix ms) and the weight versions by model that an
+// RecordRestart records the start time (Unix ms) and the weight versions by model that an
 // upstream reports outside its entries. It reports whether the start is newer than the known
 // one; otherwise nothing changes.
-func (r *Registry) Restarted(id string, started int64, models map[string]int64) bool {
+func (r *Registry) RecordRestart(id string, started int64, models map[string]int64) bool {
 	u, ok := r.upstreams[id]
 	if !ok || started <= r.starts[id].startedMS {
 		return false
@@ -164,9 +164,9 @@
 	return true
 }
 
-// Loaded records that an incarnation has loaded a weight version, before its next entry says
+// RecordLoad records that an incarnation has loaded a weight version, before its next entry says
 // so. started is the start time of the incarnation in Unix ms, 0 for the newest.
-func (r *Registry) Loaded(id string, started int64, model string, version int64) {
+func (r *Registry) RecordLoad(id string, started int64, model string, version int64) {
 	u, ok := r.upstreams[id]
 	if !ok || started != 0 && started != u.Started || u.Models[model] >= version {
 		return
@@ -174,11 +174,11 @@
 	r.setVersion(u, model, version)
 }
 
-// Serves records the weight version with which an incarnation began its response to a
+// RecordServed records the weight version with which an incarnation began its response to a
 // request. Unlike an entry, a response is never older than the request. It may therefore also
 // lower the version: an upstream that restarted without reporting it lacks the weights that
 // it had loaded before.
-func (r *Registry) Serves(id string, started int64, model string, version int64) {
+func (r *Registry) RecordServed(id string, started int64, model string, version int64) {
 	u, ok := r.upstreams[id]
 	if !ok || started != u.Started || u.Models[model] == version {
 		return
@@ -245,8 +245,8 @@
 // StoreLost records that the store cannot be reached.
 func (r *Registry) StoreLost() { r.storeLost = true }
 
-// StoreBack records that the store can be reached again.
-func (r *Registry) StoreBack(now time.Duration) {
+// StoreRecovered records that the store can be reached again.
+func (r *Registry) StoreRecovered(now time.Duration) {
 	if !r.storeLost {
 		return
 	}
@@ -286,13 +286,13 @@
 	return u, ok
 }
 
-// Of returns the upstreams of a service sorted by ID, including those that are leaving. The
+// ByService returns the upstreams of a service sorted by ID, including those that are leaving. The
 // list may be shared with other callers and must not be modified.
-func (r *Registry) Of(service string) []Upstream { return r.membersOf(service).all() }
+func (r *Registry) ByService(service string) []Upstream { return r.membersOf(service).all() }
 
-// Members returns the number of changes of a service's upstreams so far, those of Models not
+// MemberChanges returns the number of changes of a service's upstreams so far, those of Models not
 // counted. While it is the same, so is the result of Sample except for Models.
-func (r *Registry) Members(service string) uint64 { return r.membersOf(service).changes }
+func (r *Registry) MemberChanges(service string) uint64 { return r.membersOf(service).changes }
 
 // Sample returns up to n of a service's upstreams that are not leaving, one for each address.
 // All daemons that know the same upstreams get the same ones, and a change of the upstreams
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -15,7 +15,7 @@
 // ids returns the IDs of the upstreams of service "s".
 func ids(r *Registry) []string {
 	var out []string
-	for _, u := range r.Of("s") {
+	for _, u := range r.ByService("s") {
 		out = append(out, u.ID)
 	}
 	return out
@@ -30,7 +30,7 @@
 	r.Put(upstream("u2", 1))
 	r.StoreLost()
 	r.Remove("u1", time.Second)
-	r.StoreBack(5 * time.Second)
+	r.StoreRecovered(5 * time.Second)
 	r.Remove("u2", 5*time.Second)
 	r.Expire(5*time.Second + RecoveryGrace/2)
 	g.Expect(ids(r)).To(Equal([]string{"u1", "u2"}))
@@ -47,12 +47,12 @@
 	g := NewWithT(t)
 	r := New()
 	r.Put(upstream("u1", 1))
-	r.Loaded("u1", 0, "m", 3)
+	r.RecordLoad("u1", 0, "m", 3)
 	r.Put(upstream("u1", 2))
 	u, ok := r.Get("u1")
 	g.Expect(ok).To(BeTrue())
 	g.Expect(u.Models).To(HaveKeyWithValue("m", int64(3)))
-	r.Loaded("nobody", 0, "m", 3)
+	r.RecordLoad("nobody", 0, "m", 3)
 	g.Expect(ids(r)).To(Equal([]string{"u1"}))
 }
 
@@ -82,18 +82,18 @@
 	after, _ := r.Get("u")
 	g.Expect(after.Models).To(HaveKeyWithValue("m", int64(1)))
 	g.Expect(after.Incarnation()).NotTo(Equal(before.Incarnation()))
-	r.Loaded("u", 100, "m", 9)
-	r.Serves("u", 100, "m", 9)
+	r.RecordLoad("u", 100, "m", 9)
+	r.RecordServed("u", 100, "m", 9)
 	g.Expect(r.Put(startedAt("u", 100, 9))).To(BeFalse())
-	g.Expect(r.Restarted("u", 150, map[string]int64{"m": 9})).To(BeFalse())
+	g.Expect(r.RecordRestart("u", 150, map[string]int64{"m": 9})).To(BeFalse())
 	now, _ := r.Get("u")
 	g.Expect(now).To(Equal(after), "data of an earlier start changes nothing")
-	r.Loaded("u", 0, "m", 2)
-	g.Expect(r.Restarted("u", 300, map[string]int64{"m": 1})).To(BeTrue())
+	r.RecordLoad("u", 0, "m", 2)
+	g.Expect(r.RecordRestart("u", 300, map[string]int64{"m": 1})).To(BeTrue())
 	now, _ = r.Get("u")
 	g.Expect(now.Started).To(Equal(int64(300)))
 	g.Expect(now.Models).To(HaveKeyWithValue("m", int64(1)))
-	g.Expect(r.Restarted("nobody", 300, nil)).To(BeFalse())
+	g.Expect(r.RecordRestart("nobody", 300, nil)).To(BeFalse())
 }
 
 // Guards against a late entry of an earlier start that arrives after the upstream's entry was
@@ -118,10 +118,10 @@
 	r := New()
 	r.Put(upstream("u", 3))
 	r.Put(upstream("u", 1))
-	r.Serves("u", 0, "m", 1)
+	r.RecordServed("u", 0, "m", 1)
 	u, _ := r.Get("u")
 	g.Expect(u.Models).To(HaveKeyWithValue("m", int64(1)))
-	r.Serves("nobody", 0, "m", 1)
+	r.RecordServed("nobody", 0, "m", 1)
 }
 
 func TestRejectDropsUpstreamDuringStoreOutage(t *testing.T) {
@@ -141,15 +141,15 @@
 	r := New()
 	r.Put(upstream("u1", 1))
 	r.Put(upstream("u2", 1))
-	before, list := r.Changes(), r.Of("s")
+	before, list := r.Changes(), r.ByService("s")
 	r.Put(upstream("u1", 1))
-	r.Loaded("u1", 0, "m", 1)
-	r.Serves("u1", 0, "m", 1)
+	r.RecordLoad("u1", 0, "m", 1)
+	r.RecordServed("u1", 0, "m", 1)
 	r.Remove("none", 0)
 	g.Expect(r.Changes()).To(Equal(before))
-	g.Expect(&r.Of("s")[0]).To(BeIdenticalTo(&list[0]), "the list is not sorted again")
+	g.Expect(&r.ByService("s")[0]).To(BeIdenticalTo(&list[0]), "the list is not sorted again")
 	for _, change := range []func(){
-		func() { r.Loaded("u1", 0, "m", 2) },
+		func() { r.RecordLoad("u1", 0, "m", 2) },
 		func() { r.Put(Upstream{ID: "u1", Service: "s", Address: "a-u1", Leaving: true}) },
 		func() { r.Remove("u2", 0) },
 		func() { r.Put(upstream("u3", 1)) },
