--- a/internal/app/daemon.go
+++ b/internal/app/daemon.go
@@ -102,7 +102,7 @@
 		changed := d.Config.Changed()
 		state := d.Config.Current()
 		if fleet, moved := d.Ownership.look(state); moved {
-			d.Dispatcher.SetFleet(fleet)
+			d.Dispatcher.SetDaemonView(fleet)
 			d.Dispatcher.Apply(state)
 		}
 		select {
--- a/internal/app/ownership.go
+++ b/internal/app/ownership.go
@@ -55,13 +55,13 @@
 
 // look takes the daemons and the configuration in. It says what dispatching needs
 // to know of the daemons, and whether anything changed.
-func (o *ownership) look(s *config.State) (dispatch.Fleet, bool) {
+func (o *ownership) look(s *config.State) (dispatch.DaemonView, bool) {
 	now := &outlook{config: s}
 	if p := o.peers.Load(); p != nil && p.Settled() {
 		now.met, now.fleet = true, p.Fleet()
 	}
 	if last := o.last.Load(); last != nil && last.same(now) {
-		return dispatch.Fleet{}, false
+		return dispatch.DaemonView{}, false
 	}
 	now.owned = now.ownedEngines()
 	o.last.Store(now)
@@ -96,17 +96,17 @@
 	return owned
 }
 
-func (o *outlook) forDispatch() dispatch.Fleet {
+func (o *outlook) forDispatch() dispatch.DaemonView {
 	if !o.met {
-		return dispatch.Fleet{}
+		return dispatch.DaemonView{}
 	}
-	f := dispatch.Fleet{
-		Daemons:   o.fleet.Of(o.fleet.DataCentre),
-		Elsewhere: map[ident.DataCentre]bool{},
-		Owned:     maps.Clone(o.owned),
+	f := dispatch.DaemonView{
+		LocalDaemons:     o.fleet.Of(o.fleet.DataCentre),
+		OtherDataCentres: map[ident.DataCentre]bool{},
+		OwnedEngines:     maps.Clone(o.owned),
 	}
 	for _, dc := range o.fleet.Centres {
-		f.Elsewhere[dc] = dc != o.fleet.DataCentre
+		f.OtherDataCentres[dc] = dc != o.fleet.DataCentre
 	}
 	return f
 }
--- a/internal/app/peer.go
+++ b/internal/app/peer.go
@@ -30,7 +30,7 @@
 		OnLeavingUpstream: func(u ident.Upstream) { disp.SetLeaving(u, leavingByList) },
 		Log:               log,
 	})
-	disp.SetPlacer(p)
+	disp.SetCopyPlacer(p)
 	o.bind(p)
 	return p
 }
--- a/internal/app/rollouts.go
+++ b/internal/app/rollouts.go
@@ -76,10 +76,10 @@
 		}
 		return nil
 	}
-	out, err := g.dispatcher.Generate(ctx, dispatch.Generate{
-		ID: r.ID, Team: r.Team, Model: r.Model, Class: dispatch.Rollout,
+	out, err := g.dispatcher.Generate(ctx, dispatch.GenerateRequest{
+		ID: r.ID, Team: r.Team, Model: r.Model, Class: dispatch.ClassRollout,
 		Prompt: r.Prompt, MaxTokens: r.MaxTokens, Seed: r.Seed, Deadline: r.Deadline,
-		ExpectedTokens: r.ExpectedTokens, MinVersion: r.MinVersion, Prefer: r.Prefer, Straggler: r.Straggler,
+		ExpectedTokens: r.ExpectedTokens, MinVersion: r.MinVersion, PreferVersion: r.Prefer, Straggler: r.Straggler,
 	}, onChunk)
 	if err != nil {
 		return rollouts.Generated{}, workError(err)
@@ -87,7 +87,7 @@
 	return generatedOf(out), nil
 }
 
-func generatedOf(g dispatch.Generated) rollouts.Generated {
+func generatedOf(g dispatch.Completion) rollouts.Generated {
 	out := rollouts.Generated{Text: g.Text}
 	for _, s := range g.Segments {
 		from := out.Tokens
@@ -113,11 +113,11 @@
 	}
 	failure := rollout.Failure{RetryAfter: e.RetryAfter, Reason: e.Reason.String()}
 	switch {
-	case e.Reason == dispatch.Poison:
+	case e.Reason == dispatch.ReasonPoison:
 		failure.Kind = rollout.Poison
 	case refusedForGood(err):
 		failure.Kind = rollout.Permanent
-	case e.Outcome == outcome.NotRun && e.Reason == dispatch.NoUpstream:
+	case e.Outcome == outcome.NotRun && e.Reason == dispatch.ReasonNoUpstream:
 		// The dispatcher can't know when an engine will do, and its RetryAfter is a
 		// guess for callers. A step probes at its own pace, which is faster.
 		failure.Kind, failure.RetryAfter = rollout.NotRun, 0
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -15,8 +15,8 @@
 
 // Dispatcher brings requests to upstreams.
 type Dispatcher interface {
-	Generate(context.Context, dispatch.Generate, func(upstream.Chunk) error) (dispatch.Generated, error)
-	Call(context.Context, dispatch.Call) (*upstream.ServiceResponse, error)
+	Generate(context.Context, dispatch.GenerateRequest, func(upstream.Chunk) error) (dispatch.Completion, error)
+	Call(context.Context, dispatch.CallRequest) (*upstream.ServiceResponse, error)
 }
 
 // Keyed runs a call at most once for an idempotency key.
--- a/internal/command/complete.go
+++ b/internal/command/complete.go
@@ -33,24 +33,24 @@
 
 // Complete generates a completion; onChunk sees each chunk once, in order.
 // The error is an *Error.
-func (c *Commands) Complete(ctx context.Context, r Completion, onChunk func(upstream.Chunk) error) (dispatch.Generated, error) {
+func (c *Commands) Complete(ctx context.Context, r Completion, onChunk func(upstream.Chunk) error) (dispatch.Completion, error) {
 	team, err := c.team(r.Team)
 	if err != nil {
-		return dispatch.Generated{}, err
+		return dispatch.Completion{}, err
 	}
 	model, ok := team.Models[r.Model]
 	if !ok {
-		return dispatch.Generated{}, refused(NotFound, "team %s has no model %q", r.Team, r.Model)
+		return dispatch.Completion{}, refused(NotFound, "team %s has no model %q", r.Team, r.Model)
 	}
 	limit := maxTokens(model)
 	if r.MaxTokens > limit {
-		return dispatch.Generated{}, refused(Invalid, "max_tokens is %d; model %q allows at most %d", r.MaxTokens, r.Model, limit)
+		return dispatch.Completion{}, refused(Invalid, "max_tokens is %d; model %q allows at most %d", r.MaxTokens, r.Model, limit)
 	}
 	if r.MaxTokens == 0 {
 		r.MaxTokens = limit
 	}
-	out, genErr := c.dispatcher.Generate(ctx, dispatch.Generate{
-		ID: r.ID, Team: r.Team, Model: r.Model, Class: dispatch.Production,
+	out, genErr := c.dispatcher.Generate(ctx, dispatch.GenerateRequest{
+		ID: r.ID, Team: r.Team, Model: r.Model, Class: dispatch.ClassProduction,
 		Prompt: r.Prompt, Chat: r.Chat, MaxTokens: r.MaxTokens, Seed: r.Seed,
 		Deadline: time.Now().Add(c.timeout),
 	}, onChunk)
--- a/internal/command/errors.go
+++ b/internal/command/errors.go
@@ -59,14 +59,14 @@
 }
 
 var dispatchKinds = map[dispatch.Reason]Kind{
-	dispatch.NoUpstream:     Unavailable,
-	dispatch.Overloaded:     Overloaded,
-	dispatch.QueueTimeout:   Overloaded,
-	dispatch.Poison:         Poisonous,
-	dispatch.UpstreamFailed: Failed,
-	dispatch.Draining:       Unavailable,
-	dispatch.Cancelled:      TimedOut,
-	dispatch.Deadline:       TimedOut,
+	dispatch.ReasonNoUpstream:     Unavailable,
+	dispatch.ReasonOverloaded:     Overloaded,
+	dispatch.ReasonQueueTimeout:   Overloaded,
+	dispatch.ReasonPoison:         Poisonous,
+	dispatch.ReasonUpstreamFailed: Failed,
+	dispatch.ReasonDraining:       Unavailable,
+	dispatch.ReasonCancelled:      TimedOut,
+	dispatch.ReasonDeadline:       TimedOut,
 }
 
 // turn makes an Error of what a layer below returned.
--- a/internal/command/service.go
+++ b/internal/command/service.go
@@ -63,13 +63,13 @@
 	return ServiceAnswer{ServiceResponse: res, Replayed: replayed}, turn(err)
 }
 
-func dispatchCall(ctx context.Context, r ServiceCall, route config.Route) dispatch.Call {
+func dispatchCall(ctx context.Context, r ServiceCall, route config.Route) dispatch.CallRequest {
 	deadline, _ := ctx.Deadline()
 	path := r.Path
 	if r.Query != "" {
 		path += "?" + r.Query
 	}
-	return dispatch.Call{
+	return dispatch.CallRequest{
 		ID: r.ID, Team: r.Team, Group: route.Group, Method: r.Method, Path: path,
 		Header: r.Header, Body: r.Body, Idempotent: route.Idempotent, Deadline: deadline,
 	}
--- a/internal/dispatch/api.go
+++ b/internal/dispatch/api.go
@@ -33,20 +33,20 @@
 
 // The classes, the most urgent first.
 const (
-	Production Class = iota
-	Rollout
+	ClassProduction Class = iota
+	ClassRollout
 )
 
 // String returns the class's name for logs and metrics.
 func (c Class) String() string {
-	if c == Rollout {
+	if c == ClassRollout {
 		return "rollout"
 	}
 	return "production"
 }
 
-// Generate is a request for one completion of a model.
-type Generate struct {
+// GenerateRequest is a request for one completion of a model.
+type GenerateRequest struct {
 	ID             ident.RequestID
 	Team           ident.Team
 	Model          ident.Model
@@ -59,9 +59,9 @@
 	ExpectedTokens int       // expected length of the answer; 0: unknown
 	// MinVersion is the oldest weight version allowed; 0 allows any.
 	MinVersion ident.Version
-	// Prefer is a weight version: engines that serve it or a newer one are chosen while
+	// PreferVersion is a weight version: engines that serve it or a newer one are chosen while
 	// they have room, and any that MinVersion allows otherwise. 0 means no preference.
-	Prefer ident.Version
+	PreferVersion ident.Version
 	// Straggler marks one of a step's last samples, which may be hedged.
 	Straggler bool
 }
@@ -72,17 +72,17 @@
 	Tokens  int
 }
 
-// Generated is a complete answer. Segments are in the order of the text, and adjacent
+// Completion is a complete answer. Segments are in the order of the text, and adjacent
 // segments have different versions.
-type Generated struct {
+type Completion struct {
 	Text         string
 	Segments     []Segment
 	FinishReason string
 	Upstreams    []ident.Upstream // those that generated a part of the text, in its order
 }
 
-// Call is a request to a service of a group.
-type Call struct {
+// CallRequest is a request to a service of a group.
+type CallRequest struct {
 	ID         ident.RequestID
 	Team       ident.Team
 	Group      string
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -14,7 +14,7 @@
 // Call sends one call to a service of a group and returns its answer, whatever the
 // status. A call that isn't idempotent is sent again only if it is certain that the
 // upstream didn't run it. Errors are *Error.
-func (d *Dispatcher) Call(ctx context.Context, call Call) (*upstream.ServiceResponse, error) {
+func (d *Dispatcher) Call(ctx context.Context, call CallRequest) (*upstream.ServiceResponse, error) {
 	fp := poison.FingerprintOf("call", string(call.Team), call.Group, call.Method, call.Path, string(call.Body))
 	request := upstream.ServiceRequest{
 		ID:         call.ID,
@@ -74,7 +74,7 @@
 		id:          id,
 		team:        team,
 		group:       group,
-		class:       Rollout,
+		class:       ClassRollout,
 		fingerprint: poison.FingerprintOf("score", string(team), group, prompt, completion),
 		idempotent:  true,
 		deadline:    deadline,
--- a/internal/dispatch/collector.go
+++ b/internal/dispatch/collector.go
@@ -107,8 +107,8 @@
 	c.upstreams, c.pending, c.chunks = nil, nil, nil
 }
 
-func (c *collector) result() Generated {
-	return Generated{
+func (c *collector) result() Completion {
+	return Completion{
 		Text:         c.text.String(),
 		Segments:     c.segments,
 		FinishReason: c.finishReason,
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -13,10 +13,10 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routing"
 )
 
-// Placer asks the daemon that owns a request's fingerprint on which upstream a copy of the
+// CopyPlacer asks the daemon that owns a request's fingerprint on which upstream a copy of the
 // request shall run. An error means that no answer came in time.
-type Placer interface {
-	Place(ctx context.Context, c poison.Copy) (ident.Upstream, error)
+type CopyPlacer interface {
+	PlaceCopy(ctx context.Context, c poison.Copy) (ident.Upstream, error)
 }
 
 const (
@@ -34,7 +34,7 @@
 // can report it. See poison.Places.
 type copyPlacement struct {
 	mu               sync.Mutex
-	placer           Placer // nil: this daemon places all copies itself
+	placer           CopyPlacer // nil: this daemon places all copies itself
 	places           *poison.Placements
 	answeredRecently *poison.AnsweredRequests
 	lastSender       uint64 // the last number given to a run
@@ -44,9 +44,9 @@
 	return copyPlacement{places: poison.NewPlacements(), answeredRecently: poison.NewAnsweredRequests()}
 }
 
-// SetPlacer sets how other daemons are asked. It isn't one of the Options, since p is built on
+// SetCopyPlacer sets how other daemons are asked. It isn't one of the Options, since p is built on
 // top of the Dispatcher.
-func (d *Dispatcher) SetPlacer(p Placer) {
+func (d *Dispatcher) SetCopyPlacer(p CopyPlacer) {
 	d.copies.mu.Lock()
 	defer d.copies.mu.Unlock()
 	d.copies.placer = p
@@ -124,7 +124,7 @@
 	if placer == nil {
 		return r.dispatcher.PlaceHere(c), true
 	}
-	assigned, err := placer.Place(ctx, c)
+	assigned, err := placer.PlaceCopy(ctx, c)
 	return assigned, err == nil
 }
 
--- a/internal/dispatch/copies_test.go
+++ b/internal/dispatch/copies_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, from := range all {
 		go gossipFunc(ctx, from, all)
-		from.SetPlacer(&fakePlacer{owner: all[0], answers: true})
+		from.SetCopyPlacer(&fakePlacer{owner: all[0], answers: true})
 	}
 	time.Sleep(time.Second)
 	return all
@@ -57,7 +57,7 @@
 	placeTimeout = 50 * time.Millisecond
 )
 
-func (p *fakePlacer) Place(ctx context.Context, c poison.Copy) (ident.Upstream, error) {
+func (p *fakePlacer) PlaceCopy(ctx context.Context, c poison.Copy) (ident.Upstream, error) {
 	if p.skipped {
 		return "", errors.New("the daemon isn't asked")
 	}
@@ -108,7 +108,7 @@
 			reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
 		}
 		for _, err := range sendKillers(all, 0) {
-			g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 		}
 		g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 	}))
@@ -123,10 +123,10 @@
 			all := w.startDaemons(ctx, 3)
 			for i, d := range all {
 				reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
-				d.SetPlacer(&fakePlacer{owner: all[0], answers: !unanswered[i]})
+				d.SetCopyPlacer(&fakePlacer{owner: all[0], answers: !unanswered[i]})
 			}
 			for _, err := range sendKillers(all, 0) {
-				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+				g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
@@ -145,7 +145,7 @@
 				reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
 			}
 			for _, err := range sendKillers(all, delay) {
-				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+				g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
@@ -162,10 +162,10 @@
 			w.killAtToken = 0
 			all := w.startDaemonsWith(ctx, 5, gossipSlowly)
 			for _, d := range all {
-				d.SetPlacer(&fakePlacer{skipped: true})
+				d.SetCopyPlacer(&fakePlacer{skipped: true})
 			}
 			for _, err := range sendKillers(all, delay) {
-				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+				g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
@@ -181,7 +181,7 @@
 			w.answerTokens, w.killAtToken = 800, 500
 			all := w.startDaemons(ctx, 3)
 			for _, err := range sendKillers(all, delay) {
-				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+				g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 			}
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
@@ -232,7 +232,7 @@
 			var faults errorList
 			for i, d := range all {
 				if round > 0 {
-					d.SetPlacer(&fakePlacer{answers: false})
+					d.SetCopyPlacer(&fakePlacer{answers: false})
 				}
 				reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", i)))
 				group.Go(func() {
@@ -292,12 +292,12 @@
 	var errs errorList
 	for i, d := range all {
 		reportOthersBusy(d, w, ident.Upstream(fmt.Sprint("e", random.IntN(6))))
-		d.SetPlacer(&fakePlacer{owner: all[0], answers: random.IntN(4) > 0, skipped: random.IntN(6) == 0})
+		d.SetCopyPlacer(&fakePlacer{owner: all[0], answers: random.IntN(4) > 0, skipped: random.IntN(6) == 0})
 		for range 1 + random.IntN(3) {
 			after := time.Duration(random.Int64N(int64(within)))
 			group.Go(func() {
 				time.Sleep(after)
-				if _, _, err := generate(d, killerPrompt); dispatchError(err).Reason != Poison {
+				if _, _, err := generate(d, killerPrompt); dispatchError(err).Reason != ReasonPoison {
 					errs.add(fmt.Errorf("killer: %w", err))
 				}
 			})
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -25,7 +25,7 @@
 	shards  map[string]*shard
 	models  map[modelKey]string // group that serves the model
 	teams   map[ident.Team]config.Limits
-	daemons Fleet
+	daemons DaemonView
 
 	poisonMu     sync.Mutex
 	suspectMarks *poison.Tracker
@@ -134,10 +134,10 @@
 // drains, or whose group isn't configured (s is nil).
 func (d *Dispatcher) checkAccepting(s *shard) *Error {
 	if d.draining.Load() {
-		return &Error{Outcome: outcome.NotRun, Reason: Draining, RetryAfter: retryAfterDraining}
+		return &Error{Outcome: outcome.NotRun, Reason: ReasonDraining, RetryAfter: retryAfterDraining}
 	}
 	if s == nil {
-		return &Error{Outcome: outcome.NotRun, Reason: NoUpstream, RetryAfter: retryAfterNoUpstream}
+		return &Error{Outcome: outcome.NotRun, Reason: ReasonNoUpstream, RetryAfter: retryAfterNoUpstream}
 	}
 	return nil
 }
--- a/internal/dispatch/errors.go
+++ b/internal/dispatch/errors.go
@@ -12,25 +12,25 @@
 
 // The reasons, named after their cause.
 const (
-	UpstreamFailed Reason = iota
-	NoUpstream
-	Overloaded
-	QueueTimeout
-	Poison
-	Draining
-	Cancelled
-	Deadline
+	ReasonUpstreamFailed Reason = iota
+	ReasonNoUpstream
+	ReasonOverloaded
+	ReasonQueueTimeout
+	ReasonPoison
+	ReasonDraining
+	ReasonCancelled
+	ReasonDeadline
 )
 
 var reasonNames = [...]string{
-	UpstreamFailed: "upstream failed",
-	NoUpstream:     "no upstream",
-	Overloaded:     "overloaded",
-	QueueTimeout:   "queue timeout",
-	Poison:         "poison",
-	Draining:       "draining",
-	Cancelled:      "cancelled",
-	Deadline:       "deadline",
+	ReasonUpstreamFailed: "upstream failed",
+	ReasonNoUpstream:     "no upstream",
+	ReasonOverloaded:     "overloaded",
+	ReasonQueueTimeout:   "queue timeout",
+	ReasonPoison:         "poison",
+	ReasonDraining:       "draining",
+	ReasonCancelled:      "cancelled",
+	ReasonDeadline:       "deadline",
 }
 
 // String returns the reason's name in lower case.
--- a/internal/dispatch/failure_test.go
+++ b/internal/dispatch/failure_test.go
@@ -68,7 +68,7 @@
 		time.AfterFunc(300*time.Millisecond, func() { w.setExtraTokenTime(0, true) })
 		seen := ""
 		began := time.Now()
-		request := Generate{ID: "s", Team: "t", Model: "m", Class: Rollout, Prompt: "long", Straggler: true}
+		request := GenerateRequest{ID: "s", Team: "t", Model: "m", Class: ClassRollout, Prompt: "long", Straggler: true}
 		answer, err := d.Generate(context.Background(), request, func(ch upstream.Chunk) error {
 			seen += ch.Text
 			return nil
@@ -82,7 +82,7 @@
 })
 
 var _ = Describe("a call that isn't idempotent", func() {
-	call := Call{ID: "c", Team: "t", Group: "g", Method: "POST", Path: "/", Body: []byte("once")}
+	call := CallRequest{ID: "c", Team: "t", Group: "g", Method: "POST", Path: "/", Body: []byte("once")}
 
 	// The connection breaks after the first byte, so it is unknown whether the call ran. It
 	// must not be sent again, and the outcome must be "unknown".
@@ -165,7 +165,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		for _, err := range killerErrs {
-			g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 			g.Expect(dispatchError(err).RetryAfter).To(BeNumerically(">", 0))
 		}
 	}
@@ -205,7 +205,7 @@
 		}
 		group.Wait()
 		for _, err := range errs {
-			g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 		}
 		g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 	}))
@@ -230,7 +230,7 @@
 		time.Sleep(500*time.Millisecond + 5*tokenTime) // other answers are being generated
 		_, _, err := generate(d, killerPrompt)
 		group.Wait()
-		g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+		g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 		g.Expect(w.runningAtStart[killerPrompt]).To(HaveLen(2))
 		g.Expect(w.runningAtStart[killerPrompt][0]).To(BeNumerically(">", 0))
 		g.Expect(w.runningAtStart[killerPrompt][1]).To(Equal(0))
@@ -254,7 +254,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		peer := w.startDaemon(ctx, "vm2", PolicyFull)
-		var first Generated
+		var first Completion
 		var err error
 		var group sync.WaitGroup
 		group.Go(func() { first, _, err = generate(d, "first") })
@@ -297,7 +297,7 @@
 	// another upstream after a quarter of its time. Any other call waits until its deadline,
 	// since it is unknown whether it ran.
 	call := func(d *Dispatcher, body string, idempotent bool) error {
-		_, err := d.Call(context.Background(), Call{
+		_, err := d.Call(context.Background(), CallRequest{
 			ID: ident.RequestID(body), Team: "t", Group: "g", Method: "POST", Path: "/", Body: []byte(body),
 			Idempotent: idempotent, Deadline: time.Now().Add(20 * time.Second),
 		})
@@ -329,7 +329,7 @@
 		time.Sleep(3 * tokenTime)
 		d.Drain()
 		_, _, late := generate(d, "late")
-		g.Expect(dispatchError(late).Reason).To(Equal(Draining))
+		g.Expect(dispatchError(late).Reason).To(Equal(ReasonDraining))
 		g.Expect(dispatchError(late).Outcome).To(Equal(outcome.NotRun))
 		g.Expect(w.startCount("late")).To(Equal(0))
 		group.Wait()
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -137,7 +137,7 @@
 	defer s.mu.Unlock()
 	now := s.dispatcher.options.Now()
 	if s.closed || !s.anyEligible() {
-		w.refuse(&Error{Outcome: outcome.NotRun, Reason: NoUpstream, RetryAfter: retryAfterNoUpstream})
+		w.refuse(&Error{Outcome: outcome.NotRun, Reason: ReasonNoUpstream, RetryAfter: retryAfterNoUpstream})
 		return 0
 	}
 	s.admission.lastTicket++
@@ -176,7 +176,7 @@
 		return
 	}
 	requestsRefused.Add(1)
-	w.refuse(&Error{Outcome: outcome.NotRun, Reason: Overloaded, RetryAfter: retryAfterNoUpstream})
+	w.refuse(&Error{Outcome: outcome.NotRun, Reason: ReasonOverloaded, RetryAfter: retryAfterNoUpstream})
 }
 
 func (s *shard) queueEntry(ticket limits.Ticket, w *waiter) limits.Entry {
@@ -192,9 +192,9 @@
 }
 
 func refusalError(d limits.Decision) *Error {
-	reason := Overloaded
+	reason := ReasonOverloaded
 	if d.Refused == limits.RefuseDeadline {
-		reason = QueueTimeout
+		reason = ReasonQueueTimeout
 	}
 	return &Error{Outcome: outcome.NotRun, Reason: reason, RetryAfter: d.RetryAfter}
 }
@@ -250,7 +250,7 @@
 		w := s.admission.waiting[e.Ticket]
 		delete(s.admission.waiting, e.Ticket)
 		requestsRefused.Add(1)
-		w.refuse(&Error{Outcome: outcome.NotRun, Reason: QueueTimeout, RetryAfter: e.RetryAfter})
+		w.refuse(&Error{Outcome: outcome.NotRun, Reason: ReasonQueueTimeout, RetryAfter: e.RetryAfter})
 	}
 	for _, ticket := range starts {
 		w := s.admission.waiting[ticket]
@@ -271,7 +271,7 @@
 	for ticket, w := range s.admission.waiting {
 		delete(s.admission.waiting, ticket)
 		s.admission.queue.Cancel(ticket, now)
-		w.refuse(&Error{Outcome: outcome.NotRun, Reason: NoUpstream, RetryAfter: retryAfterNoUpstream})
+		w.refuse(&Error{Outcome: outcome.NotRun, Reason: ReasonNoUpstream, RetryAfter: retryAfterNoUpstream})
 	}
 }
 
@@ -282,7 +282,7 @@
 		if s.admission.queue != nil {
 			s.admission.queue.Cancel(ticket, now)
 		}
-		w.refuse(&Error{Outcome: outcome.NotRun, Reason: NoUpstream, RetryAfter: retryAfterNoUpstream})
+		w.refuse(&Error{Outcome: outcome.NotRun, Reason: ReasonNoUpstream, RetryAfter: retryAfterNoUpstream})
 		return
 	}
 	w.slot = s.bookSlot(m, w.fingerprint, now)
@@ -332,9 +332,9 @@
 }
 
 func contextError(ctx context.Context, o outcome.Outcome) *Error {
-	reason := Cancelled
+	reason := ReasonCancelled
 	if ctx.Err() == context.DeadlineExceeded {
-		reason = Deadline
+		reason = ReasonDeadline
 	}
 	return &Error{Outcome: o, Reason: reason, RetryAfter: retryAfterNoUpstream, Err: ctx.Err()}
 }
--- a/internal/dispatch/generate.go
+++ b/internal/dispatch/generate.go
@@ -21,10 +21,10 @@
 // after the tokens already received. onChunk, which may be nil, is called for each chunk
 // once, in order, by one goroutine at a time; if it returns an error, the request ends.
 // Errors are *Error.
-func (d *Dispatcher) Generate(ctx context.Context, request Generate, onChunk func(upstream.Chunk) error) (Generated, error) {
+func (d *Dispatcher) Generate(ctx context.Context, request GenerateRequest, onChunk func(upstream.Chunk) error) (Completion, error) {
 	s := d.shardOfModel(request.Team, request.Model)
 	if err := d.checkAccepting(s); err != nil {
-		return Generated{}, err
+		return Completion{}, err
 	}
 	ctx, cancel := withDeadline(ctx, request.Deadline)
 	defer cancel()
@@ -33,7 +33,7 @@
 	}
 	g := newGeneration(d, s, request, &collector{emit: onChunk})
 	if err := g.complete(ctx); err != nil {
-		return Generated{}, err
+		return Completion{}, err
 	}
 	return g.collected.result(), nil
 }
@@ -48,7 +48,7 @@
 // generation is one run of a completion. A hedged request has two.
 type generation struct {
 	requestRun
-	request Generate
+	request GenerateRequest
 	mu      sync.Mutex // guards collected and triedUpstreams: a hedge may copy them
 	// collected is the answer so far.
 	collected       *collector
@@ -56,7 +56,7 @@
 	inheritedTokens int // tokens that a hedge copied from the first run
 }
 
-func newGeneration(d *Dispatcher, s *shard, request Generate, collected *collector) *generation {
+func newGeneration(d *Dispatcher, s *shard, request GenerateRequest, collected *collector) *generation {
 	g := &generation{request: request, collected: collected}
 	g.requestRun = requestRun{
 		dispatcher:  d,
@@ -72,7 +72,7 @@
 }
 
 // newPlacementRequest derives what admission and routing need to know of a request.
-func newPlacementRequest(d *Dispatcher, s *shard, request Generate) placementRequest {
+func newPlacementRequest(d *Dispatcher, s *shard, request GenerateRequest) placementRequest {
 	tokens := request.ExpectedTokens
 	if tokens <= 0 {
 		tokens = request.MaxTokens
@@ -83,7 +83,7 @@
 		stepDeadline:  request.Deadline,
 		prioritized:   request.Straggler,
 		cost:          float64(tokens),
-		preferVersion: request.Prefer,
+		preferVersion: request.PreferVersion,
 		route: routing.Request{
 			Class:          routingClass(request.Class),
 			Prefix:         prefixHash(request),
@@ -105,7 +105,7 @@
 func (d *Dispatcher) latestStart(deadline time.Time, expected time.Duration, class Class) time.Time {
 	now := d.options.Now()
 	if deadline.IsZero() {
-		if class == Rollout {
+		if class == ClassRollout {
 			return time.Time{}
 		}
 		return now.Add(d.options.QueueTimeout)
@@ -120,7 +120,7 @@
 
 // prefixHash hashes the beginning of the prompt, so that requests with the same beginning can
 // be sent to an engine that has it in its prefix cache.
-func prefixHash(request Generate) uint64 {
+func prefixHash(request GenerateRequest) uint64 {
 	prompt := request.Prompt
 	if len(request.Chat) > 0 {
 		prompt = request.Chat[0].Content
@@ -132,7 +132,7 @@
 }
 
 // requestFingerprint covers everything that determines an engine's work.
-func requestFingerprint(request Generate) poison.Fingerprint {
+func requestFingerprint(request GenerateRequest) poison.Fingerprint {
 	parts := []string{"generate", string(request.Team), string(request.Model), request.Prompt}
 	for _, m := range request.Chat {
 		parts = append(parts, m.Role, m.Content)
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -14,7 +14,7 @@
 // generateHedged runs a straggler. If it takes too long, a hedge resumes its answer on
 // another engine. The first run to complete wins, and the other one is cancelled. Chunks
 // are passed on only when the winner is known.
-func (d *Dispatcher) generateHedged(ctx context.Context, s *shard, request Generate, onChunk func(upstream.Chunk) error) (Generated, error) {
+func (d *Dispatcher) generateHedged(ctx context.Context, s *shard, request GenerateRequest, onChunk func(upstream.Chunk) error) (Completion, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // stops the run that lost
 	original := newGeneration(d, s, request, &collector{keepChunks: true})
@@ -23,7 +23,7 @@
 
 	winner, err := d.race(ctx, original, results)
 	if err != nil {
-		return Generated{}, err
+		return Completion{}, err
 	}
 	return winner.collected.result(), replayChunks(winner.collected.chunks, onChunk)
 }
@@ -123,7 +123,7 @@
 	}
 	for _, chunk := range chunks {
 		if err := onChunk(chunk); err != nil {
-			return &Error{Reason: Cancelled, Err: err}
+			return &Error{Reason: ReasonCancelled, Err: err}
 		}
 	}
 	return nil
--- a/internal/dispatch/park.go
+++ b/internal/dispatch/park.go
@@ -114,7 +114,7 @@
 		}
 		delete(s.admission.waiting, w.ticket)
 		requestsRefused.Add(1)
-		w.refuse(&Error{Outcome: outcome.NotRun, Reason: QueueTimeout, RetryAfter: retryAfterNoUpstream})
+		w.refuse(&Error{Outcome: outcome.NotRun, Reason: ReasonQueueTimeout, RetryAfter: retryAfterNoUpstream})
 		return true
 	})
 }
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -37,7 +37,7 @@
 	// there, and all slots must be released.
 	It("interrupts no request and releases all slots", withDaemon(3, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		var group sync.WaitGroup
-		answers := make([]Generated, 9)
+		answers := make([]Completion, 9)
 		for i := range answers {
 			group.Go(func() { answers[i], _, _ = generate(d, fmt.Sprint("r", i)) })
 		}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -130,7 +130,7 @@
 }
 
 func routingClass(c Class) routing.Class {
-	if c == Rollout {
+	if c == ClassRollout {
 		return routing.ClassRollout
 	}
 	return routing.ClassProduction
--- a/internal/dispatch/probation_test.go
+++ b/internal/dispatch/probation_test.go
@@ -61,7 +61,7 @@
 }
 
 func promptFingerprint(prompt string) poison.Fingerprint {
-	return requestFingerprint(Generate{Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerTokens})
+	return requestFingerprint(GenerateRequest{Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerTokens})
 }
 
 // gossipDelayed is gossip between two daemons whose digests take digestDelay to arrive.
@@ -83,12 +83,12 @@
 			w.answerTokens, w.killAtToken = 60, at
 			harmlessErrs, killerErr := sendKillerAmongHarmless(w, d)
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2), "engines killed")
-			g.Expect(dispatchError(killerErr).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(killerErr).Reason).To(Equal(ReasonPoison))
 			for _, err := range harmlessErrs {
 				g.Expect(err).NotTo(HaveOccurred())
 			}
 			_, _, again := generate(d, killerPrompt)
-			g.Expect(dispatchError(again).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(again).Reason).To(Equal(ReasonPoison))
 			g.Expect(w.deaths()).To(BeNumerically("<=", 2))
 		}))
 	}
@@ -169,7 +169,7 @@
 		for _, at := range all {
 			group.Go(func() {
 				_, _, err := generate(at, prompt)
-				g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+				g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 			})
 		}
 		group.Wait()
@@ -207,7 +207,7 @@
 		group.Wait()
 		g.Expect(w.deaths()).To(Equal(1))
 		_, _, err := generate(all[0], prompt)
-		g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+		g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 	}))
 })
 
@@ -218,7 +218,7 @@
 	// merely been running on an engine when that crashed.
 	It("waits for the end of the trial", withDaemon(2, PolicyFull, func(g Gomega, w *world, d *Dispatcher) {
 		g.Expect(d.options.Self).To(BeEquivalentTo("vm1"))
-		request := Generate{ID: "s", Team: "t", Model: "m", Class: Rollout, Prompt: "long", MaxTokens: answerTokens}
+		request := GenerateRequest{ID: "s", Team: "t", Model: "m", Class: ClassRollout, Prompt: "long", MaxTokens: answerTokens}
 		fp := requestFingerprint(request)
 		d.recordDeath(fp, poison.Death{Upstream: "e9", BootID: "a"})
 		until := time.Now().Add(2 * time.Second)
@@ -258,7 +258,7 @@
 			group.Go(func() { _, _, killerErr = generate(all[killerAt], variant) })
 			group.Go(func() { _, seen, harmlessErr = generate(all[1-killerAt], harmlessPrompt) })
 			group.Wait()
-			g.Expect(dispatchError(killerErr).Reason).To(Equal(Poison))
+			g.Expect(dispatchError(killerErr).Reason).To(Equal(ReasonPoison))
 			g.Expect(harmlessErr).NotTo(HaveOccurred())
 			g.Expect(seen).To(Equal(fullAnswer()))
 			g.Expect(w.deaths()).To(Equal(1))
@@ -276,7 +276,7 @@
 		d.recordDeath(promptFingerprint(killerPrompt), poison.Death{Upstream: "e0", BootID: "1"})
 		time.Sleep(restartTime + time.Millisecond)
 		_, _, err := generate(d, killerPrompt)
-		g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+		g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 		g.Expect(w.deaths()).To(Equal(2))
 	}))
 })
@@ -323,7 +323,7 @@
 		time.Sleep(time.Second)
 		_, _, err := generate(d, killerPrompt)
 		group.Wait()
-		g.Expect(dispatchError(err).Reason).To(Equal(Poison))
+		g.Expect(dispatchError(err).Reason).To(Equal(ReasonPoison))
 		g.Expect(w.runningAtStart[killerPrompt]).To(HaveLen(2))
 		g.Expect(w.runningAtStart[killerPrompt][1]).To(Equal(0))
 	}))
@@ -351,7 +351,7 @@
 		r := &requestRun{dispatcher: d, shard: s, fingerprint: 7}
 		began := time.Now()
 		_, err := r.acquireSlot(ctx)
-		g.Expect(err.Reason).To(Equal(Poison))
+		g.Expect(err.Reason).To(Equal(ReasonPoison))
 		g.Expect(time.Since(began)).To(BeNumerically("<", time.Second+2*tickInterval))
 	}))
 })
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -152,7 +152,7 @@
 		}
 		if now.Sub(lastEligibleAt) >= r.dispatcher.options.NoUpstreamWait {
 			s.removeWakeWaiter()
-			return nil, false, &Error{Outcome: r.outcome(), Reason: NoUpstream, RetryAfter: retryAfterNoUpstream}
+			return nil, false, &Error{Outcome: r.outcome(), Reason: ReasonNoUpstream, RetryAfter: retryAfterNoUpstream}
 		}
 		waitUpTo(ctx, wake, tickInterval)
 		s.removeWakeWaiter()
--- a/internal/dispatch/recheck.go
+++ b/internal/dispatch/recheck.go
@@ -6,10 +6,10 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Recheck requests an upstream's load report at the next tick. It is called after an order
+// PollNow requests an upstream's load report at the next tick. It is called after an order
 // has changed what an engine serves or has loaded: an idle engine's next regular report
 // would come much later.
-func (d *Dispatcher) Recheck(group string, name ident.Upstream) {
+func (d *Dispatcher) PollNow(group string, name ident.Upstream) {
 	s := d.shardOf(group)
 	if s == nil {
 		return
--- a/internal/dispatch/recheck_test.go
+++ b/internal/dispatch/recheck_test.go
@@ -24,7 +24,7 @@
 			w.engines["e0"].version = 7
 			w.mu.Unlock()
 			if recheck {
-				d.Recheck("g", "e0")
+				d.PollNow("g", "e0")
 			}
 			time.Sleep(seen)
 			g.Expect(d.Newest("m") == 7).To(Equal(recheck))
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -128,7 +128,7 @@
 // upstream to come back while its whole group is down, rather than lose its partial
 // answer. A request that hasn't run fails at once.
 func (r *requestRun) mayWaitForUpstream(placementErr *Error, unavailableSince *time.Time) bool {
-	if placementErr.Reason != NoUpstream || r.outcome() == outcome.NotRun || r.dispatcher.options.Policy == PolicyNaive {
+	if placementErr.Reason != ReasonNoUpstream || r.outcome() == outcome.NotRun || r.dispatcher.options.Policy == PolicyNaive {
 		return false
 	}
 	now := r.dispatcher.options.Now()
@@ -262,7 +262,7 @@
 		return contextError(ctx, r.outcome())
 	}
 	if fault.callerFailed {
-		return &Error{Outcome: outcome.Unknown, Reason: Cancelled, Err: err}
+		return &Error{Outcome: outcome.Unknown, Reason: ReasonCancelled, Err: err}
 	}
 	decision := r.decideRetry(fault, hasPartialAnswer)
 	if decision.Action == retry.Fail {
@@ -316,9 +316,9 @@
 }
 
 func (r *requestRun) finalError(f fault, cause retry.Cause) *Error {
-	reason := UpstreamFailed
+	reason := ReasonUpstreamFailed
 	if cause == retry.DeadlinePassed {
-		reason = Deadline
+		reason = ReasonDeadline
 	}
 	retryAfter := f.retryAfter
 	if retryAfter <= 0 && cause != retry.Answered {
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -84,7 +84,7 @@
 }
 
 // apply puts the group's settings into force.
-func (s *shard) apply(settings config.Group, tree *config.Tree, daemons Fleet) {
+func (s *shard) apply(settings config.Group, tree *config.Tree, daemons DaemonView) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.dispatcher.options.Now()
@@ -98,7 +98,7 @@
 		}
 	}
 	for name, u := range settings.Upstreams {
-		s.applyMember(name, u, choice.upstreams[name], daemons.Owned[name])
+		s.applyMember(name, u, choice.upstreams[name], daemons.OwnedEngines[name])
 	}
 	s.dropUnused()
 	s.rebuildMembers()
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -17,19 +17,19 @@
 	subsetSize = 50
 )
 
-// Fleet is what dispatch needs to know of the daemons. The zero value means that no other
+// DaemonView is what dispatch needs to know of the daemons. The zero value means that no other
 // daemon is known yet.
-type Fleet struct {
-	Daemons []ident.VM // live daemons of this data centre, including this one
-	// Elsewhere holds the other data centres that have live daemons.
-	Elsewhere map[ident.DataCentre]bool
-	// Owned holds the engines that this daemon gives orders to. They are polled even if
+type DaemonView struct {
+	LocalDaemons []ident.VM // live daemons of this data centre, including this one
+	// OtherDataCentres holds the other data centres that have live daemons.
+	OtherDataCentres map[ident.DataCentre]bool
+	// OwnedEngines holds the engines that this daemon gives orders to. They are polled even if
 	// requests aren't sent there.
-	Owned map[ident.Upstream]bool
+	OwnedEngines map[ident.Upstream]bool
 }
 
-// SetFleet sets the known daemons. The next Apply chooses upstreams by them.
-func (d *Dispatcher) SetFleet(f Fleet) {
+// SetDaemonView sets the known daemons. The next Apply chooses upstreams by them.
+func (d *Dispatcher) SetDaemonView(f DaemonView) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.daemons = f
@@ -47,20 +47,20 @@
 // Of a larger one, the daemon uses a subset of the upstreams that are local to its data
 // centre: those in it and those in data centres without daemons, which would otherwise be
 // unused. If there are few of these, routing.Favourites from other data centres are added.
-func (f Fleet) choose(self ident.VM, dataCentre ident.DataCentre, group config.Group) upstreamChoice {
+func (f DaemonView) choose(self ident.VM, dataCentre ident.DataCentre, group config.Group) upstreamChoice {
 	if len(group.Upstreams) <= maxWholeGroupSize {
 		return upstreamChoice{upstreams: setOf(slices.Collect(maps.Keys(group.Upstreams)))}
 	}
 	local, remote := f.splitByDataCentre(dataCentre, group)
-	if len(f.Daemons) == 0 {
+	if len(f.LocalDaemons) == 0 {
 		chosen := routing.TopRanked(string(self), local, subsetSize)
 		chosen = append(chosen, routing.TopRanked(string(self), remote, subsetSize-len(chosen))...)
 		return upstreamChoice{upstreams: setOf(chosen), daemonsPerUpstream: assumedDaemonsPerUpstream}
 	}
-	chosen, daemonsPerUpstream := local, len(f.Daemons)
+	chosen, daemonsPerUpstream := local, len(f.LocalDaemons)
 	if len(local) > maxWholeGroupSize {
-		chosen = routing.Subset(string(self), local, namesOf(f.Daemons), subsetSize)
-		daemonsPerUpstream = routing.DaemonsPerUpstream(len(local), len(f.Daemons), subsetSize)
+		chosen = routing.Subset(string(self), local, namesOf(f.LocalDaemons), subsetSize)
+		daemonsPerUpstream = routing.DaemonsPerUpstream(len(local), len(f.LocalDaemons), subsetSize)
 	}
 	if len(local) < subsetSize {
 		chosen = append(slices.Clone(chosen), routing.TopRanked(string(self), remote, subsetSize-len(local))...)
@@ -74,10 +74,10 @@
 // splitByDataCentre divides a group's upstreams, sorted by name, into those that the daemons
 // of this data centre are responsible for and the others. While no daemon is known, only
 // upstreams of this data centre are local.
-func (f Fleet) splitByDataCentre(dataCentre ident.DataCentre, group config.Group) (local, remote []ident.Upstream) {
+func (f DaemonView) splitByDataCentre(dataCentre ident.DataCentre, group config.Group) (local, remote []ident.Upstream) {
 	for _, name := range slices.Sorted(maps.Keys(group.Upstreams)) {
 		dc := group.Upstreams[name].DataCentre
-		if dc == dataCentre || len(f.Daemons) > 0 && !f.Elsewhere[dc] {
+		if dc == dataCentre || len(f.LocalDaemons) > 0 && !f.OtherDataCentres[dc] {
 			local = append(local, name)
 		} else {
 			remote = append(remote, name)
--- a/internal/dispatch/subset_test.go
+++ b/internal/dispatch/subset_test.go
@@ -84,7 +84,7 @@
 
 var _ = Describe("a group of hundreds of upstreams", func() {
 	It("is used and polled in part, and owned engines are polled too", withLargeGroup(300, onlyHere, func(g Gomega, p *pollRecorder, d *Dispatcher, tree *config.Tree) {
-		d.SetFleet(Fleet{Daemons: vmNames(20)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20)})
 		d.applyTree(tree)
 		mine := usedUpstreams(d)
 		g.Expect(len(mine)).To(And(BeNumerically(">=", 30), BeNumerically("<=", 90)))
@@ -95,7 +95,7 @@
 				owned[name] = true
 			}
 		}
-		d.SetFleet(Fleet{Daemons: vmNames(20), Owned: owned})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20), OwnedEngines: owned})
 		d.applyTree(tree)
 		g.Expect(usedUpstreams(d)).To(Equal(mine), "owned engines get no requests")
 		g.Expect(p.polledUpstreams()).To(HaveLen(len(mine) + len(owned)))
@@ -103,7 +103,7 @@
 		for _, e := range d.Engines("g") {
 			g.Expect(e.Up).To(BeTrue(), string(e.Name))
 		}
-		d.SetFleet(Fleet{Daemons: vmNames(20)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20)})
 		d.applyTree(tree)
 		g.Expect(p.polledUpstreams()).To(Equal(mine))
 	}))
@@ -111,18 +111,18 @@
 	// A daemon joins and takes over some of the upstreams. Requests that are running there
 	// must not be affected.
 	It("loses upstreams to another daemon, but no requests in flight there", withLargeGroup(300, onlyHere, func(g Gomega, p *pollRecorder, d *Dispatcher, tree *config.Tree) {
-		d.SetFleet(Fleet{Daemons: vmNames(20)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20)})
 		d.applyTree(tree)
 		time.Sleep(2 * time.Second)
 		var group sync.WaitGroup
-		answers := make([]Generated, 40)
+		answers := make([]Completion, 40)
 		errs := make([]error, len(answers))
 		for i := range answers {
 			group.Go(func() { answers[i], _, errs[i] = generate(d, fmt.Sprint(i)) })
 		}
 		time.Sleep(3 * tokenTime)
 		busy := p.busyEngines()
-		d.SetFleet(Fleet{Daemons: vmNames(40)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(40)})
 		d.applyTree(tree)
 		after, left := usedUpstreams(d), 0
 		for _, e := range busy {
@@ -154,12 +154,12 @@
 			return by
 		}
 		g.Expect(count()).To(Equal(map[ident.DataCentre]int{"here": 50}), "no other daemon is known yet")
-		d.SetFleet(Fleet{Daemons: vmNames(2), Elsewhere: map[ident.DataCentre]bool{"there": true, "nobody's": true}})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(2), OtherDataCentres: map[ident.DataCentre]bool{"there": true, "nobody's": true}})
 		g.Expect(count()).To(Equal(map[ident.DataCentre]int{"here": 100}), "otherwise some would be unused")
-		d.SetFleet(Fleet{Daemons: vmNames(20), Elsewhere: map[ident.DataCentre]bool{"there": true}})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20), OtherDataCentres: map[ident.DataCentre]bool{"there": true}})
 		g.Expect(count()).To(And(HaveKey(ident.DataCentre("nobody's")), Not(HaveKey(ident.DataCentre("there")))))
 		d.options.DataCentre = "new"
-		d.SetFleet(Fleet{Daemons: vmNames(2), Elsewhere: map[ident.DataCentre]bool{"here": true, "there": true, "nobody's": true}})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(2), OtherDataCentres: map[ident.DataCentre]bool{"here": true, "there": true, "nobody's": true}})
 		total := 0
 		for _, n := range count() {
 			total += n
@@ -170,16 +170,16 @@
 	// The VM list reports once that an upstream is leaving. The upstream is dropped from the
 	// subset and added again later.
 	It("remembers which upstreams are leaving", withLargeGroup(300, onlyHere, func(g Gomega, _ *pollRecorder, d *Dispatcher, tree *config.Tree) {
-		d.SetFleet(Fleet{Daemons: vmNames(20)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20)})
 		d.applyTree(tree)
 		before := usedUpstreams(d)
 		for name := range before {
 			d.SetLeaving(name, "vm list")
 		}
-		d.SetFleet(Fleet{Daemons: vmNames(60)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(60)})
 		d.applyTree(tree)
 		g.Expect(len(usedUpstreams(d))).To(BeNumerically("<", len(before)))
-		d.SetFleet(Fleet{Daemons: vmNames(20)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20)})
 		d.applyTree(tree)
 		for _, s := range d.Upstreams() {
 			g.Expect(s.Leaving).To(BeTrue(), string(s.Name))
@@ -187,7 +187,7 @@
 	}))
 
 	It("is used as a whole if it has at most 64", withLargeGroup(maxWholeGroupSize, onlyHere, func(g Gomega, p *pollRecorder, d *Dispatcher, tree *config.Tree) {
-		d.SetFleet(Fleet{Daemons: vmNames(20)})
+		d.SetDaemonView(DaemonView{LocalDaemons: vmNames(20)})
 		d.applyTree(tree)
 		g.Expect(p.polledUpstreams()).To(HaveLen(maxWholeGroupSize))
 		g.Expect(usedUpstreams(d)).To(HaveLen(maxWholeGroupSize))
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/suspects.go
@@ -144,5 +144,5 @@
 // daemon's trial.
 func poisonError(o outcome.Outcome, decision poison.Decision) *Error {
 	poisonRefused.Add(1)
-	return &Error{Outcome: o, Reason: Poison, RetryAfter: decision.RetryAfter}
+	return &Error{Outcome: o, Reason: ReasonPoison, RetryAfter: decision.RetryAfter}
 }
--- a/internal/dispatch/versions_test.go
+++ b/internal/dispatch/versions_test.go
@@ -23,7 +23,7 @@
 	for i := range n {
 		group.Go(func() {
 			id := fmt.Sprintf("%s %d", name, i)
-			request := Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion, Prefer: prefer}
+			request := GenerateRequest{ID: ident.RequestID(id), Team: "t", Model: "m", Class: ClassRollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion, PreferVersion: prefer}
 			if _, err := d.Generate(context.Background(), request, nil); err != nil {
 				mu.Lock()
 				failed++
@@ -61,7 +61,7 @@
 		ctx = short
 	}
 	id := fmt.Sprintf("sample %d", i)
-	answer, err := d.Generate(ctx, Generate{ID: ident.RequestID(id), Team: "t", Model: "m", Class: Rollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion}, nil)
+	answer, err := d.Generate(ctx, GenerateRequest{ID: ident.RequestID(id), Team: "t", Model: "m", Class: ClassRollout, Prompt: id, MaxTokens: answerTokens, MinVersion: minVersion}, nil)
 	if err != nil {
 		return givesUp && ctx.Err() != nil
 	}
@@ -73,7 +73,7 @@
 	w.mu.Lock()
 	w.engines[name].version++
 	w.mu.Unlock()
-	d.Recheck("g", name)
+	d.PollNow("g", name)
 }
 
 // expectNoIdleCapacity checks that no parked request could run on an engine with room, and
@@ -164,7 +164,7 @@
 			}
 			w.mu.Unlock()
 			for name := range w.engines {
-				d.Recheck("g", name) // as the code that ordered the switch does
+				d.PollNow("g", name) // as the code that ordered the switch does
 			}
 		})
 		failed, elapsed := runSamples(d, "new", 100, 4, 0)
@@ -183,7 +183,7 @@
 		time.Sleep(tokenTime)
 		short, stop := context.WithTimeout(ctx, 2*tokenTime)
 		defer stop()
-		late := Generate{ID: "late", Team: "t", Model: "m", Class: Rollout, Prompt: "late", MaxTokens: answerTokens, MinVersion: 4}
+		late := GenerateRequest{ID: "late", Team: "t", Model: "m", Class: ClassRollout, Prompt: "late", MaxTokens: answerTokens, MinVersion: 4}
 		_, err := d.Generate(short, late, nil)
 		g.Expect(err).To(HaveOccurred())
 		time.Sleep(time.Second)
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -254,9 +254,9 @@
 	return b.String()
 }
 
-func generate(d *Dispatcher, prompt string) (Generated, string, error) {
+func generate(d *Dispatcher, prompt string) (Completion, string, error) {
 	var seen strings.Builder
-	request := Generate{ID: ident.RequestID(prompt), Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerTokens}
+	request := GenerateRequest{ID: ident.RequestID(prompt), Team: "t", Model: "m", Prompt: prompt, MaxTokens: answerTokens}
 	answer, err := d.Generate(context.Background(), request, func(ch upstream.Chunk) error {
 		seen.WriteString(ch.Text)
 		return nil
--- a/internal/httpapi/completions.go
+++ b/internal/httpapi/completions.go
@@ -161,7 +161,7 @@
 	}{p})
 }
 
-func (o *completionWriter) whole(g dispatch.Generated) wire.GenerateChunk {
+func (o *completionWriter) whole(g dispatch.Completion) wire.GenerateChunk {
 	choice := wire.Choice{FinishReason: finish(g.FinishReason)}
 	if o.chat {
 		choice.Message = &wire.Message{Role: "assistant", Content: g.Text}
--- a/internal/httpapi/fakes_test.go
+++ b/internal/httpapi/fakes_test.go
@@ -33,10 +33,10 @@
 	api     *httpapi.API
 	state   *config.State
 	reached atomic.Int64
-	filter  timeline.Filter // of the last timeline query
-	call    dispatch.Call   // the last service call
+	filter  timeline.Filter      // of the last timeline query
+	call    dispatch.CallRequest // the last service call
 
-	generate func(onChunk func(upstream.Chunk) error) (dispatch.Generated, error)
+	generate func(onChunk func(upstream.Chunk) error) (dispatch.Completion, error)
 	answer   *upstream.ServiceResponse
 	fail     error          // of service calls, steps and publishing
 	verdict  config.Verdict // on a change; zero: accepted
@@ -44,8 +44,8 @@
 
 func newWorld() *world {
 	w := &world{state: configured(), answer: &upstream.ServiceResponse{Status: 200, Body: []byte("booked")}}
-	w.generate = func(func(upstream.Chunk) error) (dispatch.Generated, error) {
-		return dispatch.Generated{Text: "hello", Segments: []dispatch.Segment{{Version: 7, Tokens: 1}}}, nil
+	w.generate = func(func(upstream.Chunk) error) (dispatch.Completion, error) {
+		return dispatch.Completion{Text: "hello", Segments: []dispatch.Segment{{Version: 7, Tokens: 1}}}, nil
 	}
 	c := command.New(w, w, w, steps{w}, time.Minute)
 	w.api = httpapi.New(c, query.New(w, steps{w}, w, w), adminToken)
@@ -90,12 +90,12 @@
 	return next
 }
 
-func (w *world) Generate(_ context.Context, _ dispatch.Generate, onChunk func(upstream.Chunk) error) (dispatch.Generated, error) {
+func (w *world) Generate(_ context.Context, _ dispatch.GenerateRequest, onChunk func(upstream.Chunk) error) (dispatch.Completion, error) {
 	w.reached.Add(1)
 	return w.generate(onChunk)
 }
 
-func (w *world) Call(_ context.Context, c dispatch.Call) (*upstream.ServiceResponse, error) {
+func (w *world) Call(_ context.Context, c dispatch.CallRequest) (*upstream.ServiceResponse, error) {
 	w.reached.Add(1)
 	w.call = c
 	return w.answer, w.fail
--- a/internal/httpapi/requests_test.go
+++ b/internal/httpapi/requests_test.go
@@ -163,13 +163,13 @@
 var _ = Describe("answers", func() {
 	It("tells when to come back on 429, 503 and poison, also when the layers below don't", func() {
 		w := newWorld()
-		for reason, status := range map[dispatch.Reason]int{dispatch.Overloaded: 429, dispatch.QueueTimeout: 429, dispatch.NoUpstream: 503, dispatch.Draining: 503, dispatch.Poison: 503} {
+		for reason, status := range map[dispatch.Reason]int{dispatch.ReasonOverloaded: 429, dispatch.ReasonQueueTimeout: 429, dispatch.ReasonNoUpstream: 503, dispatch.ReasonDraining: 503, dispatch.ReasonPoison: 503} {
 			w.fail = &dispatch.Error{Reason: reason, Outcome: outcome.NotRun}
 			rec := w.send("caller", "POST", "/booking", caller, "")
 			Expect(problemIn(rec).Status).To(Equal(status))
 			Expect(rec.Header().Get("Retry-After")).To(Equal("1"), reason.String())
 		}
-		w.fail = &dispatch.Error{Reason: dispatch.Poison, Outcome: outcome.Unknown, RetryAfter: 90*time.Second + 1}
+		w.fail = &dispatch.Error{Reason: dispatch.ReasonPoison, Outcome: outcome.Unknown, RetryAfter: 90*time.Second + 1}
 		Expect(w.send("caller", "POST", "/booking", caller, "").Header().Get("Retry-After")).To(Equal("91"))
 	})
 
--- a/internal/httpapi/stream_test.go
+++ b/internal/httpapi/stream_test.go
@@ -30,10 +30,10 @@
 	for _, protocol := range []string{"HTTP/1.1", "HTTP/2.0"} {
 		It("breaks off recognisably in mid-stream over "+protocol, func() {
 			w := newWorld()
-			w.generate = func(onChunk func(upstream.Chunk) error) (dispatch.Generated, error) {
+			w.generate = func(onChunk func(upstream.Chunk) error) (dispatch.Completion, error) {
 				err := errors.Join(onChunk(upstream.Chunk{Text: "one", Tokens: 1, Version: 7}), onChunk(upstream.Chunk{Text: "two", Tokens: 1, Version: 7}))
 				Expect(err).NotTo(HaveOccurred())
-				return dispatch.Generated{}, &dispatch.Error{Reason: dispatch.UpstreamFailed, Outcome: outcome.Unknown}
+				return dispatch.Completion{}, &dispatch.Error{Reason: dispatch.ReasonUpstreamFailed, Outcome: outcome.Unknown}
 			}
 			server := httptest.NewUnstartedServer(w.port("caller"))
 			server.EnableHTTP2 = protocol == "HTTP/2.0"
@@ -53,8 +53,8 @@
 
 	It("gives a failure before the first chunk its own status", func() {
 		w := newWorld()
-		w.generate = func(func(upstream.Chunk) error) (dispatch.Generated, error) {
-			return dispatch.Generated{}, &dispatch.Error{Reason: dispatch.NoUpstream, Outcome: outcome.NotRun}
+		w.generate = func(func(upstream.Chunk) error) (dispatch.Completion, error) {
+			return dispatch.Completion{}, &dispatch.Error{Reason: dispatch.ReasonNoUpstream, Outcome: outcome.NotRun}
 		}
 		rec := w.send("caller", "POST", completions, caller, `{"model":"drafts","prompt":"x","stream":true}`)
 		Expect(problemIn(rec).Status).To(Equal(http.StatusServiceUnavailable))
--- a/internal/peer/copies.go
+++ b/internal/peer/copies.go
@@ -39,16 +39,16 @@
 	copiesLost  = metrics.Counter("peer_copies_unanswered")
 )
 
-var _ dispatch.Placer = (*Service)(nil)
+var _ dispatch.CopyPlacer = (*Service)(nil)
 
 // CopyPort is the dispatcher: it places the copies of requests that this daemon owns.
 type CopyPort interface {
 	PlaceHere(c poison.Copy) ident.Upstream
 }
 
-// Place implements dispatch.Placer: the daemon that owns a fingerprint places all
+// PlaceCopy implements dispatch.Placer: the daemon that owns a fingerprint places all
 // copies of the request. While views of the fleet differ there may be two such daemons.
-func (s *Service) Place(ctx context.Context, c poison.Copy) (ident.Upstream, error) {
+func (s *Service) PlaceCopy(ctx context.Context, c poison.Copy) (ident.Upstream, error) {
 	vm, self := s.Owner(c.Fingerprint.String())
 	if self {
 		return s.options.Copies.PlaceHere(c), nil
--- a/internal/peer/copies_test.go
+++ b/internal/peer/copies_test.go
@@ -36,13 +36,13 @@
 		}
 		request := ownedBy(a, "b")
 		for _, d := range []*daemon{a, c} {
-			Eventually(func() error { _, err := d.Place(context.Background(), ownedBy(a, "b")); return err }, generous, often).Should(Succeed())
+			Eventually(func() error { _, err := d.PlaceCopy(context.Background(), ownedBy(a, "b")); return err }, generous, often).Should(Succeed())
 		}
 		b.copies.asked = 0
 		for i, d := range []*daemon{a, b, c} {
 			request.Sender.VM = d.options.Self
 			request.Preferred = ident.Upstream([]string{"e1", "e2", "e3"}[i])
-			at, err := d.Place(context.Background(), request)
+			at, err := d.PlaceCopy(context.Background(), request)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(at).To(BeEquivalentTo("e1"))
 		}
@@ -66,15 +66,15 @@
 			Eventually(d.live, generous, often).Should(HaveLen(1))
 		}
 		request := ownedBy(a, "b")
-		Expect(a.Place(context.Background(), request)).To(BeEquivalentTo("e1"))
+		Expect(a.PlaceCopy(context.Background(), request)).To(BeEquivalentTo("e1"))
 		deaf.Store(true)
-		_, err := a.Place(context.Background(), request)
+		_, err := a.PlaceCopy(context.Background(), request)
 		Expect(err).To(HaveOccurred())
 		began := time.Now()
-		_, err = a.Place(context.Background(), request)
+		_, err = a.PlaceCopy(context.Background(), request)
 		Expect(err).To(MatchError(errSilentHome))
 		Expect(time.Since(began)).To(BeNumerically("<", askTimeout))
 		deaf.Store(false)
-		Eventually(func() error { _, err := a.Place(context.Background(), request); return err }, generous, often).Should(Succeed())
+		Eventually(func() error { _, err := a.PlaceCopy(context.Background(), request); return err }, generous, often).Should(Succeed())
 	})
 })
