--- a/internal/batchrun/calls_test.go
+++ b/internal/batchrun/calls_test.go
@@ -70,7 +70,7 @@
 			for i := range names {
 				names[i] = fmt.Sprint("m", i)
 			}
-			w := newTestClusterWithPolicy(t, Ours(policy.Set{}), 1, parts, vms, 3*models, names...)
+			w := newTestClusterWithPolicy(t, DefaultPolicy(policy.Set{}), 1, parts, vms, 3*models, names...)
 			defer w.stop()
 			time.Sleep(10 * time.Second)
 			idle = w.measureCallRates(over, func() {})
--- a/internal/batchrun/crash_test.go
+++ b/internal/batchrun/crash_test.go
@@ -20,7 +20,7 @@
 func runStepWithCrasher(t *testing.T, seed uint64, set policy.Set) (listed, wanted int, engineCrashes []engineCrash) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := newTestClusterWithPolicy(t, Ours(set), seed, 4, 2, 3, "m0")
+		w := newTestClusterWithPolicy(t, DefaultPolicy(set), seed, 4, 2, 3, "m0")
 		defer w.stop()
 		w.engines.eventInterval = 100 * time.Millisecond
 		time.Sleep(2 * time.Second)
--- a/internal/batchrun/engines.go
+++ b/internal/batchrun/engines.go
@@ -18,8 +18,8 @@
 	Host     string
 	Customer string // that the sample's batch belongs to, "" for none
 	batch.Request
-	// After is the number of the text's events that have been received already.
-	After int
+	// ReceivedEvents is the number of the text's events that have been received already.
+	ReceivedEvents int
 }
 
 // Errors of a run that didn't complete. Any other error means that the engine or the
@@ -27,37 +27,37 @@
 var (
 	// ErrRefused means that the engine didn't run the sample: it is full, loading, or gone.
 	ErrRefused = errors.New("batchrun: engine refused the sample")
-	// ErrIdleBroke means that the connection had been idle and broke before the engine
+	// ErrIdleConnection means that the connection had been idle and broke before the engine
 	// answered.
-	ErrIdleBroke = errors.New("batchrun: idle connection broke")
-	// ErrReplaced means that another upstream has the engine's address now.
-	ErrReplaced = errors.New("batchrun: another upstream has the address")
+	ErrIdleConnection = errors.New("batchrun: idle connection broke")
+	// ErrAddressReused means that another upstream has the engine's address now.
+	ErrAddressReused = errors.New("batchrun: another upstream has the address")
 	// ErrFailed means that the engine failed the sample; it may succeed elsewhere.
 	ErrFailed = errors.New("batchrun: engine failed the sample")
-	// ErrImpossible means that no engine can ever complete the sample.
-	ErrImpossible = errors.New("batchrun: sample can't be completed")
+	// ErrPermanent means that no engine can ever complete the sample.
+	ErrPermanent = errors.New("batchrun: sample can't be completed")
 	// ErrDown means that nothing listens at the engine's address: its process has ended.
 	ErrDown = errors.New("batchrun: engine is down")
-	// ErrSilent means that the engine sent nothing for too long.
-	ErrSilent = errors.New("batchrun: engine sent nothing for too long")
+	// ErrStalled means that the engine sent nothing for too long.
+	ErrStalled = errors.New("batchrun: engine sent nothing for too long")
 )
 
 // Report is the state that an engine reports. It is some hundred ms old.
 type Report struct {
-	Started  int64            // start of its process in Unix ms, 0 if it doesn't report one
-	Orders   int64            // load orders accepted since its start; the next order is conditional on it
-	Busy     bool             // an order is in progress
-	Running  int              // runs in progress
-	Versions map[string]int64 // weights version by model
+	Started        int64            // start of its process in Unix ms, 0 if it doesn't report one
+	AcceptedOrders int64            // load orders accepted since its start; the next order is conditional on it
+	Busy           bool             // an order is in progress
+	Running        int              // runs in progress
+	Versions       map[string]int64 // weights version by model
 }
 
 // LoadOrder asks an engine to load a version of a model's weights.
 type LoadOrder struct {
-	Model   string
-	Version int64
-	Holder  string // VM that holds the claim on the engine: this one
-	Fence   int64  // fencing token
-	Orders  int64  // the order takes effect only if the engine has accepted exactly so many
+	Model          string
+	Version        int64
+	Holder         string // VM that holds the claim on the engine: this one
+	FencingToken   int64  // fencing token
+	ExpectedOrders int64  // the order takes effect only if the engine has accepted exactly so many
 	// Retain lets the engine's runs continue during the load, with the new version once it
 	// is loaded. Without it they finish first, and new ones wait.
 	Retain bool
@@ -68,12 +68,12 @@
 
 // The answers.
 const (
-	LoadUnknown  LoadOutcome = iota // no answer: the order may take effect, possibly later
-	LoadAccepted                    // the load has begun
-	LoadHeld                        // the version is served already
-	LoadConflict                    // another order is in progress, or was accepted in the meantime
-	LoadFenced                      // the engine has seen a higher fencing token
-	LoadRejected                    // the order is malformed, or meant for another engine
+	LoadUnknown       LoadOutcome = iota // no answer: the order may take effect, possibly later
+	LoadAccepted                         // the load has begun
+	LoadAlreadyServed                    // the version is served already
+	LoadConflict                         // another order is in progress, or was accepted in the meantime
+	LoadFenced                           // the engine has seen a higher fencing token
+	LoadRejected                         // the order is malformed, or meant for another engine
 )
 
 // Engines is the protocol of model engines.
--- a/internal/batchrun/engines_test.go
+++ b/internal/batchrun/engines_test.go
@@ -129,7 +129,7 @@
 		return 0, ErrFailed
 	}
 	run = len(f.runs) + 1
-	f.runs[run] = fakeRun{r.ID, r.After, u.ID}
+	f.runs[run] = fakeRun{r.ID, r.ReceivedEvents, u.ID}
 	return run, nil
 }
 
@@ -145,7 +145,7 @@
 	}
 	exited, done := f.trackRun(u.ID)
 	defer done()
-	for n := r.After + 1; n <= sampleLength(r.ID); n++ {
+	for n := r.ReceivedEvents + 1; n <= sampleLength(r.ID); n++ {
 		select {
 		case <-ctx.Done():
 			if !f.chance(f.bufferedRate) {
@@ -235,7 +235,7 @@
 	for m, v := range e.versions {
 		versions[m] = v
 	}
-	return Report{Started: e.started, Orders: e.orders, Busy: e.busy, Versions: versions}, nil
+	return Report{Started: e.started, AcceptedOrders: e.orders, Busy: e.busy, Versions: versions}, nil
 }
 
 // Load takes an order as an engine that checks fencing tokens does. The test fails if two VMs
@@ -249,20 +249,20 @@
 		if now.Sub(last.at) < testLease {
 			f.t.Errorf("engine %s: %s orders %s after %s", u.ID, o.Holder, now.Sub(last.at), last.holder)
 		}
-		if last.fence == o.Fence {
-			f.t.Errorf("engine %s: %s and %s share fencing token %d", u.ID, o.Holder, last.holder, o.Fence)
+		if last.fence == o.FencingToken {
+			f.t.Errorf("engine %s: %s and %s share fencing token %d", u.ID, o.Holder, last.holder, o.FencingToken)
 		}
 	}
-	if o.Fence < last.fence {
-		f.t.Errorf("engine %s: fencing token %d after %d", u.ID, o.Fence, last.fence)
+	if o.FencingToken < last.fence {
+		f.t.Errorf("engine %s: fencing token %d after %d", u.ID, o.FencingToken, last.fence)
 		return LoadFenced, nil
 	}
-	f.lastOrders[u.ID] = receivedOrder{o.Holder, o.Fence, now}
-	if e.busy || e.orders != o.Orders {
+	f.lastOrders[u.ID] = receivedOrder{o.Holder, o.FencingToken, now}
+	if e.busy || e.orders != o.ExpectedOrders {
 		return LoadConflict, nil
 	}
 	if e.versions[o.Model] >= o.Version {
-		return LoadHeld, nil
+		return LoadAlreadyServed, nil
 	}
 	e.orders++
 	e.busy = true
--- a/internal/batchrun/homes.go
+++ b/internal/batchrun/homes.go
@@ -24,7 +24,7 @@
 }
 
 func newModelPartitions(o Options) *modelPartitions {
-	p := &modelPartitions{options: o, state: loads.NewHomes(o.Parts)}
+	p := &modelPartitions{options: o, state: loads.NewHomes(o.Partitions)}
 	always := func() bool { return true } // there are few models, and new ones are rare
 	p.follower = follow.New(follow.Options{Log: o.Log, Topic: modelPartitionsTopic, Keyed: true, Sink: p, Relaxed: always, Now: o.Now, Logger: o.Logger})
 	return p
@@ -34,7 +34,7 @@
 func (p *modelPartitions) Reset(entries []store.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state = loads.NewHomes(p.options.Parts)
+	p.state = loads.NewHomes(p.options.Partitions)
 	for _, e := range entries {
 		p.applyLocked(e.Offset, e.Value)
 	}
--- a/internal/batchrun/orders.go
+++ b/internal/batchrun/orders.go
@@ -35,8 +35,8 @@
 func newLoader(o Options) *loader {
 	// After this time a recorded load shows in the engine's own registry entry, and a claim
 	// no longer blocks any VM.
-	keep := 2 * loads.BarredFor(o.OrderLease)
-	x := &loader{options: o, claims: loads.NewClaims(o.VM, o.OrderLease), logTail: loads.NewTail(keep), delegatedLoads: map[string]bool{}}
+	keep := 2 * loads.BarredFor(o.ClaimLease)
+	x := &loader{options: o, claims: loads.NewClaims(o.VM, o.ClaimLease), logTail: loads.NewTail(keep), delegatedLoads: map[string]bool{}}
 	x.claimer = newClaimer(x)
 	x.follower = follow.NewHeld(follow.HeldOptions{
 		Options: follow.Options{
@@ -59,7 +59,7 @@
 func (x *loader) discardClaims() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.claims = loads.NewClaims(x.options.VM, x.options.OrderLease)
+	x.claims = loads.NewClaims(x.options.VM, x.options.ClaimLease)
 	x.logTail.Note(x.follower.Next(), x.options.Now())
 }
 
@@ -174,12 +174,12 @@
 		return target, nil
 	}
 	if !report.Busy {
-		if err := x.sendOrder(ctx, u, target, permit, report.Orders); err != nil {
+		if err := x.sendOrder(ctx, u, target, permit, report.AcceptedOrders); err != nil {
 			return target, err
 		}
 		pause.For(ctx, minLoadTime)
 	}
-	return target, x.awaitVersion(ctx, u, target.model, target.version, report.Orders)
+	return target, x.awaitVersion(ctx, u, target.model, target.version, report.AcceptedOrders)
 }
 
 // restarted reports whether a report is from another incarnation of an engine than the known
@@ -207,7 +207,7 @@
 		return errClaimExpired
 	}
 	ordersSent.Add(1)
-	outcome, err := x.options.Engines.Load(ctx, u, LoadOrder{Model: target.model, Version: target.version, Holder: x.options.VM, Fence: p.Fence, Orders: accepted, Retain: target.retain})
+	outcome, err := x.options.Engines.Load(ctx, u, LoadOrder{Model: target.model, Version: target.version, Holder: x.options.VM, FencingToken: p.Fence, ExpectedOrders: accepted, Retain: target.retain})
 	x.options.Logger.Info().Str("upstream", u.Incarnation()).Str("model", target.model).Int64("version", target.version).Bool("retain", target.retain).Int64("fence", p.Fence).
 		Int64("orders_before", accepted).Int("outcome", int(outcome)).Err(err).Msg("load ordered")
 	switch outcome {
@@ -229,14 +229,14 @@
 		switch {
 		case err != nil:
 			failures++
-			if failures == 3 || errors.Is(err, ErrReplaced) {
+			if failures == 3 || errors.Is(err, ErrAddressReused) {
 				return errors.Join(errEngineLost, err)
 			}
-		case x.restarted(u, report), report.Orders < accepted:
+		case x.restarted(u, report), report.AcceptedOrders < accepted:
 			return errEngineRestarted
 		case report.Versions[model] >= version:
 			return nil
-		case !report.Busy && report.Orders == accepted:
+		case !report.Busy && report.AcceptedOrders == accepted:
 			return errNotLoaded
 		}
 		pause.For(ctx, loadPollInterval)
--- a/internal/batchrun/policy.go
+++ b/internal/batchrun/policy.go
@@ -17,18 +17,18 @@
 	PlanLoads func(loads.Input) loads.Plan
 }
 
-// Ours returns the policy that daemons run. For measurements a set may switch some of its
+// DefaultPolicy returns the policy that daemons run. For measurements a set may switch some of its
 // mechanisms off.
-func Ours(set policy.Set) Policy {
+func DefaultPolicy(set policy.Set) Policy {
 	planner := batch.Planner{
 		Arrival: !set.Enabled(policy.LatestStart), AnyVersion: !set.Enabled(policy.Fitting), AnySpeed: !set.Enabled(policy.Hardware),
 	}
 	return Policy{Set: set, PlanSamples: planner.Plan, PlanLoads: loads.Decide}
 }
 
-// Naive returns a simple policy that gives all the same guarantees. It is the baseline that
+// BaselinePolicy returns a simple policy that gives all the same guarantees. It is the baseline that
 // Ours is measured against.
-func Naive() Policy {
+func BaselinePolicy() Policy {
 	return Policy{
 		Set:         policy.Without(policy.Moves, policy.Hardware, policy.Demand, policy.Retain, policy.SparedLoads, policy.Suspicion, policy.Trials),
 		PlanSamples: batch.PlanInTurn, PlanLoads: loads.DecideAtOnce,
--- a/internal/batchrun/promises_test.go
+++ b/internal/batchrun/promises_test.go
@@ -214,7 +214,7 @@
 func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkGuarantees(t, seed, Ours(policy.Set{})) })
+			synctest.Test(t, func(t *testing.T) { checkGuarantees(t, seed, DefaultPolicy(policy.Set{})) })
 		})
 	}
 }
@@ -224,7 +224,7 @@
 func TestGuaranteesWithBaselinePolicy(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkGuarantees(t, seed, Naive()) })
+			synctest.Test(t, func(t *testing.T) { checkGuarantees(t, seed, BaselinePolicy()) })
 		})
 	}
 }
--- a/internal/batchrun/rescue_test.go
+++ b/internal/batchrun/rescue_test.go
@@ -55,7 +55,7 @@
 		g := NewWithT(t)
 		view := fleet.New(func() time.Duration { return time.Minute })
 		config := routes.New(1, nil, []routes.Service{{Name: "engines", Engine: &routes.Engine{Slots: 8, Models: []string{"m0"}}}}, routes.Limits{}, nil)
-		o := Options{Parts: 1, Now: func() time.Duration { return time.Minute }, View: view, Suspects: health.NewSuspects(), Policy: Ours(policy.Set{})}
+		o := Options{Partitions: 1, Now: func() time.Duration { return time.Minute }, View: view, Suspects: health.NewSuspects(), Policy: DefaultPolicy(policy.Set{})}
 		r := newRunner(New(o), newPartition(0, o), func() bool { return inContact })
 		for i, gap := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond} {
 			u := registry.Upstream{ID: fmt.Sprint("e", i), Service: "engines", Address: fmt.Sprint("a", i), Slots: 8}
--- a/internal/batchrun/scale_test.go
+++ b/internal/batchrun/scale_test.go
@@ -56,9 +56,9 @@
 		client := metastore.NewClient(f.store, callTimeout)
 		client.SetFaults(metastore.Faults{Latency: storeLatency})
 		s := New(Options{
-			VM: fmt.Sprint("vm", n), Address: fmt.Sprint("10.0.0.", n, ":1"), Policy: Ours(policy.Set{}), Log: wrap(client), Membership: client,
-			View: fleet.New(now), Suspects: health.NewSuspects(), Parts: scaleParts, RecordBytes: 256 << 10, CallBytes: 2 << 20,
-			MemberTTL: 1500 * time.Millisecond, OrderLease: testLease, Now: now, Logger: zerolog.Nop(),
+			VM: fmt.Sprint("vm", n), Address: fmt.Sprint("10.0.0.", n, ":1"), Policy: DefaultPolicy(policy.Set{}), Log: wrap(client), Membership: client,
+			View: fleet.New(now), Suspects: health.NewSuspects(), Partitions: scaleParts, RecordBytes: 256 << 10, CallBytes: 2 << 20,
+			MemberTTL: 1500 * time.Millisecond, ClaimLease: testLease, Now: now, Logger: zerolog.Nop(),
 		})
 		f.services, f.clients = append(f.services, s), append(f.clients, client)
 		f.work.Go(func() { s.Run(ctx) })
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -51,11 +51,11 @@
 	Suspects    *health.Suspects // shared with all other senders to upstreams
 	Policy      Policy
 	Small       bool          // this VM owns partitions only while no larger one does
-	Parts       int           // number of partitions of a topic
+	Partitions  int           // number of partitions of a topic
 	RecordBytes int           // size limit of a record
 	CallBytes   int           // size limit of an append
 	MemberTTL   time.Duration // silence after which an owner's partitions are reassigned
-	OrderLease  time.Duration // within which an engine must not get orders of two VMs
+	ClaimLease  time.Duration // within which an engine must not get orders of two VMs
 	Address     string        // ip:port where other daemons' Peers reach this one, "" for none
 	Peers       Peers
 	Now         func() time.Duration // a clock that keeps running while the VM is suspended
@@ -86,8 +86,8 @@
 
 // New returns a Service that hasn't read anything yet.
 func New(o Options) *Service {
-	s := &Service{options: o, blobs: newBlobCache(o.Log, o.Parts)}
-	for n := range o.Parts {
+	s := &Service{options: o, blobs: newBlobCache(o.Log, o.Partitions)}
+	for n := range o.Partitions {
 		s.partitions = append(s.partitions, newPartition(n, o))
 	}
 	s.loader = newLoader(o)
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -96,8 +96,8 @@
 	x := &run{ctx: ctx, key: key, sampleID: s.ID, upstream: u, incarnation: u.Incarnation(), model: model, hasReward: s.Reward != "", expectedTokens: s.Expected, text: t, startedAt: now, cancel: cancel, startEvents: t.eventCount(), lastEventAt: now}
 	r.runs[key] = x
 	r.engineLocked(u.Incarnation()).running++
-	request := SampleRun{ID: s.ID, Host: head.Host, Customer: head.Customer, Request: requests[w.Index], After: t.eventCount()}
-	if request.After > 0 {
+	request := SampleRun{ID: s.ID, Host: head.Host, Customer: head.Customer, Request: requests[w.Index], ReceivedEvents: t.eventCount()}
+	if request.ReceivedEvents > 0 {
 		samplesResumed.Add(1)
 	}
 	r.tasks.Go(func() {
@@ -178,7 +178,7 @@
 	switch {
 	case errors.Is(err, errHandedOver), errors.Is(err, errUnwanted):
 		return
-	case errors.Is(err, ErrImpossible):
+	case errors.Is(err, ErrPermanent):
 		r.giveUpLocked(x.key, x.sampleID, "an engine reported that the sample can't be completed")
 		return
 	case errors.Is(err, ErrFailed):
@@ -190,7 +190,7 @@
 		retry.notBefore = 0
 	case errors.Is(err, errLogAhead):
 		retry = retryState{}
-	case errors.Is(err, ErrIdleBroke):
+	case errors.Is(err, ErrIdleConnection):
 		retry.avoidEngine = "" // the engine isn't at fault
 	case errors.Is(err, errWeightsTooOld):
 		retry.notBefore = now + engineRefusedDelay
--- a/internal/batchrun/submit_test.go
+++ b/internal/batchrun/submit_test.go
@@ -272,7 +272,7 @@
 // restarted under its ID is still suspect for failures of its former process.
 func TestSuspicionEndsWithARestart(t *testing.T) {
 	g := NewWithT(t)
-	o := Options{Parts: 1, Suspects: health.NewSuspects(), Now: func() time.Duration { return 0 }}
+	o := Options{Partitions: 1, Suspects: health.NewSuspects(), Now: func() time.Duration { return 0 }}
 	r := newRunner(New(o), newPartition(0, o), func() bool { return true })
 	before := registry.Upstream{ID: "e0", Started: 1}
 	after := registry.Upstream{ID: "e0", Started: 2}
--- a/internal/batchrun/trial.go
+++ b/internal/batchrun/trial.go
@@ -59,7 +59,7 @@
 	defer cancel()
 	report, err := r.s.options.Engines.Report(ctx, u)
 	if err != nil {
-		return errors.Is(err, ErrDown) || errors.Is(err, ErrReplaced), err
+		return errors.Is(err, ErrDown) || errors.Is(err, ErrAddressReused), err
 	}
 	return report.Started > u.Started, nil
 }
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -71,7 +71,7 @@
 }
 
 func newTestCluster(t *testing.T, seed uint64, vms, engines int, models ...string) *testCluster {
-	return newTestClusterWithPolicy(t, Ours(policy.Set{}), seed, 4, vms, engines, models...)
+	return newTestClusterWithPolicy(t, DefaultPolicy(policy.Set{}), seed, 4, vms, engines, models...)
 }
 
 func newTestClusterWithPolicy(t *testing.T, policy Policy, seed uint64, parts, vms, engines int, models ...string) *testCluster {
@@ -91,7 +91,7 @@
 
 func newTestClusterWithOptions(t *testing.T, o clusterOptions) *testCluster {
 	if o.policy.PlanSamples == nil {
-		o.policy = Ours(policy.Set{})
+		o.policy = DefaultPolicy(policy.Set{})
 	}
 	w := &testCluster{t: t, policy: o.policy, parts: o.parts, start: time.Now(), store: metastore.New(o.parts), models: o.models, published: map[string]int64{}}
 	if o.peers != nil {
@@ -131,8 +131,8 @@
 	w.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	s := New(Options{
-		VM: v.name, Policy: w.policy, Log: v.client, Membership: v.client, Engines: w.engines, Scorer: w.scorer, View: view, Suspects: health.NewSuspects(), Parts: w.parts,
-		Address: v.name, Peers: w.peers, RecordBytes: 4096, CallBytes: 1 << 20, MemberTTL: 1500 * time.Millisecond, OrderLease: testLease,
+		VM: v.name, Policy: w.policy, Log: v.client, Membership: v.client, Engines: w.engines, Scorer: w.scorer, View: view, Suspects: health.NewSuspects(), Partitions: w.parts,
+		Address: v.name, Peers: w.peers, RecordBytes: 4096, CallBytes: 1 << 20, MemberTTL: 1500 * time.Millisecond, ClaimLease: testLease,
 		Now: w.now, Logger: zerolog.Nop(),
 	})
 	v.mu.Lock()
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -145,8 +145,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	log := zerolog.Nop()
 	batches := batchrun.New(batchrun.Options{
-		VM: v.name, Policy: batchrun.Ours(policy.Set{}), Log: v.store, Membership: v.store, Engines: noEngines{}, View: fleet.New(c.now), Suspects: health.NewSuspects(),
-		Parts: parts, RecordBytes: 1 << 18, CallBytes: 1 << 21, MemberTTL: 1500 * time.Millisecond, OrderLease: lease, Now: c.now, Logger: log,
+		VM: v.name, Policy: batchrun.DefaultPolicy(policy.Set{}), Log: v.store, Membership: v.store, Engines: noEngines{}, View: fleet.New(c.now), Suspects: health.NewSuspects(),
+		Partitions: parts, RecordBytes: 1 << 18, CallBytes: 1 << 21, MemberTTL: 1500 * time.Millisecond, ClaimLease: lease, Now: c.now, Logger: log,
 	})
 	counts := duties.NewCounts(duties.CountsOptions{Log: v.store, Usage: &timing, Now: c.now, Clock: time.Now, Logger: log})
 	service := duties.New(duties.Options{
