--- a/internal/batchpeer/batchpeer_test.go
+++ b/internal/batchpeer/batchpeer_test.go
@@ -48,12 +48,12 @@
 	return h.err
 }
 
-func (h *fakeHandler) Body(_ context.Context, id, item string) (batchrun.BodyAt, error) {
+func (h *fakeHandler) Body(_ context.Context, id, item string) (batchrun.BodyLocation, error) {
 	h.record("body %s %s", id, item)
 	return bodyAt, h.err
 }
 
-var bodyAt = batchrun.BodyAt{Part: 5, At: 77, Index: 3, Blob: []byte{0, 1, 2}}
+var bodyAt = batchrun.BodyLocation{Partition: 5, Offset: 77, Index: 3, Blob: []byte{0, 1, 2}}
 
 // listen returns a listener on loopback.
 func listen(t *testing.T) net.Listener {
@@ -84,7 +84,7 @@
 
 func TestCallsAndResultsRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	listing := batchrun.Listing{Part: 23, Total: 9, Blobs: map[int64][]byte{4: []byte(strings.Repeat("text", 200_000))}, Listed: []batch.Sample{
+	listing := batchrun.Listing{Partition: 23, Total: 9, Blobs: map[int64][]byte{4: []byte(strings.Repeat("text", 200_000))}, Samples: []batch.Sample{
 		{Item: batch.Item{ID: "s1"}, State: batch.Completed, Score: "sig", Text: batch.Text{Segments: []batch.Segment{
 			{At: 4, Events: 3, Versions: []batch.VersionRun{{Version: 1, Events: 2}, {Version: 2, Events: 1}}},
 			{At: 9, Events: 1, Versions: []batch.VersionRun{{Version: 2, Events: 1}}},
--- a/internal/batchpeer/client.go
+++ b/internal/batchpeer/client.go
@@ -161,12 +161,12 @@
 
 // Body asks the daemon that holds a batch where the body of a sample is stored; item is the
 // sample's ID.
-func (c *Client) Body(ctx context.Context, address, id, item string) (batchrun.BodyAt, error) {
+func (c *Client) Body(ctx context.Context, address, id, item string) (batchrun.BodyLocation, error) {
 	var reply *peerpb.BodyReply
 	err := c.call(ctx, address, func(client peerpb.DRPCBatchesClient) (err error) {
 		reply, err = client.Body(ctx, &peerpb.BodyRequest{Batch: id, Sample: item})
 		return err
 	})
-	at := batchrun.BodyAt{Part: int(reply.GetPart()), At: reply.GetAt(), Index: int(reply.GetIndex()), Blob: reply.GetBlob()}
+	at := batchrun.BodyLocation{Partition: int(reply.GetPart()), Offset: reply.GetAt(), Index: int(reply.GetIndex()), Blob: reply.GetBlob()}
 	return at, errors.Join(err, errorOf(reply.GetOutcome()))
 }
--- a/internal/batchpeer/encode.go
+++ b/internal/batchpeer/encode.go
@@ -40,9 +40,9 @@
 }
 
 func encodeListing(l batchrun.Listing) *peerpb.ListReply {
-	reply := &peerpb.ListReply{Part: uint32(l.Part), Total: int64(l.Total)}
-	for i := range l.Listed {
-		reply.Listed = append(reply.Listed, encodeSample(&l.Listed[i]))
+	reply := &peerpb.ListReply{Part: uint32(l.Partition), Total: int64(l.Total)}
+	for i := range l.Samples {
+		reply.Listed = append(reply.Listed, encodeSample(&l.Samples[i]))
 	}
 	for offset, data := range l.Blobs {
 		reply.Blobs = append(reply.Blobs, &peerpb.Blob{At: offset, Data: data})
@@ -66,9 +66,9 @@
 }
 
 func decodeListing(reply *peerpb.ListReply) batchrun.Listing {
-	l := batchrun.Listing{Part: int(reply.GetPart()), Total: int(reply.GetTotal()), Blobs: map[int64][]byte{}}
+	l := batchrun.Listing{Partition: int(reply.GetPart()), Total: int(reply.GetTotal()), Blobs: map[int64][]byte{}}
 	for _, s := range reply.GetListed() {
-		l.Listed = append(l.Listed, decodeSample(s))
+		l.Samples = append(l.Samples, decodeSample(s))
 	}
 	for _, b := range reply.GetBlobs() {
 		l.Blobs[b.GetAt()] = b.GetData()
--- a/internal/batchpeer/server.go
+++ b/internal/batchpeer/server.go
@@ -43,7 +43,7 @@
 	// End ends a batch.
 	End(ctx context.Context, id string) error
 	// Body returns where the body of a sample of a batch is stored; item is the sample's ID.
-	Body(ctx context.Context, id, item string) (batchrun.BodyAt, error)
+	Body(ctx context.Context, id, item string) (batchrun.BodyLocation, error)
 }
 
 // Serve serves calls from other daemons on a listener until the context ends, and closes the
@@ -115,5 +115,5 @@
 // Body implements peerpb.DRPCBatchesServer.
 func (s *server) Body(ctx context.Context, in *peerpb.BodyRequest) (*peerpb.BodyReply, error) {
 	at, err := s.handler.Body(ctx, in.GetBatch(), in.GetSample())
-	return &peerpb.BodyReply{Outcome: outcomeOf(err), Part: uint32(at.Part), At: at.At, Index: uint32(at.Index), Blob: at.Blob}, nil
+	return &peerpb.BodyReply{Outcome: outcomeOf(err), Part: uint32(at.Partition), At: at.Offset, Index: uint32(at.Index), Blob: at.Blob}, nil
 }
--- a/internal/batchrun/answer.go
+++ b/internal/batchrun/answer.go
@@ -24,7 +24,7 @@
 	Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error)
 	List(ctx context.Context, address, id string, after int, wait time.Duration) (Listing, error)
 	End(ctx context.Context, address, id string) error
-	Body(ctx context.Context, address, id, sampleID string) (BodyAt, error)
+	Body(ctx context.Context, address, id, sampleID string) (BodyLocation, error)
 }
 
 // batchHandler handles the calls about a batch that was located, on this daemon or by forwarding
@@ -32,7 +32,7 @@
 type batchHandler interface {
 	List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error)
 	End(ctx context.Context, id string) error
-	Body(ctx context.Context, id, sampleID string) (BodyAt, error)
+	Body(ctx context.Context, id, sampleID string) (BodyLocation, error)
 }
 
 const (
@@ -81,7 +81,7 @@
 // Body returns the request body of a sample. id is the batch's ID. Errors: ErrNotFound,
 // ErrUnsure.
 func (s *Service) Body(ctx context.Context, id, sampleID string) ([]byte, error) {
-	var location BodyAt
+	var location BodyLocation
 	err := s.callHandler(ctx, id, func(h batchHandler) error {
 		var err error
 		location, err = h.Body(ctx, id, sampleID)
@@ -132,7 +132,7 @@
 // calls release after its call to the handler.
 func (s *Service) locate(ctx context.Context, id string) (handler batchHandler, release func(), err error) {
 	if p := s.partitionForBatch(id); p != nil {
-		return s.Here(), p.follower.Hold(), nil
+		return s.LocalHandler(), p.follower.Hold(), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
@@ -168,7 +168,7 @@
 			callsForwarded.Add(1)
 			return remoteHandler{s, a.Address}, release, nil
 		case locate.FoundLocally:
-			return s.Here(), release, nil
+			return s.LocalHandler(), release, nil
 		case locate.NotFound:
 			release()
 			return nil, nil, ErrNotFound
@@ -219,7 +219,7 @@
 // askOwner asks one owner, which may be this daemon, whether it holds a batch.
 func (s *Service) askOwner(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
 	if address == s.options.Address {
-		return s.Here().Locate(ctx, id, confirm), nil
+		return s.LocalHandler().Locate(ctx, id, confirm), nil
 	}
 	timeout := askTimeout
 	if confirm {
@@ -247,7 +247,7 @@
 		list = append(list, s.partitions[n])
 		releases = append(releases, s.partitions[n].follower.Hold())
 	}
-	confirmed := s.Here().catchUp(ctx, list)
+	confirmed := s.LocalHandler().catchUp(ctx, list)
 	search.RecordFollow(s.partitionForBatch(id) != nil, confirmed)
 	return func() {
 		for _, release := range releases {
@@ -290,7 +290,7 @@
 	for {
 		remaining := max(0, until-r.s.options.Now())
 		l, err := r.listOnce(ctx, id, after, min(remaining, maxForwardedWait))
-		if err != nil || len(l.Listed) > 0 || remaining <= maxForwardedWait || after >= l.Total {
+		if err != nil || len(l.Samples) > 0 || remaining <= maxForwardedWait || after >= l.Total {
 			return l, err
 		}
 	}
@@ -315,7 +315,7 @@
 }
 
 // Body asks the daemon for the location of a sample's body.
-func (r remoteHandler) Body(ctx context.Context, id, sampleID string) (location BodyAt, err error) {
+func (r remoteHandler) Body(ctx context.Context, id, sampleID string) (location BodyLocation, err error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	err = r.do(ctx, func() error {
--- a/internal/batchrun/answer_test.go
+++ b/internal/batchrun/answer_test.go
@@ -38,22 +38,22 @@
 
 // dial returns the handler of a daemon after the latency. It hangs if the daemon is silent, and
 // fails if it is down.
-func (p *clusterPeers) dial(ctx context.Context, address string) (Here, error) {
+func (p *clusterPeers) dial(ctx context.Context, address string) (LocalHandler, error) {
 	p.mu.Lock()
 	p.calls++
 	silent := p.silent[address]
 	p.mu.Unlock()
 	if silent {
 		<-ctx.Done()
-		return Here{}, ErrUnreachable
+		return LocalHandler{}, ErrUnreachable
 	}
 	pause.For(ctx, peerLatency)
 	for _, v := range p.w.vms {
 		if s := v.daemon(); v.name == address && s != nil {
-			return s.Here(), nil
+			return s.LocalHandler(), nil
 		}
 	}
-	return Here{}, ErrUnreachable // connection refused
+	return LocalHandler{}, ErrUnreachable // connection refused
 }
 
 func (p *clusterPeers) Locate(ctx context.Context, address, id string, confirm bool) (locate.Answer, error) {
@@ -80,10 +80,10 @@
 	return h.End(ctx, id)
 }
 
-func (p *clusterPeers) Body(ctx context.Context, address, id, sampleID string) (BodyAt, error) {
+func (p *clusterPeers) Body(ctx context.Context, address, id, sampleID string) (BodyLocation, error) {
 	h, err := p.dial(ctx, address)
 	if err != nil {
-		return BodyAt{}, err
+		return BodyLocation{}, err
 	}
 	return h.Body(ctx, id, sampleID)
 }
--- a/internal/batchrun/claimer_test.go
+++ b/internal/batchrun/claimer_test.go
@@ -114,7 +114,7 @@
 		g.Expect(other.daemon().loader.follower.Following()).To(BeFalse(), "only owners follow the claims log")
 		w.kill(owner)
 		time.Sleep(3 * time.Second)
-		g.Expect(other.daemon().Owns()).To(Equal([]int{0}))
+		g.Expect(other.daemon().OwnedPartitions()).To(Equal([]int{0}))
 		for id := range w.engines.engines {
 			g.Expect(other.daemon().loader.claimBlockedFor(id)).To(BeZero(), id)
 		}
--- a/internal/batchrun/here.go
+++ b/internal/batchrun/here.go
@@ -13,12 +13,12 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/locate"
 )
 
-// Here handles calls about the batches in the partitions that this daemon follows. Other
+// LocalHandler handles calls about the batches in the partitions that this daemon follows. Other
 // daemons forward their calls to it.
-type Here struct{ s *Service }
+type LocalHandler struct{ s *Service }
 
-// Here returns the handler of calls that other daemons forward to this one.
-func (s *Service) Here() Here { return Here{s} }
+// LocalHandler returns the handler of calls that other daemons forward to this one.
+func (s *Service) LocalHandler() LocalHandler { return LocalHandler{s} }
 
 // confirmTimeout bounds a read that brings a view up to date. If it is exceeded the answer is
 // ErrUnsure.
@@ -27,7 +27,7 @@
 // Locate reports whether a batch is in a partition that this daemon follows. If it isn't and
 // confirm is set, the loaded views are brought up to date first, and the answer lists the
 // partitions that certainly don't have the batch.
-func (h Here) Locate(ctx context.Context, id string, confirm bool) locate.Answer {
+func (h LocalHandler) Locate(ctx context.Context, id string, confirm bool) locate.Answer {
 	if h.s.partitionForBatch(id) != nil || !confirm {
 		return locate.Answer{Found: h.s.partitionForBatch(id) != nil}
 	}
@@ -40,7 +40,7 @@
 
 // catchUp brings the views of partitions up to date. It returns the numbers of those for which
 // that succeeded, sorted.
-func (h Here) catchUp(ctx context.Context, parts []*partition) []int {
+func (h LocalHandler) catchUp(ctx context.Context, parts []*partition) []int {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	var (
@@ -81,7 +81,7 @@
 var errNotFollowed = errors.New("partition not followed on this daemon")
 
 // holdPartition returns a batch's partition and holds its view until release is called.
-func (h Here) holdPartition(id string) (p *partition, release func(), err error) {
+func (h LocalHandler) holdPartition(id string) (p *partition, release func(), err error) {
 	if p = h.s.partitionForBatch(id); p == nil {
 		return nil, nil, errors.Join(ErrUnsure, errNotFollowed)
 	}
@@ -89,7 +89,7 @@
 }
 
 // End ends a batch; ending it again has no effect. Errors: ErrUnsure, ErrNotRun, ErrUnknown.
-func (h Here) End(ctx context.Context, id string) error {
+func (h LocalHandler) End(ctx context.Context, id string) error {
 	p, release, err := h.holdPartition(id)
 	if err != nil {
 		return err
--- a/internal/batchrun/inspect.go
+++ b/internal/batchrun/inspect.go
@@ -8,9 +8,9 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/inspect"
 )
 
-// Inspect returns the batches that this daemon knows, by partition and in the order in which
+// InspectBatches returns the batches that this daemon knows, by partition and in the order in which
 // they were accepted.
-func (s *Service) Inspect() []inspect.Batch {
+func (s *Service) InspectBatches() []inspect.Batch {
 	out := []inspect.Batch{}
 	for _, p := range s.partitions {
 		running := s.runningSamples(p.number)
@@ -105,8 +105,8 @@
 	return out
 }
 
-// Owns returns the numbers of the partitions whose batches this daemon runs, sorted.
-func (s *Service) Owns() []int {
+// OwnedPartitions returns the numbers of the partitions whose batches this daemon runs, sorted.
+func (s *Service) OwnedPartitions() []int {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
 	out := []int{}
--- a/internal/batchrun/owner_test.go
+++ b/internal/batchrun/owner_test.go
@@ -124,7 +124,7 @@
 		owned := func() int {
 			n := 0
 			for _, v := range w.vms {
-				n += len(v.daemon().Owns())
+				n += len(v.daemon().OwnedPartitions())
 			}
 			return n
 		}
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -73,9 +73,9 @@
 // The daemon that a reader asked reads the blobs. When owners read them for all daemons, and
 // all batches were read at once, as after a day's work, it took seconds.
 type Listing struct {
-	Part   int            // number of the batch's partition
-	Total  int            // number of samples in the batch
-	Listed []batch.Sample // those with a result, from the requested position on
+	Partition int            // number of the batch's partition
+	Total     int            // number of samples in the batch
+	Samples   []batch.Sample // those with a result, from the requested position on
 	// Blobs holds, by offset, those blobs of the texts that were in the cache.
 	Blobs             map[int64][]byte
 	lastScoresPending bool // the last reward calls that the step needs are in progress
@@ -83,7 +83,7 @@
 
 // List returns a batch's results from position after on. If there are none it waits for the
 // first one. Error: ErrUnsure.
-func (h Here) List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error) {
+func (h LocalHandler) List(ctx context.Context, id string, after int, wait time.Duration) (Listing, error) {
 	p, release, err := h.holdPartition(id)
 	if err != nil {
 		return Listing{}, err
@@ -94,7 +94,7 @@
 	if err != nil {
 		return Listing{}, err
 	}
-	l.Blobs = h.s.blobs.cached(p.number, textOffsets(l.Listed))
+	l.Blobs = h.s.blobs.cached(p.number, textOffsets(l.Samples))
 	return l, nil
 }
 
@@ -109,11 +109,11 @@
 		switch {
 		case !ok:
 			return Listing{}, ErrUnsure // the view was dropped since the batch was located
-		case len(l.Listed) > 0 && !(awaitScores && mayWait && l.lastScoresPending):
+		case len(l.Samples) > 0 && !(awaitScores && mayWait && l.lastScoresPending):
 			return l, nil
-		case len(l.Listed) > 0 && scoresTimeout == nil:
+		case len(l.Samples) > 0 && scoresTimeout == nil:
 			scoresTimeout = time.After(lastScoresWait)
-		case len(l.Listed) == 0 && (!mayWait || after >= l.Total):
+		case len(l.Samples) == 0 && (!mayWait || after >= l.Total):
 			return s.confirmEmpty(ctx, p, id, after)
 		}
 		p.follower.Hurry()
@@ -167,13 +167,13 @@
 	if b == nil {
 		return Listing{}, nil, false
 	}
-	l.Part = p.number
+	l.Partition = p.number
 	l.Total = len(b.Samples)
 	l.lastScoresPending = b.Closing()
-	for i := after; i < len(b.Listed) && len(l.Listed) < maxPageResults; i++ {
+	for i := after; i < len(b.Listed) && len(l.Samples) < maxPageResults; i++ {
 		sample := b.Samples[b.Listed[i]]
 		sample.Text = sample.Text.Clip()
-		l.Listed = append(l.Listed, sample)
+		l.Samples = append(l.Samples, sample)
 	}
 	return l, p.waiterLocked(id), true
 }
@@ -181,11 +181,11 @@
 // readPage returns the results of a listing with their texts, which it reads from the blobs. If
 // some blobs can't be read it returns the results before the first of them.
 func (s *Service) readPage(ctx context.Context, l Listing, after int) (Page, error) {
-	blobs, readErr := s.blobs.get(ctx, l.Part, textOffsets(l.Listed), l.Blobs)
+	blobs, readErr := s.blobs.get(ctx, l.Partition, textOffsets(l.Samples), l.Blobs)
 	page := Page{Total: l.Total, Next: after}
 	size := 0
-	for i := range l.Listed {
-		r, err := newResult(&l.Listed[i], blobs)
+	for i := range l.Samples {
+		r, err := newResult(&l.Samples[i], blobs)
 		if err != nil && readErr != nil && len(page.Results) > 0 {
 			break
 		}
@@ -244,53 +244,53 @@
 	return r, nil
 }
 
-// BodyAt is the location of the body of a sample's request.
-type BodyAt struct {
-	Part  int    // number of the batch's partition
-	At    int64  // offset of the blob that holds the request
-	Index int    // of the request in the blob
-	Blob  []byte // the blob itself, nil if it wasn't in the cache
+// BodyLocation is the location of the body of a sample's request.
+type BodyLocation struct {
+	Partition int    // number of the batch's partition
+	Offset    int64  // offset of the blob that holds the request
+	Index     int    // of the request in the blob
+	Blob      []byte // the blob itself, nil if it wasn't in the cache
 }
 
 // Body returns the location of a sample's body. id is the batch's ID. Errors: ErrNotFound,
 // ErrUnsure.
-func (h Here) Body(_ context.Context, id, sampleID string) (BodyAt, error) {
+func (h LocalHandler) Body(_ context.Context, id, sampleID string) (BodyLocation, error) {
 	p, release, err := h.holdPartition(id)
 	if err != nil {
-		return BodyAt{}, err
+		return BodyLocation{}, err
 	}
 	defer release()
 	found := false
-	out := BodyAt{Part: p.number}
+	out := BodyLocation{Partition: p.number}
 	p.withBatch(id, func(b *batch.Batch) {
 		if b == nil {
 			return
 		}
 		for i := range b.Samples {
 			if b.Samples[i].ID == sampleID {
-				out.At, out.Index = b.RequestBlob(i)
+				out.Offset, out.Index = b.RequestBlob(i)
 				found = true
 			}
 		}
 	})
 	if !found {
-		return BodyAt{}, ErrNotFound
+		return BodyLocation{}, ErrNotFound
 	}
-	out.Blob = h.s.blobs.cached(p.number, []int64{out.At})[out.At]
+	out.Blob = h.s.blobs.cached(p.number, []int64{out.Offset})[out.Offset]
 	return out, nil
 }
 
 // readBody reads a body from its blob.
-func (s *Service) readBody(ctx context.Context, location BodyAt) ([]byte, error) {
+func (s *Service) readBody(ctx context.Context, location BodyLocation) ([]byte, error) {
 	known := map[int64][]byte{}
 	if location.Blob != nil {
-		known[location.At] = location.Blob
+		known[location.Offset] = location.Blob
 	}
-	blobs, err := s.blobs.get(ctx, location.Part, []int64{location.At}, known)
+	blobs, err := s.blobs.get(ctx, location.Partition, []int64{location.Offset}, known)
 	if err != nil {
 		return nil, errors.Join(ErrUnsure, err)
 	}
-	requests, err := batch.UnpackRequests(blobs[location.At])
+	requests, err := batch.UnpackRequests(blobs[location.Offset])
 	if err != nil || location.Index >= len(requests) {
 		return nil, errors.Join(ErrUnsure, err)
 	}
--- a/internal/batchrun/read_test.go
+++ b/internal/batchrun/read_test.go
@@ -151,10 +151,10 @@
 		s := w.vms[0].daemon()
 		g.Expect(s.Submit(ctx, "b", head, items, requests)).To(Succeed())
 		time.Sleep(10 * time.Second)
-		l, err := s.Here().List(ctx, "b", 0, 0)
+		l, err := s.LocalHandler().List(ctx, "b", 0, 0)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(l.Listed).To(HaveLen(2))
-		for _, offset := range textOffsets(l.Listed[1:]) {
+		g.Expect(l.Samples).To(HaveLen(2))
+		for _, offset := range textOffsets(l.Samples[1:]) {
 			delete(l.Blobs, offset)
 		}
 		s.blobs = newBlobCache(s.options.Log, w.parts)
@@ -163,7 +163,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(1))
 		g.Expect(page.Next).To(Equal(1))
-		_, err = s.readPage(ctx, Listing{Part: l.Part, Total: 2, Listed: l.Listed[1:]}, 1)
+		_, err = s.readPage(ctx, Listing{Partition: l.Partition, Total: 2, Samples: l.Samples[1:]}, 1)
 		g.Expect(err).To(MatchError(ErrUnsure))
 	})
 }
--- a/internal/batchrun/scale_test.go
+++ b/internal/batchrun/scale_test.go
@@ -100,7 +100,7 @@
 		if s.Loaded() && s.Lag() < time.Second {
 			daemons++
 		}
-		for _, part := range s.Owns() {
+		for _, part := range s.OwnedPartitions() {
 			owned[part] = true
 		}
 	}
--- a/internal/batchrun/scorer_test.go
+++ b/internal/batchrun/scorer_test.go
@@ -36,7 +36,7 @@
 func rewardCallID(sample string) string { return "reward-" + sample }
 
 // Score returns a signature with the number of the call, from 1.
-func (f *fakeScorer) Score(ctx context.Context, route routes.Route, c batch.RewardCall) Verdict {
+func (f *fakeScorer) Score(ctx context.Context, route routes.Route, c batch.RewardCall) ScoreResult {
 	sample := strings.TrimPrefix(c.ID, "reward-")
 	if c.Host != testHost || route.Name != "rewards" || string(c.Body) != "score "+sample {
 		f.t.Errorf("sample %s has the reward call %+v on route %s", sample, c, route.Name)
@@ -51,16 +51,16 @@
 	f.mu.Unlock()
 	select {
 	case <-ctx.Done():
-		return Verdict{Reason: "cancelled"}
+		return ScoreResult{Reason: "cancelled"}
 	case <-time.After(f.callDuration):
 	}
 	switch {
 	case failed:
-		return Verdict{Failures: 1, Reason: "status 500"}
+		return ScoreResult{Failures: 1, Reason: "status 500"}
 	case f.engines.chance(f.noScoreRate):
-		return Verdict{Reason: "incomplete answer"}
+		return ScoreResult{Reason: "incomplete answer"}
 	}
-	return Verdict{Score: signature}
+	return ScoreResult{Score: signature}
 }
 
 // checkScore fails the test unless a result's score is the signature of a successful answer to a
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -15,11 +15,11 @@
 // Scorer makes reward calls.
 type Scorer interface {
 	// Score sends a reward call over its route, within that route's limits.
-	Score(ctx context.Context, route routes.Route, call batch.RewardCall) Verdict
+	Score(ctx context.Context, route routes.Route, call batch.RewardCall) ScoreResult
 }
 
-// Verdict is the outcome of a reward call.
-type Verdict struct {
+// ScoreResult is the outcome of a reward call.
+type ScoreResult struct {
 	Score string // signature of the successful answer, "" if there was none
 	// Failures is the number of upstreams that ran the call and answered that it failed.
 	Failures int
@@ -112,7 +112,7 @@
 
 // onRewardCallEnded is called when a reward call has ended. It queues the sample's result if there
 // is a score, or schedules a retry.
-func (r *runner) onRewardCallEnded(key sampleKey, sampleID, callID string, x *rewardCall, v Verdict, cancelled bool, took time.Duration) {
+func (r *runner) onRewardCallEnded(key sampleKey, sampleID, callID string, x *rewardCall, v ScoreResult, cancelled bool, took time.Duration) {
 	now := r.s.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +138,7 @@
 }
 
 // logRewardCall logs the end of a reward call.
-func (r *runner) logRewardCall(key sampleKey, sampleID, callID string, v Verdict, cancelled bool, took time.Duration) {
+func (r *runner) logRewardCall(key sampleKey, sampleID, callID string, v ScoreResult, cancelled bool, took time.Duration) {
 	line := r.log.Info()
 	if v.Score == "" {
 		line = r.log.Warn().Err(errNoScore).Str("why", v.Reason).Dur("retry_after", v.RetryAfter)
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -81,7 +81,7 @@
 
 // rankByPartition ranks daemons as production does.
 func rankByPartition(_ context.Context, _ *testVM, b *batchrun.Service) duties.Turn {
-	return duties.ByPartition(b.Owns, parts, duties.Candidates)
+	return duties.ByPartition(b.OwnedPartitions, parts, duties.Candidates)
 }
 
 func newTestCluster(t *testing.T, vms int, o dutyapi.Options) *testCluster {
@@ -153,7 +153,7 @@
 		VM: v.name, Log: v.store, Claims: batches, Turn: c.newRank(ctx, v, batches), Platform: v.platform, Usage: &timing, Scaled: c.scaledServices, Now: c.now, Clock: time.Now, Logger: log,
 	})
 	v.mu.Lock()
-	v.cancel, v.counts, v.owns = cancel, counts, batches.Owns
+	v.cancel, v.counts, v.owns = cancel, counts, batches.OwnedPartitions
 	v.mu.Unlock()
 	go batches.Run(ctx)
 	go counts.Run(ctx)
