--- a/cmd/dogwoodflowctl/keys.go
+++ b/cmd/dogwoodflowctl/keys.go
@@ -44,7 +44,7 @@
 	if f.days < 1 || f.days > 100*365 {
 		return keys.Validity{}, usagef("--days must be 1 to 36500")
 	}
-	return keys.Validity{From: time.Now(), For: time.Duration(f.days) * day}, nil
+	return keys.Validity{IssuedAt: time.Now(), Duration: time.Duration(f.days) * day}, nil
 }
 
 func keysCA(g *globals, parent *ff.FlagSet) *ff.Command {
@@ -126,7 +126,7 @@
 	return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key")
 }
 
-func readPair(dir, name string) (pair keys.Pair, err error) {
+func readPair(dir, name string) (pair keys.KeyPair, err error) {
 	certificate, key := pairFiles(dir, name)
 	if pair.Certificate, err = os.ReadFile(certificate); err != nil {
 		return pair, fmt.Errorf("--dir: %w", err)
@@ -138,7 +138,7 @@
 }
 
 // writePair writes both files or leaves none of its own behind.
-func (g *globals) writePair(dir, name string, pair keys.Pair) error {
+func (g *globals) writePair(dir, name string, pair keys.KeyPair) error {
 	certificate, key := pairFiles(dir, name)
 	if err := writeNew(key, pair.Key); err != nil {
 		return err
--- a/cmd/dogwoodflowctl/platform.go
+++ b/cmd/dogwoodflowctl/platform.go
@@ -155,7 +155,7 @@
 }
 
 func (p *platformDaemons) customers(ctx context.Context) error {
-	var list []customers.KeyInForce
+	var list []customers.ActiveKey
 	if err := p.first(ctx, http.MethodGet, pages.PathCustomers, &list); err != nil {
 		return err
 	}
--- a/cmd/dogwoodflowctl/platform_test.go
+++ b/cmd/dogwoodflowctl/platform_test.go
@@ -50,8 +50,8 @@
 		Servers: []inspect.Servers{{Service: "engines", DataCentre: "east", Regular: 16, Spot: 5, SpotOrdered: 8}}}
 }
 
-func (d recordedDaemon) Customers() []customers.KeyInForce {
-	return []customers.KeyInForce{{Customer: "koperasi", SHA256: "1329b75e367c"}}
+func (d recordedDaemon) Customers() []customers.ActiveKey {
+	return []customers.ActiveKey{{Customer: "koperasi", SHA256: "1329b75e367c"}}
 }
 
 func (d recordedDaemon) Upstreams() []inspect.Upstream {
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -116,8 +116,8 @@
 func (w *testCluster) startDaemon(v *testVM) {
 	view := fleet.New(w.now)
 	view.SetConfig(routes.New(1, []routes.Route{
-		{Host: testHost, PathPrefix: testPath, Kind: routes.Batch, Services: []routes.Share{{Service: "engines", Weight: 1}}},
-		{Name: "rewards", Host: testHost, PathPrefix: rewardPath, Kind: routes.Safe, MaxAttempts: 4, Services: []routes.Share{{Service: "scorers", Weight: 1}}},
+		{Host: testHost, PathPrefix: testPath, Kind: routes.Batch, Services: []routes.WeightedService{{Service: "engines", Weight: 1}}},
+		{Name: "rewards", Host: testHost, PathPrefix: rewardPath, Kind: routes.Safe, MaxAttempts: 4, Services: []routes.WeightedService{{Service: "scorers", Weight: 1}}},
 	}, []routes.Service{{Name: "engines", Engine: &routes.Engine{Slots: 8, Models: w.models}}}, routes.Limits{}, nil))
 	view.Upstreams(func(r *registry.Registry, now time.Duration) {
 		for id := range w.engines.engines {
--- a/internal/customers/customers.go
+++ b/internal/customers/customers.go
@@ -100,8 +100,8 @@
 	return c, nil
 }
 
-// KeyInForce describes a key of the current configuration to operators.
-type KeyInForce struct {
+// ActiveKey describes a key of the current configuration to operators.
+type ActiveKey struct {
 	Customer string `json:"customer"` // name
 	SHA256   string `json:"sha256"`   // the first hexadecimal digits of the key's hash
 }
@@ -110,16 +110,16 @@
 // to distinguish a few hundred keys, and don't reveal a key.
 const shownHashDigits = 12
 
-// InForce returns all keys, sorted by customer.
-func (d *Directory) InForce() []KeyInForce {
-	out := []KeyInForce{}
+// ActiveKeys returns all keys, sorted by customer.
+func (d *Directory) ActiveKeys() []ActiveKey {
+	out := []ActiveKey{}
 	if d == nil {
 		return out
 	}
 	for hash, c := range d.byKey {
-		out = append(out, KeyInForce{Customer: c.Name, SHA256: hex.EncodeToString(hash[:])[:shownHashDigits]})
+		out = append(out, ActiveKey{Customer: c.Name, SHA256: hex.EncodeToString(hash[:])[:shownHashDigits]})
 	}
-	slices.SortFunc(out, func(a, b KeyInForce) int {
+	slices.SortFunc(out, func(a, b ActiveKey) int {
 		return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(a.SHA256, b.SHA256))
 	})
 	return out
--- a/internal/customers/customers_test.go
+++ b/internal/customers/customers_test.go
@@ -55,7 +55,7 @@
 	got, err := d.Identify("anything", false)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(Customer{}))
-	g.Expect(d.InForce()).To(BeEmpty())
+	g.Expect(d.ActiveKeys()).To(BeEmpty())
 }
 
 // The last customer was removed. Its callers must be refused, and not accepted as if no keys
@@ -121,7 +121,7 @@
 // The list of keys that operators see must distinguish the keys without containing one.
 func TestInForceShowsOnlyHashes(t *testing.T) {
 	g := NewWithT(t)
-	shown := directory(t, entry("b", "secret-3"), entry("a", "secret-1", "secret-2")).InForce()
+	shown := directory(t, entry("b", "secret-3"), entry("a", "secret-1", "secret-2")).ActiveKeys()
 	g.Expect(shown).To(HaveLen(3))
 	g.Expect(shown[0].Customer).To(Equal("a"))
 	g.Expect(shown[0].SHA256).NotTo(Equal(shown[1].SHA256))
--- a/internal/duties/caller.go
+++ b/internal/duties/caller.go
@@ -16,7 +16,7 @@
 
 // claimAndCall claims a duty and makes a call under the claim. It returns the call's outcome
 // and the claim's fencing token. made is false if no call was made.
-func (c *fencedCaller) claimAndCall(ctx context.Context, duty string, call func(context.Context, Call) (Outcome, error)) (o Outcome, fence int64, made bool) {
+func (c *fencedCaller) claimAndCall(ctx context.Context, duty string, call func(context.Context, Claim) (Outcome, error)) (o Outcome, fence int64, made bool) {
 	log := c.options.Logger
 	if c.lastUnanswered.Load() && !c.options.Platform.Reachable(ctx) {
 		// The platform may be unreachable for this daemon alone. Its claims would block the
@@ -34,7 +34,7 @@
 		return Unknown, 0, false
 	}
 	began := c.options.Now()
-	o, err = call(ctx, Call{Holder: c.options.VM, Fence: permit.Fence})
+	o, err = call(ctx, Claim{Holder: c.options.VM, FencingToken: permit.Fence})
 	c.lastUnanswered.Store(o == Unknown)
 	event := log.Info()
 	if o != Done {
--- a/internal/duties/counts.go
+++ b/internal/duties/counts.go
@@ -27,8 +27,8 @@
 	countsFailed    = metrics.Counter("usage_appends_failed")
 )
 
-// CountsOptions configures the counting of usage.
-type CountsOptions struct {
+// UsageRecorderOptions configures the counting of usage.
+type UsageRecorderOptions struct {
 	Log    store.Log
 	Usage  *usage.Timing        // the windows and their retention, nil: nothing is counted
 	Now    func() time.Duration // monotonic clock, also advances while the VM is suspended
@@ -36,10 +36,10 @@
 	Logger zerolog.Logger
 }
 
-// Counts counts the customers' requests that upstreams started to run for this daemon, and
+// UsageRecorder counts the customers' requests that upstreams started to run for this daemon, and
 // appends the counts to the duties' log. It is safe for concurrent use.
-type Counts struct {
-	options CountsOptions
+type UsageRecorder struct {
+	options UsageRecorderOptions
 	writer  string        // identifies this process in the log
 	ready   chan struct{} // receives a value when there are new counts
 
@@ -52,9 +52,9 @@
 	unconfirmed []unconfirmedRecord // oldest first
 }
 
-// NewCounts returns an instance without counts.
-func NewCounts(o CountsOptions) *Counts {
-	c := &Counts{options: o, writer: uuid.NewString(), ready: make(chan struct{}, 1), flushed: make(chan struct{})}
+// NewUsageRecorder returns an instance without counts.
+func NewUsageRecorder(o UsageRecorderOptions) *UsageRecorder {
+	c := &UsageRecorder{options: o, writer: uuid.NewString(), ready: make(chan struct{}, 1), flushed: make(chan struct{})}
 	close(c.flushed)
 	if o.Usage != nil {
 		c.counter = usage.NewCounter(o.Usage.Windows)
@@ -64,7 +64,7 @@
 
 // Began counts a request of a customer. ago is the time since the request started to run. It
 // doesn't block.
-func (c *Counts) Began(customer string, ago time.Duration) {
+func (c *UsageRecorder) Began(customer string, ago time.Duration) {
 	if c.counter == nil {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // Run appends counts until the context ends.
-func (c *Counts) Run(ctx context.Context) {
+func (c *UsageRecorder) Run(ctx context.Context) {
 	var pacer usage.AppendPacer
 	for failures := 0; ; {
 		if len(c.unconfirmed) == 0 {
@@ -131,7 +131,7 @@
 const maxUnconfirmed = 16
 
 // encodePending makes a record of the counts since the last record.
-func (c *Counts) encodePending() {
+func (c *UsageRecorder) encodePending() {
 	if len(c.unconfirmed) == maxUnconfirmed {
 		return
 	}
@@ -152,7 +152,7 @@
 
 // appendUnconfirmed appends the unconfirmed records in one call. attempt counts from 1. It
 // reports false if the append must be repeated.
-func (c *Counts) appendUnconfirmed(ctx context.Context, attempt int) bool {
+func (c *UsageRecorder) appendUnconfirmed(ctx context.Context, attempt int) bool {
 	c.dropExpired()
 	if len(c.unconfirmed) == 0 {
 		return true
@@ -183,7 +183,7 @@
 
 // logEvent returns a log line for a failed append. Its level is info if the store refused the
 // append, and warn otherwise.
-func (c *Counts) logEvent(err error) *zerolog.Event {
+func (c *UsageRecorder) logEvent(err error) *zerolog.Event {
 	if errors.Is(err, store.ErrNotDone) {
 		return c.options.Logger.Info()
 	}
@@ -192,7 +192,7 @@
 
 // dropExpired drops the counts of windows that are no longer reported. Without it, counts
 // would accumulate without bound during an outage of hours.
-func (c *Counts) dropExpired() {
+func (c *UsageRecorder) dropExpired() {
 	now := c.options.Clock()
 	c.unconfirmed = slices.DeleteFunc(c.unconfirmed, func(r unconfirmedRecord) bool {
 		expired := now.Sub(c.options.Usage.Windows.End(r.newest)) > c.options.Usage.Retention()
@@ -210,7 +210,7 @@
 }
 
 // signalFlushed closes flushed if no counts await their append.
-func (c *Counts) signalFlushed() {
+func (c *UsageRecorder) signalFlushed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counter.Empty() && len(c.unconfirmed) == 0 && !isClosed(c.flushed) {
@@ -219,7 +219,7 @@
 }
 
 // Drain waits until Run has appended all counts, or dropped them, or the context ends.
-func (c *Counts) Drain(ctx context.Context) {
+func (c *UsageRecorder) Drain(ctx context.Context) {
 	c.mu.Lock()
 	flushed := c.flushed
 	c.mu.Unlock()
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -47,19 +47,19 @@
 	return [...]string{"unknown", "done", "fenced", "refused", "rejected", "unavailable"}[o]
 }
 
-// Call identifies the claim under which a call is made.
-type Call struct {
-	Holder string // this VM
-	Fence  int64  // fencing token of the claim
+// Claim identifies the claim under which a call is made.
+type Claim struct {
+	Holder       string // this VM
+	FencingToken int64  // fencing token of the claim
 }
 
 // Platform is the API of the platform that the duties call.
 type Platform interface {
 	// ReportUsage reports the counts of a window. The platform accepts an identical report
 	// more than once.
-	ReportUsage(ctx context.Context, c Call, report usage.WindowCounts) (Outcome, error)
+	ReportUsage(ctx context.Context, c Claim, report usage.WindowCounts) (Outcome, error)
 	// Scale orders servers of a service. The order's count includes the existing servers.
-	Scale(ctx context.Context, c Call, service string, o scaling.Order) (Outcome, error)
+	Scale(ctx context.Context, c Claim, service string, o scaling.Order) (Outcome, error)
 	// Reachable reports whether the platform's address accepts connections.
 	Reachable(ctx context.Context) bool
 }
@@ -72,27 +72,27 @@
 	Barred(duty string) time.Duration
 }
 
-// Turn returns a daemon's rank. Rank 0 performs the duties, higher ranks are standbys. ok is
+// RankFunc returns a daemon's rank. Rank 0 performs the duties, higher ranks are standbys. ok is
 // false for a daemon that isn't a candidate.
-type Turn func() (rank int, ok bool)
+type RankFunc func() (rank int, ok bool)
 
 // Options of a Service.
 type Options struct {
 	VM       string // this VM's name
 	Log      store.Log
 	Claims   Claims
-	Turn     Turn // this daemon's rank
+	Rank     RankFunc // this daemon's rank
 	Platform Platform
 	// Usage defines the windows that are reported. nil: usage isn't reported.
 	Usage *usage.Timing
-	// Scaled returns the services whose servers may be ordered. nil: none are.
-	Scaled func() []Scaled
-	// Hold, if set, makes the daemon follow the platform's list of upstreams until release is
+	// ScaledServices returns the services whose servers may be ordered. nil: none are.
+	ScaledServices func() []ScaledService
+	// HoldUpstreams, if set, makes the daemon follow the platform's list of upstreams until release is
 	// called. It is held while the daemon is a candidate. nil: the list is always followed.
-	Hold   func() (release func())
-	Now    func() time.Duration // monotonic clock, also advances while the VM is suspended
-	Clock  func() time.Time     // wall clock
-	Logger zerolog.Logger
+	HoldUpstreams func() (release func())
+	Now           func() time.Duration // monotonic clock, also advances while the VM is suspended
+	Clock         func() time.Time     // wall clock
+	Logger        zerolog.Logger
 }
 
 // task is one duty.
@@ -121,7 +121,7 @@
 	if o.Usage != nil {
 		s.tasks = append(s.tasks, &reporter{options: o, view: s.view, caller: calls})
 	}
-	if o.Scaled != nil {
+	if o.ScaledServices != nil {
 		s.tasks = append(s.tasks, newScaler(o, s.view, calls))
 	}
 	return s
@@ -144,7 +144,7 @@
 
 // updateRank updates the rank and reports whether this daemon is a candidate.
 func (s *Service) updateRank() bool {
-	rank, ok := s.options.Turn()
+	rank, ok := s.options.Rank()
 	if !ok {
 		rank = notCandidate
 	}
@@ -169,8 +169,8 @@
 // doesn't delay an order.
 func (s *Service) runWhileCandidate(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	if s.options.Hold != nil && s.options.Scaled != nil {
-		defer s.options.Hold()()
+	if s.options.HoldUpstreams != nil && s.options.ScaledServices != nil {
+		defer s.options.HoldUpstreams()()
 	}
 	var work sync.WaitGroup
 	work.Go(func() { s.view.follow(ctx) })
@@ -190,16 +190,16 @@
 	work.Wait()
 }
 
-// Candidates is the number of partitions whose owners are candidates. A candidate follows
+// MaxCandidates is the number of partitions whose owners are candidates. A candidate follows
 // what the duties need, so that it can take over at once.
-const Candidates = 6
+const MaxCandidates = 6
 
-// ByPartition ranks daemons by the partitions that they own, which owns returns. The owner of
+// RankByPartition ranks daemons by the partitions that they own, which owns returns. The owner of
 // the last of parts partitions has rank 0, the owner of the one before it rank 1, and so on.
 // The owners of the last candidates partitions are the candidates. Ranks start at the last
 // partition because models are assigned the first ones, so that mostly a daemon without
 // samples to run performs the duties.
-func ByPartition(owns func() []int, parts, candidates int) Turn {
+func RankByPartition(owns func() []int, parts, candidates int) RankFunc {
 	return func() (rank int, ok bool) {
 		rank = parts
 		for _, part := range owns() {
@@ -212,18 +212,18 @@
 // State is the state of the duties that operators see.
 type State struct {
 	Rank int // this daemon's rank, -1 if it isn't a candidate
-	// LastWindow is the newest window whose report the platform accepted, as far as this
+	// LastReportedWindow is the newest window whose report the platform accepted, as far as this
 	// daemon has read the log. 0: none.
-	LastWindow int64
-	Names      []string // the duties' names in claims
-	Servers    []ServersState
+	LastReportedWindow int64
+	DutyNames          []string // the duties' names in claims
+	Servers            []ServersState
 }
 
 // ServersState describes a service's servers in one data centre.
 type ServersState struct {
 	Service, DataCentre string
-	There               scaling.Servers
-	Ordered             int // count of the last order of spot servers known here, -1 if none is
+	Existing            scaling.Servers
+	SpotOrdered         int // count of the last order of spot servers known here, -1 if none is
 }
 
 // State returns the state of the duties as this daemon knows it.
@@ -232,20 +232,20 @@
 	s.view.mu.Lock()
 	defer s.view.mu.Unlock()
 	if last, ok := s.view.usage.LastSent(); ok {
-		out.LastWindow = last
+		out.LastReportedWindow = last
 	}
 	if s.options.Usage != nil {
-		out.Names = append(out.Names, UsageDuty)
+		out.DutyNames = append(out.DutyNames, UsageDuty)
 	}
-	if s.options.Scaled == nil {
+	if s.options.ScaledServices == nil {
 		return out
 	}
-	for _, service := range s.options.Scaled() {
-		for _, dc := range slices.Sorted(maps.Keys(service.Market.RegularPrices)) {
-			out.Names = append(out.Names, scalingDuty(service.Service, dc))
-			state := ServersState{Service: service.Service, DataCentre: dc, There: service.There[dc], Ordered: -1}
+	for _, service := range s.options.ScaledServices() {
+		for _, dc := range slices.Sorted(maps.Keys(service.Spec.RegularPrices)) {
+			out.DutyNames = append(out.DutyNames, scalingDuty(service.Service, dc))
+			state := ServersState{Service: service.Service, DataCentre: dc, Existing: service.Servers[dc], SpotOrdered: -1}
 			if count, ok := s.view.plannerLocked(service.Service).LastOrdered(scaling.Pool{DataCentre: dc, Spot: true}); ok {
-				state.Ordered = count
+				state.SpotOrdered = count
 			}
 			out.Servers = append(out.Servers, state)
 		}
--- a/internal/duties/duties_test.go
+++ b/internal/duties/duties_test.go
@@ -25,12 +25,12 @@
 		{[]int{18}, 5, true},
 		{[]int{17, 3}, 6, false},
 	} {
-		rank, ok := duties.ByPartition(func() []int { return c.owned }, 24, duties.Candidates)()
+		rank, ok := duties.RankByPartition(func() []int { return c.owned }, 24, duties.MaxCandidates)()
 		g := NewWithT(t)
 		g.Expect(ok).To(Equal(c.ok), "%v", c.owned)
 		g.Expect(rank).To(Equal(c.rank), "%v", c.owned)
 	}
-	only := duties.ByPartition(func() []int { return []int{0} }, 1, duties.Candidates)
+	only := duties.RankByPartition(func() []int { return []int{0} }, 1, duties.MaxCandidates)
 	rank, ok := only()
 	NewWithT(t).Expect([]any{rank, ok}).To(Equal([]any{0, true}), "a store with one partition")
 }
--- a/internal/duties/reporter.go
+++ b/internal/duties/reporter.go
@@ -79,7 +79,7 @@
 
 // sendReport sends a report and reports whether the platform accepted it.
 func (r *reporter) sendReport(ctx context.Context, report usage.WindowCounts) bool {
-	outcome, fence, made := r.caller.claimAndCall(ctx, UsageDuty, func(ctx context.Context, c Call) (Outcome, error) {
+	outcome, fence, made := r.caller.claimAndCall(ctx, UsageDuty, func(ctx context.Context, c Claim) (Outcome, error) {
 		return r.options.Platform.ReportUsage(ctx, c, report)
 	})
 	if !made {
--- a/internal/duties/scaler.go
+++ b/internal/duties/scaler.go
@@ -23,12 +23,12 @@
 	ordersUnavailable = metrics.Counter("scaling_orders_unavailable")
 )
 
-// Scaled describes a service whose servers may be ordered, and its servers now.
-type Scaled struct {
-	Service string
-	Market  scaling.ServiceSpec        // what may be ordered
-	There   map[string]scaling.Servers // existing servers by data centre
-	Samples int                        // total of one batch of each of the service's models
+// ScaledService describes a service whose servers may be ordered, and its servers now.
+type ScaledService struct {
+	Service     string
+	Spec        scaling.ServiceSpec        // what may be ordered
+	Servers     map[string]scaling.Servers // existing servers by data centre
+	StepSamples int                        // total of one batch of each of the service's models
 }
 
 // scaler performs the duty of ordering servers.
@@ -53,7 +53,7 @@
 func (s *scaler) runDue(ctx context.Context, rank int) {
 	now := s.options.Now()
 	stillNeeded := map[neededOrder]time.Duration{}
-	for _, service := range s.options.Scaled() {
+	for _, service := range s.options.ScaledServices() {
 		for _, o := range s.decide(service, now) {
 			key := neededOrder{service.Service, o}
 			since, known := s.neededSince[key]
@@ -74,22 +74,22 @@
 }
 
 // decide returns the orders that a service needs now.
-func (s *scaler) decide(service Scaled, now time.Duration) []scaling.Order {
+func (s *scaler) decide(service ScaledService, now time.Duration) []scaling.Order {
 	s.view.mu.Lock()
 	defer s.view.mu.Unlock()
-	return s.view.plannerLocked(service.Service).Decide(service.Market, scaling.State{Now: now, Servers: service.There, StepSamples: service.Samples})
+	return s.view.plannerLocked(service.Service).Decide(service.Spec, scaling.State{Now: now, Servers: service.Servers, StepSamples: service.StepSamples})
 }
 
 // placeOrder places an order and records the outcome.
-func (s *scaler) placeOrder(ctx context.Context, service Scaled, o scaling.Order) {
-	outcome, fence, made := s.caller.claimAndCall(ctx, scalingDuty(service.Service, o.DataCentre), func(ctx context.Context, c Call) (Outcome, error) {
+func (s *scaler) placeOrder(ctx context.Context, service ScaledService, o scaling.Order) {
+	outcome, fence, made := s.caller.claimAndCall(ctx, scalingDuty(service.Service, o.DataCentre), func(ctx context.Context, c Claim) (Outcome, error) {
 		return s.options.Platform.Scale(ctx, c, service.Service, o)
 	})
 	if !made {
 		return
 	}
 	s.options.Logger.Info().Str("service", service.Service).Str("data_centre", o.DataCentre).Bool("spot", o.Spot).Int("count", o.Count).
-		Int("regular_there", service.There[o.DataCentre].Regular).Int("spot_there", service.There[o.DataCentre].Spot).Int("samples", service.Samples).
+		Int("regular_there", service.Servers[o.DataCentre].Regular).Int("spot_there", service.Servers[o.DataCentre].Spot).Int("samples", service.StepSamples).
 		Int64("fence", fence).Str("outcome", outcome.String()).Msg("servers ordered")
 	switch outcome {
 	case Done, Unknown: // an order without an answer may be carried out
--- a/internal/duties/ways_test.go
+++ b/internal/duties/ways_test.go
@@ -65,7 +65,7 @@
 }
 
 // rankByClaim ranks daemons by a claimElection.
-func rankByClaim(ctx context.Context, v *testVM, b *batchrun.Service) duties.Turn {
+func rankByClaim(ctx context.Context, v *testVM, b *batchrun.Service) duties.RankFunc {
 	c := &claimElection{batches: b, vm: v.name}
 	go c.run(ctx)
 	return c.rank
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -59,9 +59,9 @@
 	platform *dutyapi.Client
 
 	mu     sync.Mutex
-	cancel context.CancelFunc // kills the daemon
-	counts *duties.Counts     // nil: the daemon gets no calls
-	owns   func() []int       // partitions that the daemon owns
+	cancel context.CancelFunc    // kills the daemon
+	counts *duties.UsageRecorder // nil: the daemon gets no calls
+	owns   func() []int          // partitions that the daemon owns
 }
 
 // testCluster is a fleet, and the true counts of the calls that its daemons get.
@@ -72,7 +72,7 @@
 	store   *metastore.Store
 	api     *dutyapi.API
 	vms     []*testVM
-	newRank func(context.Context, *testVM, *batchrun.Service) duties.Turn
+	newRank func(context.Context, *testVM, *batchrun.Service) duties.RankFunc
 
 	mu          sync.Mutex
 	stepSamples int                      // samples of one batch
@@ -80,8 +80,8 @@
 }
 
 // rankByPartition ranks daemons as production does.
-func rankByPartition(_ context.Context, _ *testVM, b *batchrun.Service) duties.Turn {
-	return duties.ByPartition(b.OwnedPartitions, parts, duties.Candidates)
+func rankByPartition(_ context.Context, _ *testVM, b *batchrun.Service) duties.RankFunc {
+	return duties.RankByPartition(b.OwnedPartitions, parts, duties.MaxCandidates)
 }
 
 func newTestCluster(t *testing.T, vms int, o dutyapi.Options) *testCluster {
@@ -105,7 +105,7 @@
 const service = "engines"
 
 // scaledServices returns the servers as every daemon sees them.
-func (c *testCluster) scaledServices() []duties.Scaled {
+func (c *testCluster) scaledServices() []duties.ScaledService {
 	there := c.api.Servers(service, market.BootTime)
 	for dc := range market.RegularPrices {
 		s := there[dc]
@@ -114,7 +114,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return []duties.Scaled{{Service: service, Market: market, There: there, Samples: c.stepSamples}}
+	return []duties.ScaledService{{Service: service, Spec: market, Servers: there, StepSamples: c.stepSamples}}
 }
 
 // setStepSamples sets the number of samples of one batch.
@@ -148,9 +148,9 @@
 		VM: v.name, Policy: batchrun.DefaultPolicy(policy.Set{}), Log: v.store, Membership: v.store, Engines: noEngines{}, View: fleet.New(c.now), Suspects: health.NewSuspects(),
 		Partitions: parts, RecordBytes: 1 << 18, CallBytes: 1 << 21, MemberTTL: 1500 * time.Millisecond, ClaimLease: lease, Now: c.now, Logger: log,
 	})
-	counts := duties.NewCounts(duties.CountsOptions{Log: v.store, Usage: &timing, Now: c.now, Clock: time.Now, Logger: log})
+	counts := duties.NewUsageRecorder(duties.UsageRecorderOptions{Log: v.store, Usage: &timing, Now: c.now, Clock: time.Now, Logger: log})
 	service := duties.New(duties.Options{
-		VM: v.name, Log: v.store, Claims: batches, Turn: c.newRank(ctx, v, batches), Platform: v.platform, Usage: &timing, Scaled: c.scaledServices, Now: c.now, Clock: time.Now, Logger: log,
+		VM: v.name, Log: v.store, Claims: batches, Rank: c.newRank(ctx, v, batches), Platform: v.platform, Usage: &timing, ScaledServices: c.scaledServices, Now: c.now, Clock: time.Now, Logger: log,
 	})
 	v.mu.Lock()
 	v.cancel, v.counts, v.owns = cancel, counts, batches.OwnedPartitions
@@ -218,7 +218,7 @@
 		v.mu.Lock()
 		owns := v.owns
 		v.mu.Unlock()
-		if rank, ok := duties.ByPartition(owns, parts, duties.Candidates)(); ok && rank == 0 {
+		if rank, ok := duties.RankByPartition(owns, parts, duties.MaxCandidates)(); ok && rank == 0 {
 			return v
 		}
 	}
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -77,7 +77,7 @@
 				go tracker.Run(ctx)
 				f := &crashingUpstreams{resetOnly: resetOnly, down: map[string]bool{}}
 				gate := New(Options{View: view, Upstreams: f, Crashes: tracker, Suspects: health.NewSuspects(), DataCentre: "here", Now: now, Logger: zerolog.Nop()})
-				r := routes.Route{Kind: routes.Safe, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
+				r := routes.Route{Kind: routes.Safe, MaxAttempts: 2, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 				do := func(body string) (*Response, *Refusal) {
 					return gate.Do(ctx, r, &Call{ID: "c", Body: []byte(body), Deadline: time.Now().Add(time.Second)})
 				}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -238,7 +238,7 @@
 
 // hedgeDelay returns the time without a response after which a hedged request is sent.
 func (a *activeCall) hedgeDelay() time.Duration {
-	delay, ok := retry.HedgeAfter(a.route.Target)
+	delay, ok := retry.HedgeAfter(a.route.LatencyTarget)
 	if !ok || !a.g.policy.Enabled(policy.Hedge) {
 		return hedgeDisabledDelay
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -114,8 +114,8 @@
 }
 
 func route(kind routes.Kind, maxAttempts int) routes.Route {
-	return routes.Route{Name: "r", Kind: kind, MaxAttempts: maxAttempts, Timeout: time.Second, Target: 150 * time.Millisecond,
-		Services: []routes.Share{{Service: "s", Weight: 1}}}
+	return routes.Route{Name: "r", Kind: kind, MaxAttempts: maxAttempts, Timeout: time.Second, LatencyTarget: 150 * time.Millisecond,
+		Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 }
 
 func call() *Call { return &Call{ID: "c", Deadline: time.Now().Add(800 * time.Millisecond)} }
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -174,7 +174,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				gate, f := streamSetup(c.behaviours...)
-				r := routes.Route{Name: "r", Streaming: true, Resumable: c.resumable, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
+				r := routes.Route{Name: "r", Streaming: true, Resumable: c.resumable, MaxAttempts: 2, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 				result := gate.Stream(context.Background(), r, call(), 0, f)
 				g.Expect(outcomeOf(result)).To(Equal(c.outcome))
 				if c.received != "" || c.outcome != "aborted" {
@@ -207,7 +207,7 @@
 func TestCallerResumesStream(t *testing.T) {
 	g := NewWithT(t)
 	gate, f := streamSetup(streamBehaviour{version: 5})
-	r := routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
+	r := routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 	result := gate.Stream(context.Background(), r, call(), 3, f)
 	g.Expect(outcomeOf(result)).To(Equal("whole"))
 	g.Expect(f.received).To(Equal([]string{"u0:4"}))
@@ -221,7 +221,7 @@
 	g := NewWithT(t)
 	gate, f := streamSetup(streamBehaviour{version: 5}, streamBehaviour{version: 5})
 	f.disconnectAfter = 2
-	r := routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}
+	r := routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 	result := gate.Stream(context.Background(), r, call(), 0, f)
 	g.Expect(result.Err).To(MatchError(ErrStreamAborted))
 	g.Expect(f.opened).To(HaveLen(1))
@@ -234,7 +234,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		gate, f := streamSetup(streamBehaviour{hangAfter: 2})
-		r := routes.Route{MaxAttempts: 1, Timeout: 300 * time.Millisecond, Services: []routes.Share{{Service: "s", Weight: 1}}}
+		r := routes.Route{MaxAttempts: 1, Timeout: 300 * time.Millisecond, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 		began := time.Now()
 		result := gate.Stream(context.Background(), r, call(), 0, f)
 		g.Expect(result.Err).To(MatchError(ErrStreamAborted))
--- a/internal/gateway/usage_test.go
+++ b/internal/gateway/usage_test.go
@@ -82,7 +82,7 @@
 				startedAt := time.Now()
 				billed := call()
 				billed.Customer = "a"
-				gate.Stream(context.Background(), routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.Share{{Service: "s", Weight: 1}}}, billed, 0, f)
+				gate.Stream(context.Background(), routes.Route{Resumable: true, MaxAttempts: 2, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}, billed, 0, f)
 				g.Expect(counter.starts).To(HaveLen(c.want))
 				if c.behaviours[0].status == 0 {
 					g.Expect(counter.starts[0].Sub(startedAt)).To(Equal(f.firstEventDelay))
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -116,7 +116,7 @@
 	Status() Status
 	Duties() Duties
 	// Customers lists the keys in force by hash.
-	Customers() []customers.KeyInForce
+	Customers() []customers.ActiveKey
 	Batches() []Batch
 	// Batch returns one batch, false if this daemon knows none of that ID.
 	Batch(id string) (BatchDetail, bool)
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -36,17 +36,17 @@
 	ErrEmptySecret = errors.New("keys: the secret is empty")
 )
 
-// Pair is a certificate and its private key, both PEM-encoded.
-type Pair struct{ Certificate, Key []byte }
+// KeyPair is a certificate and its private key, both PEM-encoded.
+type KeyPair struct{ Certificate, Key []byte }
 
 // Validity is the period of validity of a certificate.
 type Validity struct {
-	From time.Time // time of issue
-	For  time.Duration
+	IssuedAt time.Time // time of issue
+	Duration time.Duration
 }
 
 // NewAuthority creates a certificate authority. The name is for people only.
-func NewAuthority(name string, v Validity) (Pair, error) {
+func NewAuthority(name string, v Validity) (KeyPair, error) {
 	template := v.template(name)
 	template.IsCA, template.BasicConstraintsValid = true, true
 	template.MaxPathLenZero = true // it signs certificates of VMs, not of other authorities
@@ -56,13 +56,13 @@
 
 // Issue creates a VM's certificate for DNS names and IP addresses. It is valid for servers and
 // clients, and expires no later than the authority's certificate.
-func Issue(authority Pair, names []string, v Validity) (Pair, error) {
+func Issue(authority KeyPair, names []string, v Validity) (KeyPair, error) {
 	if len(names) == 0 {
-		return Pair{}, ErrMissingName
+		return KeyPair{}, ErrMissingName
 	}
 	parent, key, err := authority.parse()
 	if err != nil {
-		return Pair{}, err
+		return KeyPair{}, err
 	}
 	template := v.template(names[0])
 	if template.NotAfter.After(parent.NotAfter) {
@@ -106,50 +106,50 @@
 func (v Validity) template(name string) *x509.Certificate {
 	return &x509.Certificate{
 		Subject:   pkix.Name{CommonName: name},
-		NotBefore: v.From.Add(-clockTolerance),
-		NotAfter:  v.From.Add(v.For),
+		NotBefore: v.IssuedAt.Add(-clockTolerance),
+		NotAfter:  v.IssuedAt.Add(v.Duration),
 	}
 }
 
 // sign generates a key and signs a certificate for it. If parent is nil, the certificate is
 // self-signed.
-func sign(template, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (Pair, error) {
+func sign(template, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (KeyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, fmt.Errorf("keys: generate key: %w", err)
+		return KeyPair{}, fmt.Errorf("keys: generate key: %w", err)
 	}
 	if parent == nil {
 		parent, parentKey = template, key
 	}
 	template.SerialNumber, err = rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 127))
 	if err != nil {
-		return Pair{}, fmt.Errorf("keys: generate serial number: %w", err)
+		return KeyPair{}, fmt.Errorf("keys: generate serial number: %w", err)
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
 	if err != nil {
-		return Pair{}, fmt.Errorf("keys: create certificate: %w", err)
+		return KeyPair{}, fmt.Errorf("keys: create certificate: %w", err)
 	}
 	created, err := x509.ParseCertificate(der)
 	if err != nil || !slices.Equal(created.DNSNames, template.DNSNames) {
-		return Pair{}, fmt.Errorf("keys: not all of the names %v are valid in a certificate: %w", template.DNSNames, err)
+		return KeyPair{}, fmt.Errorf("keys: not all of the names %v are valid in a certificate: %w", template.DNSNames, err)
 	}
 	return encode(der, key)
 }
 
 // encode returns a DER-encoded certificate and its key as PEM.
-func encode(der []byte, key *ecdsa.PrivateKey) (Pair, error) {
+func encode(der []byte, key *ecdsa.PrivateKey) (KeyPair, error) {
 	private, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Pair{}, fmt.Errorf("keys: encode key: %w", err)
+		return KeyPair{}, fmt.Errorf("keys: encode key: %w", err)
 	}
-	return Pair{
+	return KeyPair{
 		Certificate: pem.EncodeToMemory(&pem.Block{Type: certificateBlock, Bytes: der}),
 		Key:         pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: private}),
 	}, nil
 }
 
 // parse parses an authority's pair. Error: ErrInvalidAuthority.
-func (p Pair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func (p KeyPair) parse() (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	certificate, err := parseBlock(p.Certificate, x509.ParseCertificate)
 	if err != nil {
 		return nil, nil, err
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -24,7 +24,7 @@
 
 func TestIssueRefuses(t *testing.T) {
 	g := NewWithT(t)
-	v := keys.Validity{From: time.Unix(1e9, 0), For: time.Hour}
+	v := keys.Validity{IssuedAt: time.Unix(1e9, 0), Duration: time.Hour}
 	ca, err := keys.NewAuthority("fleet", v)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = keys.Issue(ca, nil, v)
@@ -34,6 +34,6 @@
 	// A VM's certificate can't issue other certificates.
 	_, err = keys.Issue(vm, []string{"entry-2"}, v)
 	g.Expect(err).To(MatchError(keys.ErrInvalidAuthority))
-	_, err = keys.Issue(keys.Pair{Certificate: ca.Certificate, Key: vm.Key}, []string{"entry-2"}, v)
+	_, err = keys.Issue(keys.KeyPair{Certificate: ca.Certificate, Key: vm.Key}, []string{"entry-2"}, v)
 	g.Expect(err).To(MatchError(keys.ErrInvalidAuthority))
 }
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -17,18 +17,18 @@
 
 var issued = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newAuthority() keys.Pair {
+func newAuthority() keys.KeyPair {
 	GinkgoHelper()
-	ca, err := keys.NewAuthority("fleet", keys.Validity{From: issued, For: 1000 * time.Hour})
+	ca, err := keys.NewAuthority("fleet", keys.Validity{IssuedAt: issued, Duration: 1000 * time.Hour})
 	Expect(err).NotTo(HaveOccurred())
 	return ca
 }
 
 // identity is a VM's, by an authority, good for 100 hours from issued on; at is
 // its clock.
-func identity(ca keys.Pair, vm string, at time.Time) *Identity {
+func identity(ca keys.KeyPair, vm string, at time.Time) *Identity {
 	GinkgoHelper()
-	pair, err := keys.Issue(ca, []string{vm, "127.0.0.1"}, keys.Validity{From: issued, For: 100 * time.Hour})
+	pair, err := keys.Issue(ca, []string{vm, "127.0.0.1"}, keys.Validity{IssuedAt: issued, Duration: 100 * time.Hour})
 	Expect(err).NotTo(HaveOccurred())
 	certificate, err := tls.X509KeyPair(pair.Certificate, pair.Key)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -23,26 +23,26 @@
 
 // Route sends the requests of one host and path prefix to services.
 type Route struct {
-	Name        string
-	Host        string // not case-sensitive
-	PathPrefix  string // starts and ends with a slash
-	Kind        Kind
-	Streaming   bool          // the answer is a stream of events
-	Resumable   bool          // another upstream may continue a stream after its last event
-	Timeout     time.Duration // longest time that a caller waits, 0: no limit
-	Target      time.Duration // latency objective
-	Priority    int           // 0 is the highest
-	Public      bool          // callers need no key
-	Services    []Share
-	MaxAttempts int // number of upstreams to which one attempt of a caller may be sent
+	Name          string
+	Host          string // not case-sensitive
+	PathPrefix    string // starts and ends with a slash
+	Kind          Kind
+	Streaming     bool          // the answer is a stream of events
+	Resumable     bool          // another upstream may continue a stream after its last event
+	Timeout       time.Duration // longest time that a caller waits, 0: no limit
+	LatencyTarget time.Duration // latency objective
+	Priority      int           // 0 is the highest
+	Public        bool          // callers need no key
+	Services      []WeightedService
+	MaxAttempts   int // number of upstreams to which one attempt of a caller may be sent
 
 	Retention     time.Duration // of batches: time from submission after which a sample may be dropped
 	BatchTarget   time.Duration // of batches: time from submission within which all results are due
 	SingleVersion bool          // of batches: a sample may have tokens of one weight version only
 }
 
-// Share is a service that gets a share of a route's requests.
-type Share struct {
+// WeightedService is a service that gets a share of a route's requests.
+type WeightedService struct {
 	Service string // name
 	Weight  int    // relative to the weights of the route's other services
 }
@@ -57,10 +57,10 @@
 
 // Scaling limits how many upstreams of a service may be ordered, and says at which price.
 type Scaling struct {
-	Min, Max  int                // number of upstreams in one data centre
-	Boot      time.Duration      // time from an order until its upstreams serve
-	SpotPrice float64            // price of a spot upstream relative to a regular one, 0: there are none
-	Prices    map[string]float64 // price of a regular upstream, by data centre
+	MinPerDataCentre, MaxPerDataCentre int                // number of upstreams in one data centre
+	BootTime                           time.Duration      // time from an order until its upstreams serve
+	SpotPrice                          float64            // price of a spot upstream relative to a regular one, 0: there are none
+	RegularPrices                      map[string]float64 // price of a regular upstream, by data centre
 }
 
 // Engine describes the model engines of a service.
@@ -118,8 +118,8 @@
 	return Route{}, false
 }
 
-// HasBatches reports whether the host has a route for batches.
-func (c *Config) HasBatches(host string) bool {
+// AcceptsBatches reports whether the host has a route for batches.
+func (c *Config) AcceptsBatches(host string) bool {
 	return slices.ContainsFunc(c.byHost[strings.ToLower(host)], func(r Route) bool { return r.Kind == Batch })
 }
 
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -22,16 +22,16 @@
 		NewWithT(t).Expect(r.Name).To(Equal(c.want), c.host+c.path)
 		NewWithT(t).Expect(ok).To(Equal(c.want != ""))
 	}
-	NewWithT(t).Expect(config.HasBatches("a.example")).To(BeTrue())
-	NewWithT(t).Expect(config.HasBatches("b.example")).To(BeFalse())
+	NewWithT(t).Expect(config.AcceptsBatches("a.example")).To(BeTrue())
+	NewWithT(t).Expect(config.AcceptsBatches("b.example")).To(BeFalse())
 }
 
 func TestPickByWeight(t *testing.T) {
 	g := NewWithT(t)
-	r := Route{Services: []Share{{"a", 90}, {"b", 10}}}
+	r := Route{Services: []WeightedService{{"a", 90}, {"b", 10}}}
 	g.Expect(r.Pick(0)).To(Equal("a"))
 	g.Expect(r.Pick(0.899)).To(Equal("a"))
 	g.Expect(r.Pick(0.9)).To(Equal("b"))
 	g.Expect(r.Pick(0.9999)).To(Equal("b"))
-	g.Expect(Route{Services: []Share{{"a", 0}}}.Pick(0.5)).To(Equal("a"))
+	g.Expect(Route{Services: []WeightedService{{"a", 0}}}.Pick(0.5)).To(Equal("a"))
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -125,18 +125,18 @@
 	// so whatever they would refuse ends its start.
 	It("takes a peer identity that the others would take, and no other", func() {
 		now := time.Now()
-		valid := keys.Validity{From: now, For: time.Hour}
+		valid := keys.Validity{IssuedAt: now, Duration: time.Hour}
 		ca, err := keys.NewAuthority("fleet", valid)
 		Expect(err).NotTo(HaveOccurred())
 		other, err := keys.NewAuthority("other", valid)
 		Expect(err).NotTo(HaveOccurred())
 		for name, issue := range map[string]struct {
-			by    keys.Pair
+			by    keys.KeyPair
 			vm    string
 			valid keys.Validity
 		}{
 			"good": {ca, "entry-1", valid}, "stranger": {other, "entry-1", valid}, "named": {ca, "entry-2", valid},
-			"expired": {ca, "entry-1", keys.Validity{From: now.Add(-time.Hour), For: time.Minute}},
+			"expired": {ca, "entry-1", keys.Validity{IssuedAt: now.Add(-time.Hour), Duration: time.Minute}},
 		} {
 			pair, err := keys.Issue(issue.by, []string{issue.vm}, issue.valid)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/standin/dutyapi/client.go
+++ b/internal/standin/dutyapi/client.go
@@ -47,13 +47,13 @@
 }
 
 // ReportUsage implements duties.Platform.
-func (c *Client) ReportUsage(ctx context.Context, call duties.Call, report usage.WindowCounts) (duties.Outcome, error) {
-	return c.send(ctx, func() int { return c.api.ReportUsage(call.Holder, call.Fence, report.Window, report.Counts) })
+func (c *Client) ReportUsage(ctx context.Context, call duties.Claim, report usage.WindowCounts) (duties.Outcome, error) {
+	return c.send(ctx, func() int { return c.api.ReportUsage(call.Holder, call.FencingToken, report.Window, report.Counts) })
 }
 
 // Scale implements duties.Platform.
-func (c *Client) Scale(ctx context.Context, call duties.Call, service string, o scaling.Order) (duties.Outcome, error) {
-	return c.send(ctx, func() int { return c.api.Scale(call.Holder, call.Fence, service, o) })
+func (c *Client) Scale(ctx context.Context, call duties.Claim, service string, o scaling.Order) (duties.Outcome, error) {
+	return c.send(ctx, func() int { return c.api.Scale(call.Holder, call.FencingToken, service, o) })
 }
 
 // Reachable implements duties.Platform.
