--- a/internal/app/ownership.go
+++ b/internal/app/ownership.go
@@ -101,11 +101,11 @@
 		return dispatch.DaemonView{}
 	}
 	f := dispatch.DaemonView{
-		LocalDaemons:     o.fleet.Of(o.fleet.DataCentre),
+		LocalDaemons:     o.fleet.VMsIn(o.fleet.DataCentre),
 		OtherDataCentres: map[ident.DataCentre]bool{},
 		OwnedEngines:     maps.Clone(o.owned),
 	}
-	for _, dc := range o.fleet.Centres {
+	for _, dc := range o.fleet.DataCentres {
 		f.OtherDataCentres[dc] = dc != o.fleet.DataCentre
 	}
 	return f
@@ -121,5 +121,5 @@
 // a small fleet all, in a large one those that it may come to own.
 func (o *ownership) Follows(dc ident.DataCentre) bool {
 	last := o.last.Load()
-	return last != nil && last.met && (!last.fleet.Bounded || last.fleet.MayOwnIn(dc))
+	return last != nil && last.met && (!last.fleet.PartialMesh || last.fleet.MayOwnIn(dc))
 }
--- a/internal/batchrun/answer_test.go
+++ b/internal/batchrun/answer_test.go
@@ -308,9 +308,9 @@
 		other.client.SetFaults(metastore.Faults{Cut: true})
 		_, err := other.daemon().Results(ctx, "b", 0, 0)
 		g.Expect(err).To(MatchError(ErrUnsure))
-		time.Sleep(2 * follow.LookInterval)
+		time.Sleep(2 * follow.HoldCheckInterval)
 		other.client.SetFaults(metastore.Faults{Latency: storeLatency})
-		time.Sleep(follow.LookInterval)
+		time.Sleep(follow.HoldCheckInterval)
 		g.Expect(other.daemon().partitionForModel("m0").follower.Following()).To(BeFalse())
 	})
 }
--- a/internal/batchrun/claimer.go
+++ b/internal/batchrun/claimer.go
@@ -71,7 +71,7 @@
 // appendBatch appends the claims on subjects that no other VM holds in one call, and then
 // reads the log to find out which of them are valid.
 func (c *claimer) appendBatch(ctx context.Context, claims []*pendingClaim) {
-	began, seen := c.loader.options.Now(), c.loader.follower.Next()
+	began, seen := c.loader.options.Now(), c.loader.follower.NextOffset()
 	claims = c.dropBlocked(claims) // judged by the log up to seen at least
 	if len(claims) == 0 {
 		return
--- a/internal/batchrun/here.go
+++ b/internal/batchrun/here.go
@@ -51,7 +51,7 @@
 	for _, p := range parts {
 		g.Go(func() error {
 			defer p.follower.Hold()()
-			if p.follower.Await(ctx) != nil || p.follower.CatchUp(ctx) != nil {
+			if p.follower.WaitLoaded(ctx) != nil || p.follower.CatchUp(ctx) != nil {
 				return nil // not confirmed
 			}
 			mu.Lock()
--- a/internal/batchrun/homes.go
+++ b/internal/batchrun/homes.go
@@ -26,7 +26,7 @@
 func newModelPartitions(o Options) *modelPartitions {
 	p := &modelPartitions{options: o, state: loads.NewHomes(o.Partitions)}
 	always := func() bool { return true } // there are few models, and new ones are rare
-	p.follower = follow.New(follow.Options{Log: o.Log, Topic: modelPartitionsTopic, Keyed: true, Sink: p, Relaxed: always, Now: o.Now, Logger: o.Logger})
+	p.follower = follow.New(follow.Options{Log: o.Log, Topic: modelPartitionsTopic, Keyed: true, Sink: p, Idle: always, Now: o.Now, Logger: o.Logger})
 	return p
 }
 
@@ -103,7 +103,7 @@
 		if part, ok := p.lookup(model); ok {
 			return part, nil
 		}
-		next := p.follower.Next()
+		next := p.follower.NextOffset()
 		p.mu.Lock()
 		assignment := p.state.Next(model)
 		p.mu.Unlock()
--- a/internal/batchrun/orders.go
+++ b/internal/batchrun/orders.go
@@ -21,7 +21,7 @@
 // this daemon owns a partition.
 type loader struct {
 	options  Options
-	follower *follow.Held // of the claims log, held by the owner while it owns a partition
+	follower *follow.OnDemand // of the claims log, held by the owner while it owns a partition
 	claimer  *claimer
 
 	mu      sync.Mutex
@@ -38,11 +38,11 @@
 	keep := 2 * loads.BarredFor(o.ClaimLease)
 	x := &loader{options: o, claims: loads.NewClaims(o.VM, o.ClaimLease), logTail: loads.NewTail(keep), delegatedLoads: map[string]bool{}}
 	x.claimer = newClaimer(x)
-	x.follower = follow.NewHeld(follow.HeldOptions{
+	x.follower = follow.NewOnDemand(follow.OnDemandOptions{
 		Options: follow.Options{
-			Log: o.Log, Topic: claimsTopic, Sink: x, From: x.startOffset, Relaxed: func() bool { return x.ownsNothing() }, Now: o.Now, Logger: o.Logger,
+			Log: o.Log, Topic: claimsTopic, Sink: x, StartOffset: x.startOffset, Idle: func() bool { return x.ownsNothing() }, Now: o.Now, Logger: o.Logger,
 		},
-		Linger: keep, OnForget: x.discardClaims,
+		Linger: keep, OnDiscard: x.discardClaims,
 	})
 	return x
 }
@@ -60,7 +60,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.claims = loads.NewClaims(x.options.VM, x.options.ClaimLease)
-	x.logTail.Note(x.follower.Next(), x.options.Now())
+	x.logTail.Note(x.follower.NextOffset(), x.options.Now())
 }
 
 // recordLogEnd notes where the claims log ends now, unless it is being followed.
--- a/internal/batchrun/partition.go
+++ b/internal/batchrun/partition.go
@@ -15,7 +15,7 @@
 // partition is this daemon's view of one partition of the batches topic.
 type partition struct {
 	number   int
-	follower *follow.Held // held by the partition's owner, and by calls that reach no owner
+	follower *follow.OnDemand // held by the partition's owner, and by calls that reach no owner
 	fleet    *fleet.View
 	now      func() time.Duration
 	log      zerolog.Logger
@@ -32,9 +32,9 @@
 
 func newPartition(number int, o Options) *partition {
 	p := &partition{number: number, fleet: o.View, now: o.Now, log: o.Logger, state: batch.NewFold(), waiters: map[string]chan struct{}{}}
-	p.follower = follow.NewHeld(follow.HeldOptions{
-		Options: follow.Options{Log: o.Log, Topic: batchTopic, Part: number, Sink: p, Relaxed: p.hasNoDependents, OnWhole: p.markLive, Now: o.Now, Logger: o.Logger},
-		Linger:  followLinger, OnForget: p.discard,
+	p.follower = follow.NewOnDemand(follow.OnDemandOptions{
+		Options: follow.Options{Log: o.Log, Topic: batchTopic, Partition: number, Sink: p, Idle: p.hasNoDependents, OnLoaded: p.markLive, Now: o.Now, Logger: o.Logger},
+		Linger:  followLinger, OnDiscard: p.discard,
 	})
 	return p
 }
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -116,7 +116,7 @@
 		case len(l.Samples) == 0 && (!mayWait || after >= l.Total):
 			return s.confirmEmpty(ctx, p, id, after)
 		}
-		p.follower.Hurry()
+		p.follower.SkipPause()
 		select {
 		case <-changed:
 		case <-timer.C:
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -151,11 +151,11 @@
 // Lag returns the largest lag of the views that this daemon needs.
 func (s *Service) Lag() time.Duration {
 	largest := s.modelPartitions.follower.Lag()
-	if s.loader.follower.Held() && s.loader.follower.Loaded() {
+	if s.loader.follower.InUse() && s.loader.follower.Loaded() {
 		largest = max(largest, s.loader.follower.Lag())
 	}
 	for _, p := range s.partitions {
-		if p.follower.Held() && p.follower.Loaded() {
+		if p.follower.InUse() && p.follower.Loaded() {
 			largest = max(largest, p.follower.Lag())
 		}
 	}
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -130,7 +130,7 @@
 			return 0, nil, errors.Join(ErrNotRun, err)
 		}
 	}
-	if p.follower.Held() { // only the partition's owner needs the requests
+	if p.follower.InUse() { // only the partition's owner needs the requests
 		for i, data := range blobs {
 			s.blobs.put(p.number, offset+int64(i), data)
 		}
--- a/internal/crashes/service.go
+++ b/internal/crashes/service.go
@@ -41,7 +41,7 @@
 func New(vm string, log store.Log, now func() time.Duration, logger zerolog.Logger) *Tracker {
 	s := &Tracker{vm: vm, log: log, now: now, logger: logger, table: NewTable()}
 	alwaysRelaxed := func() bool { return true } // crashes are rare: a read every few seconds is enough
-	s.follower = follow.New(follow.Options{Log: log, Topic: topic, Keyed: true, Sink: (*sink)(s), Relaxed: alwaysRelaxed, Now: now, Logger: logger})
+	s.follower = follow.New(follow.Options{Log: log, Topic: topic, Keyed: true, Sink: (*sink)(s), Idle: alwaysRelaxed, Now: now, Logger: logger})
 	return s
 }
 
--- a/internal/duties/log.go
+++ b/internal/duties/log.go
@@ -75,7 +75,7 @@
 	v := &view{options: o}
 	v.reset()
 	always := func() bool { return true } // catchUp brings the view up to date before each action
-	v.follower = follow.New(follow.Options{Log: o.Log, Topic: topic, Part: part, Sink: v, OnContact: v.onContact, Relaxed: always, Now: o.Now, Logger: o.Logger})
+	v.follower = follow.New(follow.Options{Log: o.Log, Topic: topic, Partition: part, Sink: v, OnContact: v.onContact, Idle: always, Now: o.Now, Logger: o.Logger})
 	return v
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -66,29 +66,29 @@
 
 // Options of a Follower.
 type Options struct {
-	Log   store.Log
-	Topic string
-	Part  int  // partition number
-	Keyed bool // begin with the newest record of each key
-	Sink  Sink
+	Log       store.Log
+	Topic     string
+	Partition int  // partition number
+	Keyed     bool // begin with the newest record of each key
+	Sink      Sink
 	// OnContact, if set, is called with false when contact with the store is lost, and with true
 	// when it is regained.
 	OnContact func(up bool)
-	// OnWhole, if set, is called when the view is loaded for the first time after Run began with
+	// OnLoaded, if set, is called when the view is loaded for the first time after Run began with
 	// the oldest record. It must not call the Follower.
-	OnWhole func()
-	// From, if set, returns the offset of the first record that is needed when Run begins, 0 for
+	OnLoaded func()
+	// StartOffset, if set, returns the offset of the first record that is needed when Run begins, 0 for
 	// the oldest one. The topic must not be keyed.
-	From func() int64
-	// Relaxed, if set, reports whether the view is idle: nothing on this daemon currently
+	StartOffset func() int64
+	// Idle, if set, reports whether the view is idle: nothing on this daemon currently
 	// depends on it. It is then read less often.
-	Relaxed func() bool
-	// Pause is the time between receiving records and the next read.
-	Pause time.Duration
-	// Patient, if set, reports whether the view is of low priority: nothing on this daemon needs
+	Idle func() bool
+	// ReadPause is the time between receiving records and the next read.
+	ReadPause time.Duration
+	// LowPriority, if set, reports whether the view is of low priority: nothing on this daemon needs
 	// it soon. What it lacks is then read with pauses, so that the reads of daemons that need
 	// theirs get through.
-	Patient func() bool
+	LowPriority func() bool
 	// Now is a monotonic clock that runs on while the VM is suspended.
 	Now    func() time.Duration
 	Logger zerolog.Logger
@@ -161,7 +161,7 @@
 
 // retryBackoff returns the backoff after a failed read.
 func (f *Follower) retryBackoff() retry.Backoff {
-	if f.options.Patient != nil && !f.Loaded() && f.options.Patient() {
+	if f.options.LowPriority != nil && !f.Loaded() && f.options.LowPriority() {
 		return lowPriorityBackoff
 	}
 	return defaultBackoff
@@ -172,8 +172,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.startedAt = f.options.Now()
-	if f.next == 0 && f.options.From != nil {
-		f.next = f.options.From()
+	if f.next == 0 && f.options.StartOffset != nil {
+		f.next = f.options.StartOffset()
 	}
 }
 
@@ -203,7 +203,7 @@
 }
 
 // idle reports whether nothing on this daemon currently depends on the view.
-func (f *Follower) idle() bool { return f.options.Relaxed != nil && f.options.Relaxed() }
+func (f *Follower) idle() bool { return f.options.Idle != nil && f.options.Idle() }
 
 // throttleFactor is the pause of a low-priority view after a page, as a multiple of the time
 // that the page took. The more daemons read at once the longer their pages take, so together
@@ -213,11 +213,11 @@
 // throttle pauses a low-priority view after a page that didn't bring it up to date. took is the
 // time that the page took.
 func (f *Follower) throttle(ctx context.Context, took time.Duration) {
-	if f.options.Patient == nil || !f.behind() {
+	if f.options.LowPriority == nil || !f.behind() {
 		return
 	}
 	until := f.options.Now() + throttleFactor*took
-	for ctx.Err() == nil && f.options.Patient() {
+	for ctx.Err() == nil && f.options.LowPriority() {
 		left := until - f.options.Now()
 		if left <= 0 {
 			return
@@ -242,11 +242,11 @@
 	if !f.Loaded() || f.scanningKeys() {
 		return
 	}
-	pause.For(ctx, f.options.Pause)
+	pause.For(ctx, f.options.ReadPause)
 	if !f.idle() {
 		return
 	}
-	timer := time.NewTimer(IdlePause - f.options.Pause)
+	timer := time.NewTimer(IdlePause - f.options.ReadPause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -255,8 +255,8 @@
 	}
 }
 
-// Hurry ends the pause of an idle view, for a caller that waits for its next record.
-func (f *Follower) Hurry() {
+// SkipPause ends the pause of an idle view, for a caller that waits for its next record.
+func (f *Follower) SkipPause() {
 	select {
 	case f.skipPause <- struct{}{}:
 	default:
@@ -284,7 +284,7 @@
 // pages are there.
 func (f *Follower) readKeysPage(ctx context.Context) error {
 	after := f.keyScanAfter()
-	page, err := f.options.Log.Newest(ctx, f.options.Topic, f.options.Part, after)
+	page, err := f.options.Log.Newest(ctx, f.options.Topic, f.options.Partition, after)
 	if err != nil {
 		return err
 	}
@@ -332,8 +332,8 @@
 // read reads records from the next offset on and applies them. If there are none, the store
 // waits for one, at most for the time wait.
 func (f *Follower) read(ctx context.Context, wait time.Duration) error {
-	from := f.Next()
-	page, err := f.options.Log.Read(ctx, f.options.Topic, f.options.Part, store.ReadFrom{Offset: from, MaxBytes: pageBytes, Wait: wait})
+	from := f.NextOffset()
+	page, err := f.options.Log.Read(ctx, f.options.Topic, f.options.Partition, store.ReadFrom{Offset: from, MaxBytes: pageBytes, Wait: wait})
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
 		return f.skipGap(ctx, trimmed.First)
@@ -349,8 +349,8 @@
 // topic the newest records are read again, any other topic is read from the oldest record that
 // is kept.
 func (f *Follower) skipGap(ctx context.Context, firstKept int64) error {
-	f.options.Logger.Warn().Str("topic", f.options.Topic).Int("part", f.options.Part).
-		Int64("next", f.Next()).Int64("first_kept", firstKept).Msg("records lost before they were read")
+	f.options.Logger.Warn().Str("topic", f.options.Topic).Int("part", f.options.Partition).
+		Int64("next", f.NextOffset()).Int64("first_kept", firstKept).Msg("records lost before they were read")
 	if f.options.Keyed {
 		return f.readKeysPage(ctx)
 	}
@@ -387,10 +387,10 @@
 // markLoadedLocked records that the view is up to date, and logs the first time that it is.
 func (f *Follower) markLoadedLocked() {
 	if !f.loaded {
-		f.options.Logger.Info().Str("topic", f.options.Topic).Int("part", f.options.Part).Int64("next", f.next).
+		f.options.Logger.Info().Str("topic", f.options.Topic).Int("part", f.options.Partition).Int64("next", f.next).
 			Int("bytes", f.loadedBytes).Dur("took", f.options.Now()-f.startedAt).Msg("view is whole")
-		if f.options.OnWhole != nil {
-			f.options.OnWhole()
+		if f.options.OnLoaded != nil {
+			f.options.OnLoaded()
 		}
 	}
 	f.loaded = true
@@ -413,7 +413,7 @@
 	if !up {
 		event = f.options.Logger.Warn().Err(err)
 	}
-	event.Str("topic", f.options.Topic).Int("part", f.options.Part).Bool("up", up).Msg("store contact changed")
+	event.Str("topic", f.options.Topic).Int("part", f.options.Partition).Bool("up", up).Msg("store contact changed")
 	if f.options.OnContact != nil {
 		f.options.OnContact(up)
 	}
@@ -445,8 +445,8 @@
 	return max(0, age-f.readWait)
 }
 
-// Next returns the offset of the next record to read.
-func (f *Follower) Next() int64 {
+// NextOffset returns the offset of the next record to read.
+func (f *Follower) NextOffset() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.next
@@ -481,7 +481,7 @@
 func (f *Follower) Inspect() inspect.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := inspect.View{Topic: f.options.Topic, Part: f.options.Part, Next: f.next, AgeMS: -1, InContact: !f.contactLost}
+	out := inspect.View{Topic: f.options.Topic, Part: f.options.Partition, Next: f.next, AgeMS: -1, InContact: !f.contactLost}
 	if f.loaded {
 		out.AgeMS = (f.options.Now() - f.currentAt).Milliseconds()
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -82,7 +82,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		g.Expect(s.follower.read(context.Background(), 0)).To(Succeed())
-		g.Expect(s.follower.Next()).To(Equal(int64(1)))
+		g.Expect(s.follower.NextOffset()).To(Equal(int64(1)))
 		g.Expect(s.follower.Loaded()).To(BeFalse())
 		s.run(t)
 		synctest.Wait()
@@ -179,7 +179,7 @@
 		g := NewWithT(t)
 		s := newFixture(false, "busy")
 		idle := true
-		s.follower.options.Relaxed = func() bool { return idle }
+		s.follower.options.Idle = func() bool { return idle }
 		log := &countingLog{Log: s.client}
 		s.follower.options.Log = log
 		s.run(t)
--- a/internal/follow/held.go
+++ b/internal/follow/held.go
@@ -8,25 +8,25 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// LookInterval is the time between two checks whether anybody still holds a view.
-const LookInterval = time.Second
+// HoldCheckInterval is the time between two checks whether anybody still holds a view.
+const HoldCheckInterval = time.Second
 
-// HeldOptions adds the options of following on demand.
-type HeldOptions struct {
+// OnDemandOptions adds the options of following on demand.
+type OnDemandOptions struct {
 	Options
 	// Linger is how long a loaded view is still followed after the last hold has ended.
 	Linger time.Duration
-	// OnForget is called when the view isn't followed any more, so that what the sink was given
+	// OnDiscard is called when the view isn't followed any more, so that what the sink was given
 	// is out of date from now on. Nobody holds the view then.
-	OnForget func()
+	OnDiscard func()
 }
 
-// Held follows a partition of the log only while somebody holds its view. If each daemon
+// OnDemand follows a partition of the log only while somebody holds its view. If each daemon
 // followed everything that it may need some day, the reads of a fleet would grow with the
 // number of daemons times the number of topics. It is safe for concurrent use.
-type Held struct {
+type OnDemand struct {
 	*Follower
-	options HeldOptions
+	options OnDemandOptions
 	wakeups chan struct{} // wakes Run when a hold begins
 
 	mu         sync.Mutex
@@ -35,13 +35,13 @@
 	releasedAt time.Duration // when the last hold ended, in Options.Now's time
 }
 
-// NewHeld returns one that nobody holds.
-func NewHeld(o HeldOptions) *Held {
-	return &Held{Follower: New(o.Options), options: o, wakeups: make(chan struct{}, 1)}
+// NewOnDemand returns one that nobody holds.
+func NewOnDemand(o OnDemandOptions) *OnDemand {
+	return &OnDemand{Follower: New(o.Options), options: o, wakeups: make(chan struct{}, 1)}
 }
 
 // Run follows the partition whenever somebody holds the view, until the context ends.
-func (h *Held) Run(ctx context.Context) {
+func (h *OnDemand) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -54,7 +54,7 @@
 
 // followWhileHeld follows the partition from its oldest record until nobody holds the view any
 // more, and then discards the view.
-func (h *Held) followWhileHeld(ctx context.Context) {
+func (h *OnDemand) followWhileHeld(ctx context.Context) {
 	if !h.startFollowing() {
 		return
 	}
@@ -65,7 +65,7 @@
 		close(done)
 	}()
 	for ctx.Err() == nil && !h.stopIfUnused() {
-		pause.For(ctx, LookInterval)
+		pause.For(ctx, HoldCheckInterval)
 	}
 	cancel()
 	<-done
@@ -73,7 +73,7 @@
 }
 
 // startFollowing reports whether somebody holds the view, and if so, marks it as followed.
-func (h *Held) startFollowing() bool {
+func (h *OnDemand) startFollowing() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.following = h.holders > 0
@@ -84,7 +84,7 @@
 // followed: the next holder waits for another run of followWhileHeld. A view that isn't loaded
 // is stopped without Linger. It is of no use to the next holder, it occurs on daemons that
 // can't reach the store, and when an outage ends all of them would continue to read it.
-func (h *Held) stopIfUnused() bool {
+func (h *OnDemand) stopIfUnused() bool {
 	loaded := h.Follower.Loaded()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,20 +96,20 @@
 }
 
 // discard resets the view, and starts following it again if it has a new holder.
-func (h *Held) discard() {
+func (h *OnDemand) discard() {
 	h.mu.Lock()
 	h.following = false
 	h.mu.Unlock()
-	if h.options.OnForget != nil {
-		h.options.OnForget()
+	if h.options.OnDiscard != nil {
+		h.options.OnDiscard()
 	}
 	h.Restart()
-	h.options.Logger.Info().Str("topic", h.options.Topic).Int("part", h.options.Part).Msg("partition not followed any more")
+	h.options.Logger.Info().Str("topic", h.options.Topic).Int("part", h.options.Partition).Msg("partition not followed any more")
 	h.wake()
 }
 
 // Hold keeps the view followed until release is called.
-func (h *Held) Hold() (release func()) {
+func (h *OnDemand) Hold() (release func()) {
 	h.mu.Lock()
 	h.holders++
 	h.mu.Unlock()
@@ -123,7 +123,7 @@
 }
 
 // wake makes Run check whether somebody holds the view.
-func (h *Held) wake() {
+func (h *OnDemand) wake() {
 	select {
 	case h.wakeups <- struct{}{}:
 	default:
@@ -131,27 +131,27 @@
 }
 
 // Loaded reports whether the view has been read to the end of the partition since it is followed.
-func (h *Held) Loaded() bool {
+func (h *OnDemand) Loaded() bool {
 	// The Follower isn't called under mu, since it calls the sink under its own lock.
 	return h.Following() && h.Follower.Loaded()
 }
 
 // Following reports whether the partition is followed now.
-func (h *Held) Following() bool {
+func (h *OnDemand) Following() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.following
 }
 
-// Held reports whether somebody holds the view and it is followed.
-func (h *Held) Held() bool {
+// InUse reports whether somebody holds the view and it is followed.
+func (h *OnDemand) InUse() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.following && h.holders > 0
 }
 
-// Await waits until the view, which the caller must hold, is loaded.
-func (h *Held) Await(ctx context.Context) error {
+// WaitLoaded waits until the view, which the caller must hold, is loaded.
+func (h *OnDemand) WaitLoaded(ctx context.Context) error {
 	for {
 		changed := h.Changed()
 		if h.Loaded() {
--- a/internal/membership/fleet.go
+++ b/internal/membership/fleet.go
@@ -17,13 +17,13 @@
 	// The data centres with daemons, sorted. In a partial mesh a daemon
 	// receives no heartbeats from most other data centres, so the VM list counts too:
 	// a data centre whose daemons are all dead stays until the list drops them.
-	Centres []ident.DataCentre
-	Bounded bool // partial mesh: the fleet is too large to connect to every daemon
+	DataCentres []ident.DataCentre
+	PartialMesh bool // partial mesh: the fleet is too large to connect to every daemon
 }
 
 // Fleet returns a snapshot of the live daemons.
 func (m *Members) Fleet() Fleet {
-	f := Fleet{Self: m.config.Self, DataCentre: m.config.DataCentre, Bounded: m.partialMesh}
+	f := Fleet{Self: m.config.Self, DataCentre: m.config.DataCentre, PartialMesh: m.partialMesh}
 	for _, vm := range m.Live() {
 		f.Live = append(f.Live, m.members[vm].Contact)
 	}
@@ -32,7 +32,7 @@
 		i, _ := slices.BinarySearchFunc(f.Live, self, compareContacts)
 		f.Live = slices.Insert(f.Live, i, self)
 	}
-	f.Centres = m.dataCentres(f.Live)
+	f.DataCentres = m.dataCentres(f.Live)
 	return f
 }
 
@@ -53,12 +53,12 @@
 
 // Equal reports whether two snapshots are the same.
 func (f Fleet) Equal(g Fleet) bool {
-	return f.Self == g.Self && f.DataCentre == g.DataCentre && f.Bounded == g.Bounded &&
-		slices.Equal(f.Live, g.Live) && slices.Equal(f.Centres, g.Centres)
+	return f.Self == g.Self && f.DataCentre == g.DataCentre && f.PartialMesh == g.PartialMesh &&
+		slices.Equal(f.Live, g.Live) && slices.Equal(f.DataCentres, g.DataCentres)
 }
 
-// Of returns the live daemons of a data centre, sorted.
-func (f Fleet) Of(dc ident.DataCentre) []ident.VM {
+// VMsIn returns the live daemons of a data centre, sorted.
+func (f Fleet) VMsIn(dc ident.DataCentre) []ident.VM {
 	var vms []ident.VM
 	for _, c := range f.Live {
 		if c.DataCentre == dc {
@@ -80,7 +80,7 @@
 // lease again for some lease durations. This delays orders, but there are never two
 // holders; see package lease.
 func (f Fleet) OwnsIn(dc ident.DataCentre, key string) bool {
-	return f.MayOwnIn(dc) && rendezvousOwner(f.Of(f.DataCentre), key) == f.Self
+	return f.MayOwnIn(dc) && rendezvousOwner(f.VMsIn(f.DataCentre), key) == f.Self
 }
 
 // MayOwnIn reports whether this daemon's data centre owns the keys of a data centre.
@@ -89,11 +89,11 @@
 // ownerDataCentre returns the data centre whose daemons own the keys of dc: dc itself,
 // or if it has no daemons, another one chosen by rendezvous hashing.
 func (f Fleet) ownerDataCentre(dc ident.DataCentre) ident.DataCentre {
-	if slices.Contains(f.Centres, dc) {
+	if slices.Contains(f.DataCentres, dc) {
 		return dc
 	}
-	candidates := make([]ident.VM, len(f.Centres))
-	for i, candidate := range f.Centres {
+	candidates := make([]ident.VM, len(f.DataCentres))
+	for i, candidate := range f.DataCentres {
 		candidates[i] = ident.VM(candidate)
 	}
 	return ident.DataCentre(rendezvousOwner(candidates, string(dc)))
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -66,7 +66,7 @@
 
 func (s *simulatedFleet) deliver(from, to membership.Contact, now time.Time) {
 	s.views[to.VM].Step(membership.Heard{Contact: from, Incarnation: 1, Seq: s.seq}, now)
-	s.views[to.VM].Step(membership.Vouched{By: from.VM, Contacts: s.views[from.VM].Heard(now)}, now)
+	s.views[to.VM].Step(membership.Vouched{By: from.VM, Contacts: s.views[from.VM].DirectlyLive(now)}, now)
 }
 
 // ownerAgreement returns the share of the data centre's daemons that name the same
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -63,10 +63,10 @@
 	if config.Timeout <= 0 {
 		config.Timeout = DefaultTimeout
 	}
-	setDefault(&config.Everyone, DefaultFullMeshMax)
-	setDefault(&config.NearPicks, DefaultLocalPeers)
-	setDefault(&config.FarPicks, DefaultRemotePeersPerCentre)
-	setDefault(&config.FarCap, DefaultMaxRemotePeers)
+	setDefault(&config.FullMeshMax, DefaultFullMeshMax)
+	setDefault(&config.LocalPeers, DefaultLocalPeers)
+	setDefault(&config.RemotePeersPerCentre, DefaultRemotePeersPerCentre)
+	setDefault(&config.MaxRemotePeers, DefaultMaxRemotePeers)
 	return &Members{config: config, members: map[ident.VM]*member{}, targetsStale: true}
 }
 
@@ -96,7 +96,7 @@
 		if p := m.members[e.VM]; p != nil && !p.live {
 			p.lastFailure, m.targetsStale = now, true
 		}
-	case Drained:
+	case DrainStarted:
 		m.selfDraining = true
 	case Tick:
 		m.removeUnseen(now)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -81,7 +81,7 @@
 	// Guards against new work for a VM that an operator drains.
 	It("gives up ownership of all keys when draining starts", func() {
 		m.Step(heartbeat(1, 1), after(0))
-		m.Step(membership.Drained{}, after(0))
+		m.Step(membership.DrainStarted{}, after(0))
 		for i := range 20 {
 			_, self := m.Owner(fmt.Sprint(i))
 			Expect(self).To(BeFalse())
@@ -133,7 +133,7 @@
 	})
 
 	It("include two daemons of each other data centre if there are few data centres", func() {
-		m := membership.New(membership.Config{Self: "vm000", DataCentre: "dc00", FarCap: 9})
+		m := membership.New(membership.Config{Self: "vm000", DataCentre: "dc00", MaxRemotePeers: 9})
 		m.Step(list(90, 3), start)
 		Expect(m.Targets(start)).To(HaveLen(membership.DefaultLocalPeers + 4))
 	})
@@ -141,7 +141,7 @@
 	// Guards against losing sight of a data centre when both daemons picked there die:
 	// for a minute others are picked instead.
 	It("replace unreachable daemons for a minute", func() {
-		m := membership.New(membership.Config{Self: "vm000", DataCentre: "dc00", FarCap: 99})
+		m := membership.New(membership.Config{Self: "vm000", DataCentre: "dc00", MaxRemotePeers: 99})
 		m.Step(list(690, 23), start)
 		remote := func(now time.Time) (vms []ident.VM) {
 			for _, c := range m.Targets(now) {
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -16,15 +16,15 @@
 // Config describes this daemon and its limits. Numbers that are zero or less mean the
 // defaults.
 type Config struct {
-	Self       ident.VM
-	DataCentre ident.DataCentre
-	Address    string        // this daemon's own peer address, never dialled
-	Seeds      []string      // peer addresses from the settings
-	Timeout    time.Duration // how long a VM stays live without a heartbeat
-	Everyone   int           // most other daemons that this one connects to without picking
-	NearPicks  int           // in a larger fleet: peers picked in the own data centre
-	FarPicks   int           // peers picked in each other data centre
-	FarCap     int           // peers picked in all other data centres together
+	Self                 ident.VM
+	DataCentre           ident.DataCentre
+	Address              string        // this daemon's own peer address, never dialled
+	Seeds                []string      // peer addresses from the settings
+	Timeout              time.Duration // how long a VM stays live without a heartbeat
+	FullMeshMax          int           // most other daemons that this one connects to without picking
+	LocalPeers           int           // in a larger fleet: peers picked in the own data centre
+	RemotePeersPerCentre int           // peers picked in each other data centre
+	MaxRemotePeers       int           // peers picked in all other data centres together
 }
 
 // Defaults of Config.
@@ -81,8 +81,8 @@
 	// Unreachable says that dialling a VM failed. For failureCooldown another one is
 	// picked instead, if there is one.
 	Unreachable struct{ VM ident.VM }
-	// Drained says that this daemon itself takes no new work.
-	Drained struct{}
+	// DrainStarted says that this daemon itself takes no new work.
+	DrainStarted struct{}
 	// Tick says that time has passed.
 	Tick struct{}
 )
@@ -92,7 +92,7 @@
 func (Vouched) event()      {}
 func (StreamFailed) event() {}
 func (Unreachable) event()  {}
-func (Drained) event()      {}
+func (DrainStarted) event() {}
 func (Tick) event()         {}
 
 // Action is one of Dial, Close, Joined, Left.
--- a/internal/membership/owns_test.go
+++ b/internal/membership/owns_test.go
@@ -44,8 +44,8 @@
 		Expect(s.ownersPerKey("dc07", 40)).To(HaveEach(1))
 		for _, c := range s.contacts {
 			f := s.views[c.VM].Fleet()
-			Expect(f.Bounded).To(BeTrue())
-			Expect(f.Of(c.DataCentre)).To(HaveLen(3))
+			Expect(f.PartialMesh).To(BeTrue())
+			Expect(f.VMsIn(c.DataCentre)).To(HaveLen(3))
 			Expect(f.MayOwnIn("dc07")).To(Equal(c.DataCentre == "dc07"))
 		}
 		Expect(s.ownersPerKey("without-daemons", 40)).To(HaveEach(1))
@@ -73,7 +73,7 @@
 	It("isn't owned by a draining daemon", func() {
 		m := membership.New(membership.Config{Self: "vm00", DataCentre: "dc0"})
 		Expect(m.Fleet().OwnsIn("dc0", "e")).To(BeTrue())
-		m.Step(membership.Drained{}, after(0))
+		m.Step(membership.DrainStarted{}, after(0))
 		Expect(m.Fleet().OwnsIn("dc0", "e")).To(BeFalse())
 	})
 })
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -12,10 +12,10 @@
 	return slices.DeleteFunc(m.sortedVMs(), func(vm ident.VM) bool { return !m.members[vm].live })
 }
 
-// Heard returns the directly live VMs, sorted: those that this daemon vouches for.
+// DirectlyLive returns the directly live VMs, sorted: those that this daemon vouches for.
 // VMs that are live only because a peer vouches for them are left out; otherwise two
 // daemons could keep a dead one live by vouching for it to each other.
-func (m *Members) Heard(now time.Time) []Contact {
+func (m *Members) DirectlyLive(now time.Time) []Contact {
 	var contacts []Contact
 	for _, vm := range m.sortedVMs() {
 		if p := m.members[vm]; m.directDownReason(p, now) == 0 {
--- a/internal/membership/targets.go
+++ b/internal/membership/targets.go
@@ -31,7 +31,9 @@
 }
 
 // exceedsFullMesh reports whether there are too many daemons to connect to all.
-func (m *Members) exceedsFullMesh(contacts []Contact) bool { return len(contacts) > m.config.Everyone }
+func (m *Members) exceedsFullMesh(contacts []Contact) bool {
+	return len(contacts) > m.config.FullMeshMax
+}
 
 // contactsWithAddress returns all members that can be dialled, sorted by VM.
 func (m *Members) contactsWithAddress() []Contact {
@@ -53,11 +55,11 @@
 	var remote []Contact
 	for _, dc := range slices.Sorted(maps.Keys(byCentre)) {
 		if dc != m.config.DataCentre {
-			remote = append(remote, m.highestRanked(byCentre[dc], m.config.FarPicks, now)...)
+			remote = append(remote, m.highestRanked(byCentre[dc], m.config.RemotePeersPerCentre, now)...)
 		}
 	}
-	local := m.highestRanked(byCentre[m.config.DataCentre], m.config.NearPicks, now)
-	return append(local, m.highestRanked(remote, m.config.FarCap, now)...)
+	local := m.highestRanked(byCentre[m.config.DataCentre], m.config.LocalPeers, now)
+	return append(local, m.highestRanked(remote, m.config.MaxRemotePeers, now)...)
 }
 
 // highestRanked returns at most limit of the contacts: those that this daemon ranks
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -85,8 +85,8 @@
 	s.address = address
 	s.members = membership.New(membership.Config{
 		Self: o.Self, DataCentre: o.DataCentre, Address: address, Seeds: o.Seeds,
-		Timeout:  o.SilentAfter,
-		Everyone: o.Everyone, NearPicks: o.NearPicks, FarPicks: o.FarPicks, FarCap: o.FarCap,
+		Timeout:     o.SilentAfter,
+		FullMeshMax: o.Everyone, LocalPeers: o.NearPicks, RemotePeersPerCentre: o.FarPicks, MaxRemotePeers: o.FarCap,
 	})
 }
 
@@ -156,7 +156,7 @@
 func (s *Service) pushDigests(ctx context.Context) {
 	s.step(membership.Tick{})
 	if s.draining.Load() {
-		s.step(membership.Drained{})
+		s.step(membership.DrainStarted{})
 	}
 	for {
 		tick := time.NewTimer(jitter(s.options.Interval))
@@ -210,7 +210,7 @@
 func (s *Service) heardContacts() []membership.Contact {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.Heard(time.Now())
+	return s.members.DirectlyLive(time.Now())
 }
 
 func (s *Service) hello() *peerpb.Hello {
@@ -236,7 +236,7 @@
 func (s *Service) Drain() {
 	s.draining.Store(true)
 	if s.started.Load() {
-		s.step(membership.Drained{})
+		s.step(membership.DrainStarted{})
 	}
 	s.pushNow()
 }
--- a/internal/relay/mode.go
+++ b/internal/relay/mode.go
@@ -67,10 +67,10 @@
 	// publisherTimeout is the time without a new watermark after which a shard is assumed to
 	// have no elected publisher.
 	publisherTimeout = heartbeatInterval + unelectedRank*takeoverDelay + 500*time.Millisecond
-	// Elected is the number of elected publishers: the active one and two standbys.
-	Elected = 3
+	// ElectedPublishers is the number of elected publishers: the active one and two standbys.
+	ElectedPublishers = 3
 	// unelectedRank is the rank of a daemon that isn't elected.
-	unelectedRank = Elected
+	unelectedRank = ElectedPublishers
 )
 
 // publishState is what a publisher knows of one shard.
--- a/internal/relay/publisher.go
+++ b/internal/relay/publisher.go
@@ -66,7 +66,7 @@
 }
 
 func newPublisher(o Options, shards []*shard, rank func() (int, bool)) *publisher {
-	return &publisher{options: o, shards: shards, rank: rank, assigner: newAssigner(o.Parts), pendingSince: make([]time.Duration, len(shards))}
+	return &publisher{options: o, shards: shards, rank: rank, assigner: newAssigner(o.Partitions), pendingSince: make([]time.Duration, len(shards))}
 }
 
 // run publishes whenever this daemon is a publisher, until the context ends.
@@ -82,7 +82,7 @@
 
 // publishSession publishes until this daemon isn't a publisher any more.
 func (p *publisher) publishSession(ctx context.Context) {
-	defer p.options.Direct.Hold()()
+	defer p.options.DirectReader.Hold()()
 	p.nextCountAt, p.countInterval = p.options.Now(), firstCountInterval
 	p.options.Logger.Info().Msg("acting as a publisher of the relay")
 	for ctx.Err() == nil {
@@ -114,16 +114,16 @@
 
 // update decides whether the shards are to be published at all, and updates those that are due.
 func (p *publisher) update(ctx context.Context, rank int) {
-	snapshot, ok := p.options.Direct.Snapshot()
+	snapshot, ok := p.options.DirectReader.Snapshot()
 	if !ok {
 		return
 	}
 	p.updateDaemonCount(ctx)
-	readTime := readLoad{daemons: p.daemons, bytesPerDaemon: snapshot.Bytes, bytesPerSecond: p.options.ReadRate}.duration()
+	readTime := readLoad{daemons: p.daemons, bytesPerDaemon: snapshot.DirectReadBytes, bytesPerSecond: p.options.ReadRate}.duration()
 	threshold := time.Duration(returnToDirectShare * float64(directReadBudget))
 	switch {
 	case !p.publishing() && readTime >= threshold:
-		p.options.Logger.Info().Int("daemons", p.daemons).Int("bytes", snapshot.Bytes).Dur("direct_takes", readTime).Msg("publishing the relay shards")
+		p.options.Logger.Info().Int("daemons", p.daemons).Int("bytes", snapshot.DirectReadBytes).Dur("direct_takes", readTime).Msg("publishing the relay shards")
 		for _, s := range p.shards {
 			p.shardReleases = append(p.shardReleases, s.follower.Hold())
 		}
@@ -134,7 +134,7 @@
 	if !p.publishing() {
 		return
 	}
-	watermark := Watermark{ServersOffset: snapshot.Servers, OperatorOffset: snapshot.Operator, DirectReadBytes: snapshot.Bytes, Daemons: p.daemons, AgeMS: snapshot.Age.Milliseconds()}
+	watermark := Watermark{ServersOffset: snapshot.ServersOffset, OperatorOffset: snapshot.OperatorOffset, DirectReadBytes: snapshot.DirectReadBytes, Daemons: p.daemons, AgeMS: snapshot.Age.Milliseconds()}
 	desired, err := p.desiredValues(snapshot)
 	if err != nil {
 		p.options.Logger.Error().Err(err).Msg("contents of the relay shards not computed")
@@ -191,7 +191,7 @@
 // desiredValues returns what each shard should hold, by key.
 func (p *publisher) desiredValues(snapshot Snapshot) ([]map[string][]byte, error) {
 	changes := p.options.View.UpstreamChanges()
-	if p.desired.values != nil && p.desired.upstreamChanges == changes && p.desired.configOffset == snapshot.ConfigAt {
+	if p.desired.values != nil && p.desired.upstreamChanges == changes && p.desired.configOffset == snapshot.ConfigOffset {
 		return p.desired.values, nil
 	}
 	if err := p.packConfig(snapshot); err != nil {
@@ -210,7 +210,7 @@
 			values[key] = value
 		}
 	}
-	p.desired = desiredShards{changes, snapshot.ConfigAt, assigned}
+	p.desired = desiredShards{changes, snapshot.ConfigOffset, assigned}
 	return assigned, nil
 }
 
@@ -219,10 +219,10 @@
 
 // packConfig updates the packed configuration if there is a newer one.
 func (p *publisher) packConfig(snapshot Snapshot) error {
-	if snapshot.Config == nil || p.packed.offset == snapshot.ConfigAt {
+	if snapshot.Config == nil || p.packed.offset == snapshot.ConfigOffset {
 		return nil
 	}
-	chunks, err := packConfig(snapshot.Config, snapshot.ConfigAt, p.options.RecordBytes-chunkMargin)
+	chunks, err := packConfig(snapshot.Config, snapshot.ConfigOffset, p.options.RecordBytes-chunkMargin)
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 			return err
 		}
 	}
-	p.packed = packedConfig{snapshot.ConfigAt, values}
+	p.packed = packedConfig{snapshot.ConfigOffset, values}
 	return nil
 }
 
@@ -266,7 +266,7 @@
 		if !s.follower.Loaded() {
 			continue
 		}
-		offset := s.follower.Next() // read first: a record written after this makes the append fail
+		offset := s.follower.NextOffset() // read first: a record written after this makes the append fail
 		changes, watermarkAt, current := s.pendingChanges(desired[i], p.options.Clock())
 		switch {
 		case watermark == Watermark{} && watermarkAt != 0:
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -60,7 +60,7 @@
 	f.Add("config/0", []byte{0xa1, 0x04, 0x41, 0x00})
 	f.Add("upstream/a", []byte{0xff})
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		s := newShard(Options{Parts: 1, Now: func() time.Duration { return 1 }, Logger: zerolog.Nop()}, 0)
+		s := newShard(Options{Partitions: 1, Now: func() time.Duration { return 1 }, Logger: zerolog.Nop()}, 0)
 		s.applyLocked(key, value)
 		if c, err := decode[chunk](value); err == nil {
 			_, _, _, _ = unpackConfig(map[int]chunk{c.Index: c}) // must not panic
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -36,13 +36,13 @@
 // topic holds the shards, one in each partition.
 const topic = store.KeyedPrefix + "relay"
 
-// Direct reads the platform's topics directly on this daemon.
-type Direct interface {
+// DirectReader reads the platform's topics directly on this daemon.
+type DirectReader interface {
 	// Hold keeps the topics followed until release is called.
 	Hold() (release func())
-	// HoldPatiently does the same, but reading is throttled until the topics are read to their
+	// HoldLowPriority does the same, but reading is throttled until the topics are read to their
 	// ends, unless somebody else needs them soon.
-	HoldPatiently() (release func())
+	HoldLowPriority() (release func())
 	// Whole reports whether the topics have been read to their ends since they are followed.
 	// The fleet's view comes from them then.
 	Whole() bool
@@ -53,27 +53,27 @@
 
 // Snapshot is what is known of the platform's topics.
 type Snapshot struct {
-	Servers, Operator int64         // offsets after the last records read of the two topics
-	Config            []byte        // as the operator wrote it, nil: none yet
-	ConfigAt          int64         // offset after the configuration's record
-	Bytes             int           // size of the newest records of all keys
-	Age               time.Duration // since the older of the two views was up to date
+	ServersOffset, OperatorOffset int64         // offsets after the last records read of the two topics
+	Config                        []byte        // as the operator wrote it, nil: none yet
+	ConfigOffset                  int64         // offset after the configuration's record
+	DirectReadBytes               int           // size of the newest records of all keys
+	Age                           time.Duration // since the older of the two views was up to date
 }
 
 // Options of a Service.
 type Options struct {
 	VM          string // this daemon's VM
 	Log         store.Log
-	Parts       int // partitions of a topic
+	Partitions  int // partitions of a topic
 	RecordBytes int // size limit of a record
 	CallBytes   int // size limit of an append
 	ReadRate    int // bytes per second that all daemons' reads share, 0: unknown
 	// Bootstrap says that the whole fleet starts for the first time, so that nothing is
 	// published yet.
-	Bootstrap bool
-	View      *fleet.View // to which the upstreams are applied
-	Direct    Direct
-	Turn      Turn
+	Bootstrap     bool
+	View          *fleet.View // to which the upstreams are applied
+	DirectReader  DirectReader
+	PublisherRank RankFunc
 	// Configure puts a configuration in force; at is the offset after its record.
 	Configure func(data []byte, at int64) error
 	Now       func() time.Duration // a monotonic clock that runs on while the VM is suspended
@@ -81,9 +81,9 @@
 	Logger    zerolog.Logger
 }
 
-// Turn returns this daemon's rank among the elected publishers, from 0 to below their number,
+// RankFunc returns this daemon's rank among the elected publishers, from 0 to below their number,
 // and false if it isn't one of them.
-type Turn func() (rank int, ok bool)
+type RankFunc func() (rank int, ok bool)
 
 // Service reads this daemon's shard, and publishes all shards if the daemon is a publisher. It
 // is safe for concurrent use.
@@ -103,10 +103,10 @@
 // New returns a Service that has read nothing.
 func New(o Options) *Service {
 	s := &Service{options: o}
-	for n := range o.Parts {
+	for n := range o.Partitions {
 		s.shards = append(s.shards, newShard(o, n))
 	}
-	s.ownShard = s.shards[shardOf(o.VM, o.Parts)]
+	s.ownShard = s.shards[shardOf(o.VM, o.Partitions)]
 	s.ownShard.subscribe(&subscriber{options: o, shard: s.ownShard})
 	s.publisher = newPublisher(o, s.shards, s.rank)
 	return s
@@ -129,7 +129,7 @@
 // followShard reads this daemon's shard and decides by it which source to use.
 func (s *Service) followShard(ctx context.Context) {
 	defer s.ownShard.follower.Hold()()
-	if s.ownShard.follower.Await(ctx) != nil {
+	if s.ownShard.follower.WaitLoaded(ctx) != nil {
 		return
 	}
 	if s.options.Bootstrap {
@@ -164,7 +164,7 @@
 func (s *Service) delayFirstRead(ctx context.Context) {
 	s.announcePresence(ctx)
 	pause.For(ctx, startupWindow)
-	load := readLoad{daemons: s.ownShard.countDaemons() * s.options.Parts, bytesPerDaemon: firstReadBytes, bytesPerSecond: s.options.ReadRate}
+	load := readLoad{daemons: s.ownShard.countDaemons() * s.options.Partitions, bytesPerDaemon: firstReadBytes, bytesPerSecond: s.options.ReadRate}
 	limit := time.NewTimer(time.Duration(rand.Float64() * float64(load.duration())))
 	defer limit.Stop()
 	for !s.ownShard.published() {
@@ -205,7 +205,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case enabled && s.releaseDirect == nil:
-		s.releaseDirect = s.options.Direct.HoldPatiently()
+		s.releaseDirect = s.options.DirectReader.HoldLowPriority()
 	case !enabled && s.releaseDirect != nil:
 		s.releaseDirect()
 		s.releaseDirect = nil
@@ -215,7 +215,7 @@
 // rank returns this daemon's rank among the publishers, false if it isn't one. A fallback
 // publisher comes after the elected ones.
 func (s *Service) rank() (rank int, ok bool) {
-	if rank, ok = s.options.Turn(); ok {
+	if rank, ok = s.options.PublisherRank(); ok {
 		return min(rank, unelectedRank), true
 	}
 	s.mu.Lock()
@@ -232,7 +232,7 @@
 
 // Ready reports whether the configuration and the upstreams are known.
 func (s *Service) Ready() bool {
-	return s.options.Direct.Whole() || s.relayed() && s.ownShard.follower.Loaded()
+	return s.options.DirectReader.Whole() || s.relayed() && s.ownShard.follower.Loaded()
 }
 
 // Lag returns the lag of the shard's view, 0 while this daemon doesn't use it.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -39,8 +39,8 @@
 // directTopics reads the platform's topics directly on one daemon.
 type directTopics struct {
 	view        *fleet.View
-	operator    *follow.Held
-	servers     *follow.Held
+	operator    *follow.OnDemand
+	servers     *follow.OnDemand
 	refresh     func()
 	urgentHolds atomic.Int32
 
@@ -52,20 +52,20 @@
 func newDirectTopics(view *fleet.View, log store.Log, now func() time.Duration) *directTopics {
 	t := &directTopics{view: view}
 	options := func(topic string, sink follow.Sink) follow.Options {
-		return follow.Options{Log: log, Topic: topic, Keyed: true, Sink: sink, Patient: func() bool { return t.urgentHolds.Load() == 0 }, Now: now, Logger: zerolog.Nop()}
+		return follow.Options{Log: log, Topic: topic, Keyed: true, Sink: sink, LowPriority: func() bool { return t.urgentHolds.Load() == 0 }, Now: now, Logger: zerolog.Nop()}
 	}
-	t.operator = follow.NewHeld(follow.HeldOptions{Options: options(configTopic, (*configSink)(t))})
-	t.servers = follow.NewHeld(follow.HeldOptions{Options: options(serversTopic, (*upstreamSink)(t)), OnForget: func() { t.refresh() }})
+	t.operator = follow.NewOnDemand(follow.OnDemandOptions{Options: options(configTopic, (*configSink)(t))})
+	t.servers = follow.NewOnDemand(follow.OnDemandOptions{Options: options(serversTopic, (*upstreamSink)(t)), OnDiscard: func() { t.refresh() }})
 	return t
 }
 
 func (t *directTopics) Hold() func() {
 	t.urgentHolds.Add(1)
-	release := t.HoldPatiently()
+	release := t.HoldLowPriority()
 	return func() { t.urgentHolds.Add(-1); release() }
 }
 
-func (t *directTopics) HoldPatiently() func() {
+func (t *directTopics) HoldLowPriority() func() {
 	a, b := t.operator.Hold(), t.servers.Hold()
 	return func() { a(); b() }
 }
@@ -79,8 +79,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Snapshot{
-		Servers: t.servers.Next(), Operator: t.operator.Next(), Config: t.config, ConfigAt: t.configOffset,
-		Bytes: len(t.config) + entryBytes*t.view.CountUpstreams(),
+		ServersOffset: t.servers.NextOffset(), OperatorOffset: t.operator.NextOffset(), Config: t.config, ConfigOffset: t.configOffset,
+		DirectReadBytes: len(t.config) + entryBytes*t.view.CountUpstreams(),
 	}, true
 }
 
@@ -201,7 +201,7 @@
 	f.putConfig(1)
 	for i := range daemons {
 		f.nodes = append(f.nodes, f.startNode(i))
-		if i < Elected {
+		if i < ElectedPublishers {
 			f.nodes[i].setRank(i)
 		}
 	}
@@ -259,8 +259,8 @@
 	n.client.SetFaults(metastore.Faults{Latency: testLatency})
 	n.topics = newDirectTopics(n.view, n.client, f.now)
 	n.service = New(Options{
-		VM: fmt.Sprint("vm", i), Log: n.client, Parts: testParts, RecordBytes: 256 << 10, CallBytes: 2 << 20, ReadRate: testReadRate, Bootstrap: f.now() < time.Second, View: n.view, Direct: n.topics,
-		Turn: n.publisherRank, Configure: func(data []byte, _ int64) error { n.view.SetConfig(parseConfig(data)); return nil },
+		VM: fmt.Sprint("vm", i), Log: n.client, Partitions: testParts, RecordBytes: 256 << 10, CallBytes: 2 << 20, ReadRate: testReadRate, Bootstrap: f.now() < time.Second, View: n.view, DirectReader: n.topics,
+		PublisherRank: n.publisherRank, Configure: func(data []byte, _ int64) error { n.view.SetConfig(parseConfig(data)); return nil },
 		Now: f.now, Clock: time.Now, Logger: zerolog.Nop(),
 	})
 	n.topics.refresh = n.service.Refresh
@@ -295,7 +295,7 @@
 	f.stop()
 	for i := range f.nodes {
 		f.nodes[i] = f.startNode(i)
-		if i < Elected {
+		if i < ElectedPublishers {
 			f.nodes[i].setRank(i)
 		}
 	}
@@ -325,7 +325,7 @@
 // allRelayed reports whether all daemons are ready and none but the elected ones reads the
 // topics directly.
 func (f *testFleet) allRelayed() bool {
-	for _, n := range f.nodes[Elected:] {
+	for _, n := range f.nodes[ElectedPublishers:] {
 		if !n.service.relayed() || n.topics.servers.Following() {
 			return false
 		}
@@ -420,7 +420,7 @@
 		f := newTestFleet(400, 200, 4000)
 		defer f.stop()
 		g.Expect(f.waitFor(time.Minute, f.allRelayed)).To(BeNumerically("<", time.Minute))
-		for i := range Elected {
+		for i := range ElectedPublishers {
 			f.nodes[i].setRank(-1)
 		}
 		time.Sleep(2 * time.Second) // until they have noticed
@@ -459,7 +459,7 @@
 		f.setUpstreamState("c7", "leaving")
 		g.Expect(f.waitFor(time.Second, func() bool { return f.excludedEverywhere("c7") })).To(BeNumerically("<", time.Second))
 		woken := newPublisher(frozen.service.options, frozen.service.shards, frozen.publisherRank)
-		woken.publish(context.Background(), 0, Watermark{ServersOffset: outdated.Servers, OperatorOffset: outdated.Operator, DirectReadBytes: outdated.Bytes, Daemons: 100}, before)
+		woken.publish(context.Background(), 0, Watermark{ServersOffset: outdated.ServersOffset, OperatorOffset: outdated.OperatorOffset, DirectReadBytes: outdated.DirectReadBytes, Daemons: 100}, before)
 		for _, s := range frozen.service.shards {
 			g.Expect(s.values).NotTo(HaveKey(upstreamPrefix + "c7"))
 		}
--- a/internal/relay/slice.go
+++ b/internal/relay/slice.go
@@ -16,7 +16,7 @@
 // upstreams, and the daemons that read it.
 type shard struct {
 	partition int
-	follower  *follow.Held
+	follower  *follow.OnDemand
 	now       func() time.Duration
 	log       zerolog.Logger
 
@@ -30,9 +30,9 @@
 
 func newShard(o Options, partition int) *shard {
 	s := &shard{partition: partition, now: o.Now, log: o.Logger, values: map[string][]byte{}}
-	s.follower = follow.NewHeld(follow.HeldOptions{Options: follow.Options{
-		Log: o.Log, Topic: topic, Part: partition, Keyed: true, Sink: s, Relaxed: s.unpublished, Now: o.Now, Logger: o.Logger,
-	}, OnForget: s.discard})
+	s.follower = follow.NewOnDemand(follow.OnDemandOptions{Options: follow.Options{
+		Log: o.Log, Topic: topic, Partition: partition, Keyed: true, Sink: s, Idle: s.unpublished, Now: o.Now, Logger: o.Logger,
+	}, OnDiscard: s.discard})
 	return s
 }
 
