--- a/internal/standin/balance/balance.go
+++ b/internal/standin/balance/balance.go
@@ -1,5 +1,5 @@
-// Package balance plays the platform's balancer in front of the daemons: it
-// checks their readiness now and then and gives callers the next live one.
+// Package balance simulates the platform's load balancer in front of the daemons. It
+// checks their readiness periodically and assigns callers to the ready ones in turn.
 package balance
 
 import (
@@ -11,43 +11,42 @@
 )
 
 const (
-	// interval is the time between two rounds of checks, checkTime bounds one.
-	interval  = 200 * time.Millisecond
-	checkTime = 500 * time.Millisecond
+	checkInterval = 200 * time.Millisecond // between two rounds of readiness checks
+	checkTimeout  = 500 * time.Millisecond // of one check
 )
 
-// ErrNoDaemon says that no daemon is ready.
+// ErrNoDaemon is returned if no daemon is ready.
 var ErrNoDaemon = errors.New("balance: no daemon is ready")
 
-// Balancer picks daemons in turn. Safe for concurrent use.
+// Balancer picks daemons in turn. It is safe for concurrent use.
 type Balancer struct {
 	daemons []string // base URLs
 	client  *http.Client
 
 	mu   sync.Mutex
-	down map[string]bool
-	next int
+	down map[string]bool // by base URL
+	next int             // counts up; its remainder by len(daemons) is the next index
 }
 
-// New returns a balancer over the daemons' base URLs that takes all for ready;
-// Run keeps it up to date.
+// New returns a balancer for daemons, given by their base URLs. It considers all of them
+// ready until Run has checked them.
 func New(daemons []string) *Balancer {
 	return &Balancer{
 		daemons: daemons,
 		down:    map[string]bool{},
 		client: &http.Client{
-			Timeout:   checkTime,
+			Timeout:   checkTimeout,
 			Transport: &http.Transport{DisableKeepAlives: true},
 		},
 	}
 }
 
-// Run checks the daemons until the context ends.
+// Run checks the daemons periodically until the context ends.
 func (b *Balancer) Run(ctx context.Context) {
-	ticker := time.NewTicker(interval)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
-		b.check(ctx)
+		b.checkAll(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -56,15 +55,15 @@
 	}
 }
 
-func (b *Balancer) check(ctx context.Context) {
-	var all sync.WaitGroup
+func (b *Balancer) checkAll(ctx context.Context) {
+	var checks sync.WaitGroup
 	for _, daemon := range b.daemons {
-		all.Go(func() { b.set(daemon, !b.ready(ctx, daemon)) })
+		checks.Go(func() { b.setDown(daemon, !b.isReady(ctx, daemon)) })
 	}
-	all.Wait()
+	checks.Wait()
 }
 
-func (b *Balancer) ready(ctx context.Context, daemon string) bool {
+func (b *Balancer) isReady(ctx context.Context, daemon string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, daemon+"/readyz", nil)
 	if err != nil {
 		return false
@@ -77,16 +76,16 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (b *Balancer) set(daemon string, down bool) {
+func (b *Balancer) setDown(daemon string, down bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.down[daemon] = down
 }
 
-// Failed takes a daemon out until its next good check.
-func (b *Balancer) Failed(daemon string) { b.set(daemon, true) }
+// Failed excludes a daemon until its next successful readiness check.
+func (b *Balancer) Failed(daemon string) { b.setDown(daemon, true) }
 
-// Next returns the next ready daemon's base URL. Error: ErrNoDaemon.
+// Next returns the base URL of the next ready daemon, or ErrNoDaemon if there is none.
 func (b *Balancer) Next() (string, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/dutyapi/api.go
+++ b/internal/standin/dutyapi/api.go
@@ -1,6 +1,6 @@
-// Package dutyapi plays the platform's side of the duties: it takes usage reports and
-// orders for upstreams, checks fencing numbers where it is told to, and notes whatever
-// breaks a promise.
+// Package dutyapi simulates the platform API that the duties call (see package duties). It
+// accepts usage reports and orders for servers, checks fencing tokens if configured to, and
+// records every violation of the guarantees that callers give.
 package dutyapi
 
 import (
@@ -13,119 +13,122 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/scaling"
 )
 
-// Options of an API.
+// Options configure an API.
 type Options struct {
-	// RequireFence: a call with a lower fencing number than one seen is refused.
+	// RequireFence refuses calls whose fencing token is lower than the highest one seen.
+	// Without it they are accepted and recorded as violations.
 	RequireFence bool
-	// Lease within which no two holders may take turns.
+	// Lease is the time within which holders must not alternate.
 	Lease time.Duration
-	// PerSecond bounds the calls of all daemons together, 0: no bound.
+	// PerSecond limits the calls per second of all daemons together; 0: no limit.
 	PerSecond int
 }
 
-// API takes calls. It is safe for concurrent use.
+// API is the simulated API. It is safe for concurrent use.
 type API struct {
 	options Options
 
-	mu         sync.Mutex
-	subjects   map[string]*subject
-	reports    map[int64]Report
-	servers    map[string]map[scaling.Key][]placed // orders by service, oldest first
-	closed     map[string]bool                     // data centres without spot servers
-	violations []string
-	calls      int
-	second     int64 // the last one in which a call came
-	inSecond   int
+	mu              sync.Mutex
+	scopes          map[string]*fencingScope
+	reports         map[int64]Report                           // by window
+	orders          map[string]map[scaling.Key][]acceptedOrder // by service, oldest first
+	spotReclaimed   map[string]bool                            // data centres without spot servers
+	violations      []string
+	calls           int
+	currentSecond   int64 // Unix time of the last call, in seconds
+	callsThisSecond int
 }
 
-// subject is what one duty's calls are about: usage, or a service in a data centre.
-type subject struct {
-	fence  int64 // highest seen
-	holder string
-	fences map[int64]string     // who used which number
-	last   map[string]time.Time // when each holder acted last
+// fencingScope holds what was seen of the calls that share one sequence of fencing tokens:
+// all usage reports, or the orders for a service in a data centre.
+type fencingScope struct {
+	highestFence  int64                // highest fencing token seen
+	lastHolder    string               // that made the last accepted call
+	holderByFence map[int64]string     // by fencing token: the holder that used it
+	lastCallAt    map[string]time.Time // by holder: its last accepted call
 }
 
 // Report is the first accepted report of a window.
 type Report struct {
-	Counts map[string]int
-	At     time.Time
-	Holder string
-	Copies int // taken again
+	Counts     map[string]int
+	At         time.Time // when it was accepted
+	Holder     string    // that sent it
+	Duplicates int       // identical reports accepted later
 }
 
-// New returns an API that has seen nothing.
+// New returns an API without reports and orders.
 func New(o Options) *API {
-	return &API{options: o, subjects: map[string]*subject{}, reports: map[int64]Report{}, servers: map[string]map[scaling.Key][]placed{}, closed: map[string]bool{}}
+	return &API{options: o, scopes: map[string]*fencingScope{}, reports: map[int64]Report{}, orders: map[string]map[scaling.Key][]acceptedOrder{}, spotReclaimed: map[string]bool{}}
 }
 
-// usageSubject is that of all windows.
-const usageSubject = "usage"
+// usageScope is the fencing scope of all usage reports.
+const usageScope = "usage"
 
-// ReportUsage takes a report and returns the HTTP status.
+// ReportUsage accepts the usage report of a window and returns the HTTP status.
 func (a *API) ReportUsage(holder string, fence, window int64, counts map[string]int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if status := a.enter(usageSubject, holder, fence); status != http.StatusOK {
+	if status := a.checkCall(usageScope, holder, fence); status != http.StatusOK {
 		return status
 	}
-	known, ok := a.reports[window]
+	report, exists := a.reports[window]
 	switch {
-	case !ok:
-		known = Report{Counts: maps.Clone(counts), At: time.Now(), Holder: holder}
-	case !maps.Equal(known.Counts, counts):
-		a.violate("window %d was reported as %v by %s and as %v by %s", window, known.Counts, known.Holder, counts, holder)
+	case !exists:
+		report = Report{Counts: maps.Clone(counts), At: time.Now(), Holder: holder}
+	case !maps.Equal(report.Counts, counts):
+		a.addViolation("window %d was reported as %v by %s and as %v by %s", window, report.Counts, report.Holder, counts, holder)
 	default:
-		known.Copies++
+		report.Duplicates++
 	}
-	a.reports[window] = known
+	a.reports[window] = report
 	return http.StatusOK
 }
 
-// NoneAvailable is how Scale tells that there are no servers of the kind now. On the wire it
-// shares a status with a refused fencing number.
+// NoneAvailable is returned by Scale if no server of the ordered kind is available now. On
+// the wire it has the same status as a refused fencing token.
 const NoneAvailable = http.StatusGone
 
-// Scale takes an order for servers and returns the HTTP status, or NoneAvailable.
+// Scale accepts an order for servers and returns the HTTP status, or NoneAvailable.
 func (a *API) Scale(holder string, fence int64, service string, o scaling.Order) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if status := a.enter("scaling "+service+" "+o.DataCentre, holder, fence); status != http.StatusOK {
+	if status := a.checkCall("scaling "+service+" "+o.DataCentre, holder, fence); status != http.StatusOK {
 		return status
 	}
-	if a.servers[service] == nil {
-		a.servers[service] = map[scaling.Key][]placed{}
+	if a.orders[service] == nil {
+		a.orders[service] = map[scaling.Key][]acceptedOrder{}
 	}
-	if o.Spot && a.closed[o.DataCentre] && o.Count > last(a.servers[service][o.Key]) {
+	if o.Spot && a.spotReclaimed[o.DataCentre] && o.Count > lastCount(a.orders[service][o.Key]) {
 		return NoneAvailable
 	}
-	a.servers[service][o.Key] = append(a.servers[service][o.Key], placed{o.Count, time.Now()})
+	a.orders[service][o.Key] = append(a.orders[service][o.Key], acceptedOrder{o.Count, time.Now()})
 	return http.StatusOK
 }
 
-// placed is an order that was taken.
-type placed struct {
-	count int
-	at    time.Time
+// acceptedOrder sets the number of servers of one kind in one data centre.
+type acceptedOrder struct {
+	count      int // servers
+	acceptedAt time.Time
 }
 
-func last(orders []placed) int {
+// lastCount returns the number of servers that the last order asked for.
+func lastCount(orders []acceptedOrder) int {
 	if len(orders) == 0 {
 		return 0
 	}
 	return orders[len(orders)-1].count
 }
 
-// Servers returns the servers of a service by data centre that were ordered so long ago that
-// they serve now.
+// Servers returns the running servers of a service by data centre. An ordered server runs
+// once the boot time has passed; one that is no longer ordered stops immediately.
 func (a *API) Servers(service string, boot time.Duration) map[string]scaling.Servers {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := map[string]scaling.Servers{}
-	for k, orders := range a.servers[service] {
+	for k, orders := range a.orders[service] {
 		n := 0
 		for _, o := range orders {
-			if o.count < n || time.Since(o.at) >= boot {
+			if o.count < n || time.Since(o.acceptedAt) >= boot {
 				n = o.count
 			}
 		}
@@ -140,81 +143,84 @@
 	return out
 }
 
-// Orders is the number of orders that were taken for a service.
+// Orders returns the number of accepted orders for a service.
 func (a *API) Orders(service string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := 0
-	for _, orders := range a.servers[service] {
+	for _, orders := range a.orders[service] {
 		n += len(orders)
 	}
 	return n
 }
 
-// Reclaim takes all spot servers of a data centre away; no more are to be had there until
-// Reopen.
+// Reclaim removes all spot servers of a service in a data centre. No spot servers are
+// available there until Reopen is called.
 func (a *API) Reclaim(service, dataCentre string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.closed[dataCentre] = true
+	a.spotReclaimed[dataCentre] = true
 	k := scaling.Key{DataCentre: dataCentre, Spot: true}
-	if a.servers[service] != nil {
-		a.servers[service][k] = append(a.servers[service][k], placed{0, time.Now()})
+	if a.orders[service] != nil {
+		a.orders[service][k] = append(a.orders[service][k], acceptedOrder{0, time.Now()})
 	}
 }
 
-// Reopen ends what Reclaim began.
+// Reopen makes spot servers available again in a data centre after Reclaim.
 func (a *API) Reopen(dataCentre string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.closed, dataCentre)
+	delete(a.spotReclaimed, dataCentre)
 }
 
-// enter checks a call's fencing number and turn.
-func (a *API) enter(name, holder string, fence int64) int {
+// checkCall counts a call, applies the rate limit, and checks the call's fencing token and
+// that holders don't alternate within the lease. It returns the HTTP status. The caller
+// holds the lock.
+func (a *API) checkCall(scope, holder string, fence int64) int {
 	a.calls++
-	if !a.admit() {
+	if !a.admitCall() {
 		return http.StatusTooManyRequests
 	}
-	s := a.subjects[name]
+	s := a.scopes[scope]
 	if s == nil {
-		s = &subject{fences: map[int64]string{}, last: map[string]time.Time{}}
-		a.subjects[name] = s
+		s = &fencingScope{holderByFence: map[int64]string{}, lastCallAt: map[string]time.Time{}}
+		a.scopes[scope] = s
 	}
-	if other, used := s.fences[fence]; used && other != holder {
-		a.violate("%s: %s and %s used fencing number %d", name, other, holder, fence)
+	if other, used := s.holderByFence[fence]; used && other != holder {
+		a.addViolation("%s: %s and %s used the same fencing token %d", scope, other, holder, fence)
 	}
-	s.fences[fence] = holder
-	if fence < s.fence {
+	s.holderByFence[fence] = holder
+	if fence < s.highestFence {
 		if a.options.RequireFence {
 			return http.StatusConflict
 		}
-		a.violate("%s: %s acted with fencing number %d after %d", name, holder, fence, s.fence)
+		a.addViolation("%s: %s used fencing token %d after %d was seen", scope, holder, fence, s.highestFence)
 	}
-	s.fence = max(s.fence, fence)
+	s.highestFence = max(s.highestFence, fence)
 	now := time.Now()
-	if before, acted := s.last[holder]; acted && s.holder != holder && now.Sub(before) < a.options.Lease {
-		a.violate("%s: %s, %s and %s again took turns within %v", name, holder, s.holder, holder, now.Sub(before))
+	if previous, called := s.lastCallAt[holder]; called && s.lastHolder != holder && now.Sub(previous) < a.options.Lease {
+		a.addViolation("%s: calls by %s, %s and %s again within %v", scope, holder, s.lastHolder, holder, now.Sub(previous))
 	}
-	s.holder = holder
-	s.last[holder] = now
+	s.lastHolder = holder
+	s.lastCallAt[holder] = now
 	return http.StatusOK
 }
 
-func (a *API) admit() bool {
+// admitCall reports whether the rate limit allows one more call. The caller holds the lock.
+func (a *API) admitCall() bool {
 	second := time.Now().Unix()
-	if second != a.second {
-		a.second, a.inSecond = second, 0
+	if second != a.currentSecond {
+		a.currentSecond, a.callsThisSecond = second, 0
 	}
-	a.inSecond++
-	return a.options.PerSecond == 0 || a.inSecond <= a.options.PerSecond
+	a.callsThisSecond++
+	return a.options.PerSecond == 0 || a.callsThisSecond <= a.options.PerSecond
 }
 
-func (a *API) violate(format string, args ...any) {
+func (a *API) addViolation(format string, args ...any) {
 	a.violations = append(a.violations, fmt.Sprintf(format, args...))
 }
 
-// Violations returns what broke a promise.
+// Violations describes each violation of the callers' guarantees so far.
 func (a *API) Violations() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -228,7 +234,7 @@
 	return maps.Clone(a.reports)
 }
 
-// Calls is the number of calls that arrived.
+// Calls returns the number of calls received, including the refused ones.
 func (a *API) Calls() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/dutyapi/client.go
+++ b/internal/standin/dutyapi/client.go
@@ -13,22 +13,24 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/usage"
 )
 
-// Faults are what a client suffers at the moment.
+// Faults are the faults currently injected into a client's calls.
 type Faults struct {
-	Latency time.Duration // of each answer
+	Latency time.Duration // added to each call
 	Refuse  bool          // every call is refused
-	Cut     bool          // calls hang until their time is up; none arrives
-	// Hold, if set, is waited for before a call leaves: a process that stands still
-	// between the look at its claim and the call.
+	Cut     bool          // calls don't reach the API and time out
+	// Hold, if set, is called before each call and delays it until it returns. It
+	// simulates a process that is suspended between checking its claim and sending the
+	// call.
 	Hold func()
-	// Late, if it returns a duration, has a call carried out so much later, unanswered.
+	// Late, if set, returns by how much a call is delayed; 0: not at all. A delayed call is
+	// executed at the end of the delay and never answered.
 	Late func() time.Duration
 }
 
-// Client is one VM's way to an API. It implements duties.Platform.
+// Client is one VM's connection to an API. It implements duties.Platform.
 type Client struct {
 	api     *API
-	timeout time.Duration
+	timeout time.Duration // of a call
 
 	mu     sync.Mutex
 	faults Faults
@@ -36,10 +38,10 @@
 
 var _ duties.Platform = (*Client)(nil)
 
-// NewClient returns a client without faults whose calls end after a time.
+// NewClient returns a client without faults. timeout bounds each of its calls.
 func NewClient(a *API, timeout time.Duration) *Client { return &Client{api: a, timeout: timeout} }
 
-// SetFaults changes what the client suffers from now on.
+// SetFaults replaces the faults of future calls.
 func (c *Client) SetFaults(f Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,12 +69,13 @@
 	return !cut
 }
 
-// dialTimeout is how long a connection is waited for that can't be made.
+// dialTimeout is how long Reachable waits for a connection that can't be established.
 const dialTimeout = 400 * time.Millisecond
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response before the timeout")
 
-func (c *Client) send(ctx context.Context, do func() int) (duties.Outcome, error) {
+// send executes a call under the client's faults. execute returns the HTTP status.
+func (c *Client) send(ctx context.Context, execute func() int) (duties.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	c.mu.Lock()
@@ -83,27 +86,27 @@
 	}
 	if f.Cut {
 		<-ctx.Done()
-		return duties.Unknown, errNoAnswer
+		return duties.Unknown, errNoResponse
 	}
 	if f.Late != nil {
-		if after := f.Late(); after > 0 {
-			time.AfterFunc(after, func() { do() }) // nobody waits for its answer
+		if delay := f.Late(); delay > 0 {
+			time.AfterFunc(delay, func() { execute() }) // nobody waits for the result
 			<-ctx.Done()
-			return duties.Unknown, errNoAnswer
+			return duties.Unknown, errNoResponse
 		}
 	}
 	pause.For(ctx, f.Latency)
 	if f.Refuse {
 		return duties.Refused, errors.New("refused")
 	}
-	switch status := do(); status {
+	switch status := execute(); status {
 	case http.StatusOK:
 		return duties.Done, nil
 	case http.StatusConflict:
 		return duties.Fenced, errors.New("fenced")
 	case NoneAvailable:
-		return duties.Unavailable, errors.New("none available")
+		return duties.Unavailable, errors.New("no server of this kind is available")
 	default:
-		return duties.Refused, errors.New("too many calls")
+		return duties.Refused, errors.New("rate limit exceeded")
 	}
 }
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -7,113 +7,118 @@
 	"sync/atomic"
 )
 
-// Listener wraps a listener so that Freeze and Silence reach its connections.
-func (in *Injector) Listener(l net.Listener) net.Listener {
-	return &listener{Listener: l, in: in}
+// WrapListener returns a listener whose connections are subject to the faults Freeze
+// and Silence.
+func (in *Injector) WrapListener(l net.Listener) net.Listener {
+	return &faultyListener{Listener: l, injector: in}
 }
 
-type listener struct {
+type faultyListener struct {
 	net.Listener
-	in *Injector
+	injector *Injector
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, in: l.in, closed: make(chan struct{})}
-	l.in.mu.Lock()
-	l.in.conns[c] = struct{}{}
-	l.in.mu.Unlock()
+	c := &faultyConn{Conn: raw, injector: l.injector, closed: make(chan struct{})}
+	l.injector.mu.Lock()
+	l.injector.openConns[c] = struct{}{}
+	l.injector.mu.Unlock()
 	return c, nil
 }
 
-// conn is a connection that can be frozen with its process or silenced for good.
-type conn struct {
+// faultyConn is a connection that can be frozen together with its server, or silenced
+// permanently.
+type faultyConn struct {
 	net.Conn
-	in     *Injector
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	injector  *Injector
+	silenced  atomic.Bool
+	closeOnce sync.Once
+	closed    chan struct{} // closed by Close
 }
 
-func (in *Injector) silence(spare *conn) {
+// silenceConns silences all open connections except one, which may be nil.
+func (in *Injector) silenceConns(exempt *faultyConn) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	for c := range in.conns {
-		if c != spare {
-			c.silent.Store(true)
+	for c := range in.openConns {
+		if c != exempt {
+			c.silenced.Store(true)
 		}
 	}
 }
 
-// Read never returns on a silent connection until it is closed here: what the
-// other end sent, its end of file included, got lost on the way.
-func (c *conn) Read(p []byte) (int, error) {
+// Read blocks on a silenced connection until Close is called. Whatever the peer sends
+// is discarded, including its end of file, as if it were lost in the network.
+func (c *faultyConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.in.waitThawed(c.closed)
-	if c.silent.Load() {
+	c.injector.waitWhileFrozen(c.closed)
+	if c.silenced.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Write on a silent connection says that all went well and sends nothing.
-func (c *conn) Write(p []byte) (int, error) {
-	c.in.waitThawed(c.closed)
-	if c.silent.Load() {
+// Write on a silenced connection reports success and sends nothing.
+func (c *faultyConn) Write(p []byte) (int, error) {
+	c.injector.waitWhileFrozen(c.closed)
+	if c.silenced.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *conn) Close() error {
-	c.once.Do(func() {
+func (c *faultyConn) Close() error {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		c.in.mu.Lock()
-		delete(c.in.conns, c)
-		c.in.mu.Unlock()
+		c.injector.mu.Lock()
+		delete(c.injector.openConns, c)
+		c.injector.mu.Unlock()
 	})
-	if c.silent.Load() {
-		c.forget()
+	if c.silenced.Load() {
+		c.suppressFIN()
 	}
 	return c.Conn.Close()
 }
 
-// forget keeps the kernel from telling the other end of a silent connection
-// anything but a late reset.
-func (c *conn) forget() { c.setReset() }
+// suppressFIN makes Close reset a silenced connection instead of sending a FIN, so that
+// the peer receives nothing from the kernel except this late reset.
+func (c *faultyConn) suppressFIN() { c.resetOnClose() }
 
-// setReset makes the coming Close reset the connection.
-func (c *conn) setReset() {
+// resetOnClose makes the next Close reset the connection.
+func (c *faultyConn) resetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// CloseAll closes every connection at once, as the end of a process does.
-func (in *Injector) CloseAll() {
+// CloseConns closes all open connections at once, as the exit of a process does.
+func (in *Injector) CloseConns() {
 	in.mu.Lock()
-	all := make([]*conn, 0, len(in.conns))
-	for c := range in.conns {
-		all = append(all, c)
+	conns := make([]*faultyConn, 0, len(in.openConns))
+	for c := range in.openConns {
+		conns = append(conns, c)
 	}
 	in.mu.Unlock()
-	for _, c := range all {
+	for _, c := range conns {
 		_ = c.Close()
 	}
 }
 
 type connKey struct{}
 
-// ConnContext is for http.Server; it lets a handler find its connection.
+// ConnContext is meant for http.Server.ConnContext. It stores the connection in the
+// context of its requests, where handlers find it.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-func connOf(ctx context.Context) *conn {
-	c, _ := ctx.Value(connKey{}).(*conn)
+// connOf returns the connection stored by ConnContext, or nil.
+func connOf(ctx context.Context) *faultyConn {
+	c, _ := ctx.Value(connKey{}).(*faultyConn)
 	return c
 }
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -24,11 +24,11 @@
 	RunSpecs(t, "fault")
 }
 
-var _ = Describe("a stand-in with faults", func() {
+var _ = Describe("a stand-in server with injected faults", func() {
 	var (
 		faults *fault.Injector
 		server *host.Server
-		runs   atomic.Int32
+		runs   atomic.Int32 // executed requests
 		client *http.Client
 	)
 
@@ -49,6 +49,7 @@
 		DeferCleanup(client.CloseIdleConnections)
 	})
 
+	// call sends a request and returns the response and its body.
 	call := func(id, body string) (*http.Response, string, error) {
 		request, err := http.NewRequest(http.MethodPost, server.URL+"/x", strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
@@ -62,18 +63,19 @@
 		return response, string(raw), err
 	}
 
-	set := func(s fault.Spec) {
+	// setFault adds a fault through the HTTP API, on a connection of its own.
+	setFault := func(s fault.Spec) {
 		raw, err := json.Marshal(s)
 		Expect(err).NotTo(HaveOccurred())
-		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		response, err := fresh.Post(server.URL+fault.Path, "application/json", bytes.NewReader(raw))
+		oneShot := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+		response, err := oneShot.Post(server.URL+fault.Path, "application/json", bytes.NewReader(raw))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Body.Close()).To(Succeed())
 		Expect(response.StatusCode).To(Equal(http.StatusNoContent))
 	}
 
-	It("hits only what matches, and only so often", func() {
-		set(fault.Spec{Kind: fault.Refuse, Match: "bad", Count: 1})
+	It("affects only matching requests, and only Count of them", func() {
+		setFault(fault.Spec{Kind: fault.Refuse, Match: "bad", Count: 1})
 		response, _, err := call("1", "good")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
@@ -87,45 +89,45 @@
 		Expect(body).To(Equal("bad"))
 	})
 
-	It("resets before anything ran", func() {
-		set(fault.Spec{Kind: fault.Reset, Count: 1})
+	It("resets the connection before the request is executed", func() {
+		setFault(fault.Spec{Kind: fault.Reset, Count: 1})
 		_, _, err := call("1", "x")
 		Expect(err).To(MatchError(syscall.ECONNRESET))
 		Expect(runs.Load()).To(BeZero())
 	})
 
-	It("loses the answer of what ran", func() {
-		set(fault.Spec{Kind: fault.AnswerLost, Count: 1})
+	It("executes the request and resets the connection without a response", func() {
+		setFault(fault.Spec{Kind: fault.AnswerLost, Count: 1})
 		_, _, err := call("1", "x")
 		Expect(err).To(MatchError(syscall.ECONNRESET))
 		Expect(runs.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("cuts a body, with a reset or a close", func() {
+	It("breaks off a body by a reset or a close", func() {
 		for _, kind := range []fault.Kind{fault.ResetBody, fault.Truncate} {
-			set(fault.Spec{Kind: kind, Count: 1, Value: 3})
+			setFault(fault.Spec{Kind: kind, Count: 1, Value: 3})
 			_, body, err := call("1", "abcdef")
 			Expect(err).To(HaveOccurred(), string(kind))
 			Expect("abc").To(HavePrefix(body))
 		}
 	})
 
-	It("ends a body early as if it were whole", func() {
-		set(fault.Spec{Kind: fault.EndEarly, Count: 1, Value: 3})
+	It("ends a body early without an error for the client", func() {
+		setFault(fault.Spec{Kind: fault.EndEarly, Count: 1, Value: 3})
 		_, body, err := call("1", "abcdef")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal("abc"))
 	})
 
-	// Two callers ask at the same time. Each gets a well-formed answer at once,
-	// but it is the other's, with the other's id.
-	It("crosses two answers", func() {
-		set(fault.Spec{Kind: fault.Crossed, Count: 2, Value: 60_000})
+	// Two clients send a request at the same time. Each gets a well-formed response
+	// without delay, but that of the other request, with its id.
+	It("swaps two concurrent responses", func() {
+		setFault(fault.Spec{Kind: fault.Crossed, Count: 2, Value: 60_000})
 		got := map[string]string{}
 		var mu sync.Mutex
-		var both sync.WaitGroup
+		var calls sync.WaitGroup
 		for _, id := range []string{"a", "b"} {
-			both.Go(func() {
+			calls.Go(func() {
 				response, body, err := call(id, "body of "+id)
 				mu.Lock()
 				defer mu.Unlock()
@@ -134,44 +136,44 @@
 				}
 			})
 		}
-		both.Wait()
+		calls.Wait()
 		Expect(got).To(Equal(map[string]string{"a": "b: body of b", "b": "a: body of a"}))
 	})
 
-	// A connection that was fine goes silent: the next request on it gets no
-	// answer and no error, while a new connection works at once.
-	It("silences open connections only", func() {
+	// The next request on an open connection gets neither a response nor an error, while
+	// new connections work.
+	It("silences only the connections that are open", func() {
 		_, _, err := call("1", "x")
 		Expect(err).NotTo(HaveOccurred())
-		set(fault.Spec{Kind: fault.Silence})
-		answered := make(chan error, 1)
+		setFault(fault.Spec{Kind: fault.Silence})
+		results := make(chan error, 1)
 		go func() {
 			_, _, err := call("2", "x")
-			answered <- err
+			results <- err
 		}()
-		fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+		oneShot := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 		for range 20 {
-			response, err := fresh.Post(server.URL+"/x", "", strings.NewReader("y"))
+			response, err := oneShot.Post(server.URL+"/x", "", strings.NewReader("y"))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(response.Body.Close()).To(Succeed())
 		}
-		Expect(answered).NotTo(Receive())
+		Expect(results).NotTo(Receive())
 		Expect(runs.Load()).To(BeEquivalentTo(21))
 		server.Close()
-		Eventually(answered).Should(Receive(HaveOccurred()))
+		Eventually(results).Should(Receive(HaveOccurred()))
 	})
 
-	It("closes everything on a crash", func() {
-		set(fault.Spec{Kind: fault.Crash, Match: "poison"})
+	It("closes the listener and all connections on a crash", func() {
+		setFault(fault.Spec{Kind: fault.Crash, Match: "poison"})
 		_, _, err := call("1", "poison")
 		Expect(err).To(HaveOccurred())
 		_, _, err = call("2", "good")
 		Expect(err).To(HaveOccurred())
-		Expect(faults.Crashes()).To(Equal(1))
+		Expect(faults.CrashCount()).To(Equal(1))
 		Expect(runs.Load()).To(BeZero())
 	})
 
-	It("refuses a fault that it doesn't know", func() {
+	It("rejects an unknown kind and a freeze without a duration", func() {
 		Expect(faults.Set(fault.Spec{Kind: "gremlin"})).NotTo(Succeed())
 		Expect(faults.Set(fault.Spec{Kind: fault.Freeze})).NotTo(Succeed())
 	})
--- a/internal/standin/fault/injector.go
+++ b/internal/standin/fault/injector.go
@@ -5,131 +5,134 @@
 	"time"
 )
 
-// Injector holds the faults in force of one stand-in. It is safe for
-// concurrent use; the zero value isn't usable, see New.
+// Injector holds the active faults of one stand-in. Create it with New. It is safe for
+// concurrent use.
 type Injector struct {
-	mu       sync.Mutex
-	active   []*armed
-	conns    map[*conn]struct{}
-	thawed   chan struct{} // closed when the freeze ends; nil: not frozen
-	onCrash  func()
-	crashes  int
-	crossing chan exchange
+	mu         sync.Mutex
+	active     []*activeFault // in the order in which they were set
+	openConns  map[*faultyConn]struct{}
+	unfreeze   chan struct{} // closed when the current freeze ends; nil if not frozen
+	onCrash    func()        // executes a crash; nil: nothing to do
+	crashCount int
+	swaps      chan pendingSwap // hands over the first response of a Crossed pair
 }
 
-// armed is a fault in force.
-type armed struct {
+// activeFault is a fault with what remains of its time and count.
+type activeFault struct {
 	Spec
-	until time.Time // zero: until deleted
-	left  int       // requests still to hit, when Count > 0
+	expiresAt     time.Time // zero: active until cleared
+	remainingHits int       // requests still to be affected; used if Count > 0
 }
 
 // New returns an Injector without faults.
 func New() *Injector {
-	return &Injector{conns: map[*conn]struct{}{}, crossing: make(chan exchange)}
+	return &Injector{openConns: map[*faultyConn]struct{}{}, swaps: make(chan pendingSwap)}
 }
 
-// OnCrash sets what a crash does: a process exits, a test closes its server.
+// OnCrash sets the function that executes a Crash fault: a process exits, a test closes
+// its server.
 func (in *Injector) OnCrash(f func()) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.onCrash = f
 }
 
-// Crashes returns how often a crash was brought about.
-func (in *Injector) Crashes() int {
+// CrashCount returns the number of crashes that were injected.
+func (in *Injector) CrashCount() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.crashes
+	return in.crashCount
 }
 
-// Set puts a fault in force. Silence and Freeze act at once.
-func (in *Injector) Set(s Spec) error { return in.set(s, nil) }
+// Set adds a fault. Silence and Freeze take effect immediately.
+func (in *Injector) Set(s Spec) error { return in.applyExcept(s, nil) }
 
-func (in *Injector) set(s Spec, spare *conn) error {
+// applyExcept adds a fault. Silence doesn't affect the exempt connection, if there is one.
+func (in *Injector) applyExcept(s Spec, exempt *faultyConn) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
 	switch s.Kind {
 	case Silence:
-		in.silence(spare)
+		in.silenceConns(exempt)
 	case Freeze:
 		in.freeze(time.Duration(s.DurationMillis) * time.Millisecond)
 	default:
-		in.arm(s)
+		in.add(s)
 	}
 	return nil
 }
 
-func (in *Injector) arm(s Spec) {
+func (in *Injector) add(s Spec) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	a := &armed{Spec: s, left: s.Count}
+	f := &activeFault{Spec: s, remainingHits: s.Count}
 	if s.DurationMillis > 0 {
-		a.until = time.Now().Add(time.Duration(s.DurationMillis) * time.Millisecond)
+		f.expiresAt = time.Now().Add(time.Duration(s.DurationMillis) * time.Millisecond)
 	}
-	in.active = append(in.active, a)
+	in.active = append(in.active, f)
 }
 
-// Clear ends every fault except a silence, which is for good.
+// Clear ends all faults except Silence, which is permanent.
 func (in *Injector) Clear() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.active = nil
-	in.thaw()
+	in.unfreezeLocked()
 }
 
-// Active lists the faults in force.
+// Active returns the active faults. Silence and Freeze aren't among them.
 func (in *Injector) Active() []Spec {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.expire()
-	out := make([]Spec, 0, len(in.active))
-	for _, a := range in.active {
-		out = append(out, a.Spec)
+	in.removeExpiredLocked()
+	specs := make([]Spec, 0, len(in.active))
+	for _, f := range in.active {
+		specs = append(specs, f.Spec)
 	}
-	return out
+	return specs
 }
 
-// Take returns the oldest fault of a kind that matches one of the texts, and
-// counts it as having hit once.
+// Take returns the oldest active fault of a kind that matches one of a request's texts,
+// and counts the request against the fault's Count.
 func (in *Injector) Take(kind Kind, texts ...string) (Spec, bool) {
 	return in.find(kind, texts, true)
 }
 
-// Peek is Take without the counting.
+// Peek is like Take but doesn't count the request.
 func (in *Injector) Peek(kind Kind, texts ...string) (Spec, bool) {
 	return in.find(kind, texts, false)
 }
 
-func (in *Injector) find(kind Kind, texts []string, use bool) (Spec, bool) {
+func (in *Injector) find(kind Kind, texts []string, countHit bool) (Spec, bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.expire()
-	for _, a := range in.active {
-		if a.Kind != kind || !a.matches(texts) {
+	in.removeExpiredLocked()
+	for _, f := range in.active {
+		if f.Kind != kind || !f.matches(texts) {
 			continue
 		}
-		if use && a.Count > 0 {
-			a.left--
+		if countHit && f.Count > 0 {
+			f.remainingHits--
 		}
-		return a.Spec, true
+		return f.Spec, true
 	}
 	return Spec{}, false
 }
 
-// expire forgets the faults whose time or count is over. Called under the lock.
-func (in *Injector) expire() {
+// removeExpiredLocked removes the faults whose time or count is used up. The caller
+// holds the lock.
+func (in *Injector) removeExpiredLocked() {
 	if len(in.active) == 0 {
 		return
 	}
 	now := time.Now()
 	kept := in.active[:0]
-	for _, a := range in.active {
-		over := !a.until.IsZero() && !now.Before(a.until)
-		usedUp := a.Count > 0 && a.left <= 0
-		if !over && !usedUp {
-			kept = append(kept, a)
+	for _, f := range in.active {
+		expired := !f.expiresAt.IsZero() && !now.Before(f.expiresAt)
+		exhausted := f.Count > 0 && f.remainingHits <= 0
+		if !expired && !exhausted {
+			kept = append(kept, f)
 		}
 	}
 	in.active = kept
@@ -137,7 +140,7 @@
 
 func (in *Injector) crash() {
 	in.mu.Lock()
-	in.crashes++
+	in.crashCount++
 	f := in.onCrash
 	in.mu.Unlock()
 	if f != nil {
@@ -145,48 +148,49 @@
 	}
 }
 
+// freeze replaces the current freeze, if any, by one of duration d.
 func (in *Injector) freeze(d time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.thaw()
-	thawed := make(chan struct{})
-	in.thawed = thawed
+	in.unfreezeLocked()
+	unfreeze := make(chan struct{})
+	in.unfreeze = unfreeze
 	time.AfterFunc(d, func() {
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		if in.thawed == thawed {
-			in.thaw()
+		if in.unfreeze == unfreeze {
+			in.unfreezeLocked()
 		}
 	})
 }
 
-// thaw ends a freeze. Called under the lock.
-func (in *Injector) thaw() {
-	if in.thawed != nil {
-		close(in.thawed)
-		in.thawed = nil
+// unfreezeLocked ends the current freeze, if any. The caller holds the lock.
+func (in *Injector) unfreezeLocked() {
+	if in.unfreeze != nil {
+		close(in.unfreeze)
+		in.unfreeze = nil
 	}
 }
 
-// Frozen returns a channel that is closed when the present freeze ends, nil
-// when there is none.
+// Frozen returns a channel that is closed when the current freeze ends, or nil if there
+// is no freeze.
 func (in *Injector) Frozen() <-chan struct{} {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.thawed == nil {
+	if in.unfreeze == nil {
 		return nil
 	}
-	return in.thawed
+	return in.unfreeze
 }
 
-// waitThawed blocks during a freeze, until stop is closed.
-func (in *Injector) waitThawed(stop <-chan struct{}) {
-	thawed := in.Frozen()
-	if thawed == nil {
+// waitWhileFrozen blocks until the current freeze ends or stop is closed.
+func (in *Injector) waitWhileFrozen(stop <-chan struct{}) {
+	unfrozen := in.Frozen()
+	if unfrozen == nil {
 		return
 	}
 	select {
-	case <-thawed:
+	case <-unfrozen:
 	case <-stop:
 	}
 }
--- a/internal/standin/fault/spec.go
+++ b/internal/standin/fault/spec.go
@@ -1,6 +1,6 @@
-// Package fault switches faults of a stand-in on and off: an Injector keeps the
-// faults in force, its middleware and its listener bring them about, and its
-// HTTP interface (POST, GET and DELETE on Path) sets them.
+// Package fault injects faults into stand-in servers. An Injector holds the active
+// faults; its middleware and its listener apply them. Its HTTP API on Path adds a fault
+// (POST), lists the active ones (GET) and clears them (DELETE).
 package fault
 
 import (
@@ -11,29 +11,29 @@
 	"time"
 )
 
-// Path is where a stand-in takes faults.
+// Path is the path of a stand-in's fault API.
 const Path = "/_standin/fault"
 
 // Kind names a fault.
 type Kind string
 
-// The kinds of fault. Value is explained where a kind uses it.
+// The kinds of fault. The comments say what Spec.Value means for the kinds that use it.
 const (
 	Crash       Kind = "crash"                 // the process exits on a matching request
-	Refuse      Kind = "refuse"                // 503 with X-Not-Run, nothing runs
-	Reset       Kind = "reset"                 // connection reset before the first byte, nothing runs
-	ResetBody   Kind = "reset_body"            // connection reset after Value bytes of body
-	Truncate    Kind = "truncate"              // connection closed after Value bytes of body
-	EndEarly    Kind = "end_early"             // body ends cleanly after Value bytes, without its end mark
-	Freeze      Kind = "freeze"                // the whole process stops for DurationMillis
-	Silence     Kind = "silence"               // connections open now go silent for good, new ones work
-	Slow        Kind = "slow"                  // Value ms before each request; on an engine, Value x the token time
-	Late        Kind = "late"                  // runs at once, answers Value ms later
-	AnswerLost  Kind = "answer_lost"           // runs, then the connection is reset
-	Crossed     Kind = "crossed"               // two concurrent answers are swapped, ids included
-	Outage      Kind = "outage"                // 503 on everything
+	Refuse      Kind = "refuse"                // 503 with X-Not-Run; the request isn't executed
+	Reset       Kind = "reset"                 // connection reset before the first byte; the request isn't executed
+	ResetBody   Kind = "reset_body"            // connection reset after Value bytes of the body
+	Truncate    Kind = "truncate"              // connection closed after Value bytes of the body
+	EndEarly    Kind = "end_early"             // body ends cleanly after Value bytes, without its end marker
+	Freeze      Kind = "freeze"                // the whole process is suspended for DurationMillis
+	Silence     Kind = "silence"               // open connections transfer nothing any more; new ones work
+	Slow        Kind = "slow"                  // delays each request by Value ms; on an engine, multiplies the time per token by Value
+	Late        Kind = "late"                  // executes the request at once and responds Value ms later
+	AnswerLost  Kind = "answer_lost"           // executes the request, then resets the connection
+	Crossed     Kind = "crossed"               // swaps the responses of two concurrent requests, including their ids
+	Outage      Kind = "outage"                // 503 on every request
 	SwapFails   Kind = "swap_fails"            // engine: load and switch orders fail
-	ReportEarly Kind = "report_before_serving" // engine: names a version Value ms before serving it
+	ReportEarly Kind = "report_before_serving" // engine: reports a version Value ms before serving it
 )
 
 var kinds = []Kind{
@@ -41,20 +41,21 @@
 	Late, AnswerLost, Crossed, Outage, SwapFails, ReportEarly,
 }
 
-// Spec is one fault: the body of POST on Path.
+// Spec describes one fault. It is the body of POST on Path.
 type Spec struct {
 	Kind Kind `json:"kind"`
-	// Match is a substring of the request's "METHOD path?query" or body; empty matches all.
+	// Match is a substring of the request's "METHOD path?query" or of its body; empty
+	// matches every request.
 	Match string `json:"match,omitempty"`
-	// Count is how many requests it hits; 0 means all.
+	// Count is the number of requests to affect; 0 means all.
 	Count int `json:"count,omitempty"`
-	// DurationMillis is how long it stays in force; 0 means until deleted.
+	// DurationMillis is how long the fault stays active, in ms; 0 means until cleared.
 	DurationMillis int64 `json:"duration_ms,omitempty"`
-	// Value is the argument of some kinds.
+	// Value is the argument of some kinds, in the unit given there.
 	Value float64 `json:"value,omitempty"`
 }
 
-// ParseSpec decodes and checks a fault.
+// ParseSpec decodes and validates a fault.
 func ParseSpec(raw []byte) (Spec, error) {
 	var s Spec
 	if err := json.Unmarshal(raw, &s); err != nil {
@@ -63,19 +64,20 @@
 	return s, s.Validate()
 }
 
-// Validate says what is wrong with a fault.
+// Validate returns an error if the fault is invalid.
 func (s Spec) Validate() error {
 	switch {
 	case !slices.Contains(kinds, s.Kind):
 		return fmt.Errorf("fault: unknown kind %q, want one of %v", s.Kind, kinds)
 	case s.Count < 0 || s.DurationMillis < 0 || s.Value < 0:
-		return fmt.Errorf("fault: count, duration_ms and value can't be negative")
+		return fmt.Errorf("fault: count, duration_ms and value must not be negative")
 	case s.Kind == Freeze && s.DurationMillis == 0:
-		return fmt.Errorf("fault: freeze wants a duration_ms")
+		return fmt.Errorf("fault: freeze requires duration_ms")
 	}
 	return nil
 }
 
+// matches reports whether one of a request's texts contains Match.
 func (s Spec) matches(texts []string) bool {
 	if s.Match == "" {
 		return true
@@ -83,7 +85,7 @@
 	return slices.ContainsFunc(texts, func(t string) bool { return strings.Contains(t, s.Match) })
 }
 
-// delay returns Value in milliseconds, or fallback when there is none.
+// delay returns Value as milliseconds, or fallback if Value isn't set.
 func (s Spec) delay(fallback time.Duration) time.Duration {
 	if s.Value == 0 {
 		return fallback
@@ -91,8 +93,9 @@
 	return time.Duration(s.Value * float64(time.Millisecond))
 }
 
-// bytes returns Value as a number of bytes of body.
-func (s Spec) bytes() int {
+// bodyBytes returns Value as a number of bytes of the body, or a default if Value isn't
+// set.
+func (s Spec) bodyBytes() int {
 	const fallback = 40
 	if s.Value == 0 {
 		return fallback
--- a/internal/standin/fault/writer.go
+++ b/internal/standin/fault/writer.go
@@ -8,107 +8,109 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// abort ends the connection in the middle of what it was doing, by a reset or
-// a plain close. It doesn't return.
-func abort(w http.ResponseWriter, reset bool) {
+// abortConnection ends the connection in the middle of the response, by a reset or by a
+// normal close. It doesn't return.
+func abortConnection(w http.ResponseWriter, reset bool) {
 	raw, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
-		if c, ok := raw.(*conn); ok && reset {
-			c.setReset()
+		if c, ok := raw.(*faultyConn); ok && reset {
+			c.resetOnClose()
 		}
 		_ = raw.Close()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// cutWriter passes on left bytes of body. Then it calls end, which doesn't
-// return, or, without one, swallows the rest.
-type cutWriter struct {
+// limitedWriter passes on a limited number of bytes of the body. At the limit it calls
+// onLimit, which doesn't return; without onLimit it discards the rest.
+type limitedWriter struct {
 	http.ResponseWriter
-	left  int
-	end   func()
-	begun bool
+	remaining     int // bytes still to pass on
+	onLimit       func()
+	headerWritten bool
 }
 
-func (c *cutWriter) WriteHeader(status int) {
-	c.begun = true
-	if c.end == nil {
-		// A declared length would turn the clean end into a broken one.
-		c.Header().Del("Content-Length")
+func (w *limitedWriter) WriteHeader(status int) {
+	w.headerWritten = true
+	if w.onLimit == nil {
+		// With a declared length the client would notice that the body is incomplete.
+		w.Header().Del("Content-Length")
 	}
-	c.ResponseWriter.WriteHeader(status)
+	w.ResponseWriter.WriteHeader(status)
 }
 
-func (c *cutWriter) Write(p []byte) (int, error) {
-	if !c.begun {
-		c.WriteHeader(http.StatusOK)
+func (w *limitedWriter) Write(p []byte) (int, error) {
+	if !w.headerWritten {
+		w.WriteHeader(http.StatusOK)
 	}
-	pass := min(len(p), c.left)
-	c.left -= pass
-	if _, err := c.ResponseWriter.Write(p[:pass]); err != nil {
+	n := min(len(p), w.remaining)
+	w.remaining -= n
+	if _, err := w.ResponseWriter.Write(p[:n]); err != nil {
 		return 0, err
 	}
-	if c.left == 0 && c.end != nil {
-		c.Flush()
-		c.end()
+	if w.remaining == 0 && w.onLimit != nil {
+		w.Flush()
+		w.onLimit()
 	}
 	return len(p), nil
 }
 
 // Flush implements http.Flusher.
-func (c *cutWriter) Flush() { _ = http.NewResponseController(c.ResponseWriter).Flush() }
+func (w *limitedWriter) Flush() { _ = http.NewResponseController(w.ResponseWriter).Flush() }
 
-// recorded is a whole answer, kept to be sent later or to somebody else.
-type recorded struct {
+// recordedResponse is a complete response that is kept in memory, to be sent later or to
+// another client.
+type recordedResponse struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
-// record runs a request to its end, also when its caller goes away meanwhile.
-func record(next http.Handler, r *http.Request) *recorded {
-	kept := &recorded{header: http.Header{}, status: http.StatusOK}
-	next.ServeHTTP(kept, r.WithContext(context.WithoutCancel(r.Context())))
-	return kept
+// recordResponse executes a request to its end, even if the client cancels it.
+func recordResponse(next http.Handler, r *http.Request) *recordedResponse {
+	response := &recordedResponse{header: http.Header{}, status: http.StatusOK}
+	next.ServeHTTP(response, r.WithContext(context.WithoutCancel(r.Context())))
+	return response
 }
 
-func (k *recorded) Header() http.Header    { return k.header }
-func (k *recorded) WriteHeader(status int) { k.status = status }
-func (k *recorded) Flush()                 {}
-func (k *recorded) Write(p []byte) (int, error) {
-	k.body = append(k.body, p...)
+func (r *recordedResponse) Header() http.Header    { return r.header }
+func (r *recordedResponse) WriteHeader(status int) { r.status = status }
+func (r *recordedResponse) Flush()                 {}
+func (r *recordedResponse) Write(p []byte) (int, error) {
+	r.body = append(r.body, p...)
 	return len(p), nil
 }
 
-func (k *recorded) writeTo(w http.ResponseWriter) {
-	for name, values := range k.header {
+func (r *recordedResponse) writeTo(w http.ResponseWriter) {
+	for name, values := range r.header {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(k.status)
-	_, _ = w.Write(k.body)
+	w.WriteHeader(r.status)
+	_, _ = w.Write(r.body)
 }
 
-// exchange is one side of a swap: its own answer, and where the other's goes.
-type exchange struct {
-	mine  *recorded
-	other chan *recorded
+// pendingSwap is the first response of a Crossed pair, waiting for the second.
+type pendingSwap struct {
+	own     *recordedResponse
+	partner chan *recordedResponse // receives the second response
 }
 
-// cross swaps this answer with the next one that is to be crossed. Without a
-// partner it goes out under a foreign id after a while.
-func (in *Injector) cross(w http.ResponseWriter, r *http.Request, next http.Handler, s Spec) {
-	const usualWait = 2 * time.Second
-	x := exchange{mine: record(next, r), other: make(chan *recorded, 1)}
-	timer := time.NewTimer(s.delay(usualWait))
+// swapResponse swaps the response of this request with that of the next request that a
+// Crossed fault affects. If none arrives in time, the response is sent with a wrong
+// request id.
+func (in *Injector) swapResponse(w http.ResponseWriter, r *http.Request, next http.Handler, s Spec) {
+	const defaultWait = 2 * time.Second
+	swap := pendingSwap{own: recordResponse(next, r), partner: make(chan *recordedResponse, 1)}
+	timer := time.NewTimer(s.delay(defaultWait))
 	defer timer.Stop()
 	select {
-	case in.crossing <- x:
-		(<-x.other).writeTo(w)
-	case first := <-in.crossing:
-		first.other <- x.mine
-		first.mine.writeTo(w)
+	case in.swaps <- swap:
+		(<-swap.partner).writeTo(w)
+	case first := <-in.swaps:
+		first.partner <- swap.own
+		first.own.writeTo(w)
 	case <-timer.C:
-		x.mine.header.Set(wire.HeaderRequestID, "crossed-without-partner")
-		x.mine.writeTo(w)
+		swap.own.header.Set(wire.HeaderRequestID, "crossed-without-partner")
+		swap.own.writeTo(w)
 	}
 }
--- a/internal/standin/host/leaving.go
+++ b/internal/standin/host/leaving.go
@@ -8,68 +8,68 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// LeavingPath is where an upstream is told that it leaves.
+// LeavingPath is the path at which a checker sets and reads the leaving state.
 const LeavingPath = "/_standin/leaving"
 
-// Leaving is the state of an upstream that may be leaving. It also remembers
-// when the last work came in after that, for proofs. Safe for concurrent use.
+// Leaving says whether an upstream is leaving. It also records the work that still arrives
+// afterwards, for checkers. It is safe for concurrent use.
 type Leaving struct {
-	mu    sync.Mutex
-	since time.Time // zero: not leaving
-	last  time.Time // last work begun since then
-	begun int
+	mu           sync.Mutex
+	leavingSince time.Time // zero: not leaving
+	lastStart    time.Time // start of the last work since leavingSince
+	started      int       // pieces of work started since leavingSince
 }
 
-// LeavingReport says what came in after an upstream began to leave.
+// LeavingReport describes the work that an upstream started while it was leaving.
 type LeavingReport struct {
 	Leaving bool `json:"leaving"`
-	// Begun counts the work begun since, LastMillis says how long after the
-	// beginning of leaving the last of it came in.
-	Begun      int   `json:"begun_since"`
-	LastMillis int64 `json:"last_begun_after_ms"`
+	// StartedSince is the number of pieces of work started since the upstream began to
+	// leave, LastStartMillis the time from then to the last start, in ms.
+	StartedSince    int   `json:"begun_since"`
+	LastStartMillis int64 `json:"last_begun_after_ms"`
 }
 
-// Set begins or ends leaving.
+// Set sets whether the upstream is leaving, and clears the record of work.
 func (l *Leaving) Set(leaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.last, l.begun = time.Time{}, time.Time{}, 0
+	l.leavingSince, l.lastStart, l.started = time.Time{}, time.Time{}, 0
 	if leaving {
-		l.since = time.Now()
+		l.leavingSince = time.Now()
 	}
 }
 
-// Active says whether the upstream is leaving.
+// Active reports whether the upstream is leaving.
 func (l *Leaving) Active() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.since.IsZero()
+	return !l.leavingSince.IsZero()
 }
 
-// Begin notes that a piece of work begins now.
+// Begin records the start of a piece of work if the upstream is leaving.
 func (l *Leaving) Begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.since.IsZero() {
+	if l.leavingSince.IsZero() {
 		return
 	}
-	l.last = time.Now()
-	l.begun++
+	l.lastStart = time.Now()
+	l.started++
 }
 
-// Report returns what came in since leaving began.
+// Report returns the work started since the upstream began to leave.
 func (l *Leaving) Report() LeavingReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	report := LeavingReport{Leaving: !l.since.IsZero(), Begun: l.begun}
-	if l.begun > 0 {
-		report.LastMillis = l.last.Sub(l.since).Milliseconds()
+	report := LeavingReport{Leaving: !l.leavingSince.IsZero(), StartedSince: l.started}
+	if l.started > 0 {
+		report.LastStartMillis = l.lastStart.Sub(l.leavingSince).Milliseconds()
 	}
 	return report
 }
 
-// Wrap names the leaving state and the request's id in every answer, and
-// serves LeavingPath.
+// Wrap returns a handler that adds the leaving state and the request's id to the headers of
+// every response, and serves LeavingPath.
 func (l *Leaving) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == LeavingPath {
@@ -86,6 +86,8 @@
 	})
 }
 
+// serve sets the leaving state (POST) and responds with the report. A POST without a body
+// starts leaving.
 func (l *Leaving) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		body := struct {
--- a/internal/standin/log/log.go
+++ b/internal/standin/log/log.go
@@ -1,6 +1,6 @@
-// Package log is the stand-in for the platform's append-only log: streams with
-// offsets from 1 on, retention by count and by age, a limited rate of appends
-// and long-poll reads. Outages are faults.
+// Package log simulates the platform's append-only log: streams whose offsets begin at 1,
+// retention by count and by age, a rate limit on appends, and long-poll reads. Outages are
+// injected as faults; see package fault.
 package log
 
 import (
@@ -16,30 +16,31 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// Options describe the log.
+// Options configure the log.
 type Options struct {
-	// KeepRecords and KeepFor bound what a stream keeps; 0: no bound.
+	// KeepRecords and KeepFor limit the number and the age of the records that a stream
+	// retains; 0: no limit.
 	KeepRecords int
 	KeepFor     time.Duration
-	// AppendRate is how many appends (calls) a second go through, AppendBurst
-	// how many at once; 0: no limit.
+	// AppendRate limits the append calls per second over all streams; 0: no limit.
+	// AppendBurst is how many may come at once; 0: a tenth of AppendRate, but at least 1.
 	AppendRate  float64
 	AppendBurst float64
-	// Latency is the time of an append and of a read that needn't wait.
+	// Latency is the duration of an append, and of a read without its long poll.
 	Latency time.Duration
 	Faults  *fault.Injector
 }
 
-// Log is a stand-in log. It is an http.Handler.
+// Log is a simulated log. It is an http.Handler.
 type Log struct {
-	options Options
-	bucket  *host.Bucket
-	handler http.Handler
+	options     Options
+	appendLimit *host.TokenBucket
+	handler     http.Handler
 
 	mu       sync.Mutex
 	streams  map[string]*stream
-	appends  int
-	rejected int
+	appends  int // admitted append calls
+	rejected int // append calls over the rate limit
 }
 
 // New returns an empty log.
@@ -51,9 +52,9 @@
 		options.AppendBurst = max(1, options.AppendRate/10)
 	}
 	l := &Log{
-		options: options,
-		bucket:  host.NewBucket(options.AppendRate, options.AppendBurst),
-		streams: map[string]*stream{},
+		options:     options,
+		appendLimit: host.NewTokenBucket(options.AppendRate, options.AppendBurst),
+		streams:     map[string]*stream{},
 	}
 	routes := mux.NewRouter()
 	routes.HandleFunc("/v1/streams/{stream}/records", l.serveAppend).Methods(http.MethodPost)
@@ -63,12 +64,13 @@
 	return l
 }
 
-// Faults returns the log's faults.
+// Faults returns the log's fault injector.
 func (l *Log) Faults() *fault.Injector { return l.options.Faults }
 
 // ServeHTTP implements http.Handler.
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.handler.ServeHTTP(w, r) }
 
+// stream returns a stream and creates it if needed.
 func (l *Log) stream(name string) *stream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,15 +88,15 @@
 		return
 	}
 	if len(request.Records) == 0 {
-		host.WriteError(w, http.StatusBadRequest, fmt.Errorf("no records"))
+		host.WriteError(w, http.StatusBadRequest, fmt.Errorf("append without records"))
 		return
 	}
-	wait, ok := l.bucket.Take(1)
-	l.count(ok)
-	if !ok {
+	wait, admitted := l.appendLimit.Take(1)
+	l.countAppend(admitted)
+	if !admitted {
 		w.Header().Set("Retry-After", "1")
 		w.Header().Set("Retry-After-Ms", fmt.Sprint(wait.Milliseconds()+1))
-		host.WriteError(w, http.StatusTooManyRequests, host.ErrTooFast)
+		host.WriteError(w, http.StatusTooManyRequests, host.ErrRateLimited)
 		return
 	}
 	offset := l.stream(mux.Vars(r)["stream"]).append(request.Records, time.Now())
@@ -102,21 +104,21 @@
 	host.WriteJSON(w, http.StatusOK, wire.AppendResponse{Offset: offset})
 }
 
-func (l *Log) count(ok bool) {
+func (l *Log) countAppend(admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if ok {
+	if admitted {
 		l.appends++
 		return
 	}
 	l.rejected++
 }
 
-// Counts is the answer to GET /counts.
+// Counts is the response to GET /counts.
 type Counts struct {
 	Appends  int              `json:"appends"`
 	Rejected int              `json:"rejected"`
-	Next     map[string]int64 `json:"next"` // by stream
+	Next     map[string]int64 `json:"next"` // offset of the next record, by stream
 }
 
 func (l *Log) serveCounts(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/log/log_test.go
+++ b/internal/standin/log/log_test.go
@@ -16,6 +16,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
+// call sends a request to the stream "config" and returns the status and the body.
 func call(l *log.Log, method, query, body string) (int, wire.ReadResponse) {
 	w := httptest.NewRecorder()
 	l.ServeHTTP(w, httptest.NewRequest(method, "/v1/streams/config/records"+query, strings.NewReader(body)))
@@ -26,7 +27,7 @@
 
 const oneRecord = `{"records":["eA=="]}`
 
-func TestRetentionByCount(t *testing.T) {
+func TestReadBelowRetainedCountIsGone(t *testing.T) {
 	g := NewWithT(t)
 	l := log.New(log.Options{KeepRecords: 3})
 	for range 5 {
@@ -42,7 +43,7 @@
 	g.Expect(page.Records[0].Offset).To(BeEquivalentTo(3))
 }
 
-func TestRetentionByAge(t *testing.T) {
+func TestRecordsExpireByAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		l := log.New(log.Options{KeepFor: time.Minute})
@@ -59,7 +60,7 @@
 	})
 }
 
-func TestLongPoll(t *testing.T) {
+func TestLongPollWaitsForAppendOrTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		l := log.New(log.Options{})
@@ -67,26 +68,26 @@
 			time.Sleep(3 * time.Second)
 			call(l, http.MethodPost, "", oneRecord)
 		}()
-		begun := time.Now()
+		start := time.Now()
 		_, page := call(l, http.MethodGet, "?from=1&wait_ms=10000", "")
 		g.Expect(page.Records).To(HaveLen(1))
-		g.Expect(time.Since(begun)).To(Equal(3 * time.Second))
+		g.Expect(time.Since(start)).To(Equal(3 * time.Second))
 		_, page = call(l, http.MethodGet, "?from=2&wait_ms=10000", "")
 		g.Expect(page.Records).To(BeEmpty())
-		g.Expect(time.Since(begun)).To(Equal(13 * time.Second))
+		g.Expect(time.Since(start)).To(Equal(13 * time.Second))
 	})
 }
 
-func TestRate(t *testing.T) {
+func TestAppendsOverRateLimitAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		l := log.New(log.Options{AppendRate: 10, AppendBurst: 2})
-		var got []string
+		var statuses []string
 		for range 3 {
 			status, _ := call(l, http.MethodPost, "", oneRecord)
-			got = append(got, fmt.Sprint(status))
+			statuses = append(statuses, fmt.Sprint(status))
 		}
-		g.Expect(got).To(Equal([]string{"200", "200", "429"}))
+		g.Expect(statuses).To(Equal([]string{"200", "200", "429"}))
 		time.Sleep(100 * time.Millisecond)
 		status, _ := call(l, http.MethodPost, "", oneRecord)
 		g.Expect(status).To(Equal(http.StatusOK))
--- a/internal/standin/log/read.go
+++ b/internal/standin/log/read.go
@@ -13,16 +13,15 @@
 )
 
 const (
-	// maxRead bounds the records of one answer, maxWait a long poll.
-	maxRead = 1000
-	maxWait = 30 * time.Second
+	maxReadRecords = 1000             // in one response
+	maxReadWait    = 30 * time.Second // of a long poll
 )
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	from := max(number(query.Get("from"), 1), 1)
-	limit := min(max(number(query.Get("max"), maxRead), 1), maxRead)
-	wait := min(time.Duration(number(query.Get("wait_ms"), 0))*time.Millisecond, maxWait)
+	from := max(parseNumber(query.Get("from"), 1), 1)
+	limit := min(max(parseNumber(query.Get("max"), maxReadRecords), 1), maxReadRecords)
+	wait := min(time.Duration(parseNumber(query.Get("wait_ms"), 0))*time.Millisecond, maxReadWait)
 	time.Sleep(l.options.Latency)
 	page, expired := l.stream(mux.Vars(r)["stream"]).read(r.Context(), from, int(limit), wait)
 	if expired {
@@ -32,7 +31,8 @@
 	host.WriteJSON(w, http.StatusOK, page)
 }
 
-func number(text string, fallback int64) int64 {
+// parseNumber returns the number that text holds, or fallback if it holds none.
+func parseNumber(text string, fallback int64) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return fallback
@@ -40,17 +40,18 @@
 	return n
 }
 
-// read returns records from an offset on and waits for the first of them.
+// read returns the records from an offset on and waits for the first one if there is
+// none. It returns expired if the offset is older than the oldest retained record.
 func (s *stream) read(ctx context.Context, from int64, limit int, wait time.Duration) (page wire.ReadResponse, expired bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		page, expired, grown := s.page(from, limit, time.Now())
+		page, expired, appended := s.currentPage(from, limit, time.Now())
 		if expired || len(page.Records) > 0 || wait <= 0 {
 			return page, expired
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timer.C:
 			return page, false
 		case <-ctx.Done():
--- a/internal/standin/metastore/client.go
+++ b/internal/standin/metastore/client.go
@@ -12,82 +12,87 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// Faults are what a client suffers at the moment.
+// Faults are the faults currently injected into a client's calls.
 type Faults struct {
-	Latency time.Duration // of each answer
+	Latency time.Duration // added to each call
 	Refuse  bool          // every call is refused
-	Cut     bool          // calls hang until their time is up; none arrives
-	Reset   bool          // calls break off at once; none arrives
-	// ReadDelay is waited before a read of a partition, beside the latency.
+	Cut     bool          // calls don't reach the store and time out
+	Reset   bool          // calls don't reach the store and fail at once with an unknown outcome
+	// ReadDelay returns the time that a read of a partition is delayed, in addition to
+	// Latency.
 	ReadDelay func(topic string, part int) time.Duration
-	// LoseAnswer, LateAnswer: called for each write. A lost write is done and not
-	// answered; a late one is not answered and done after the duration.
+	// LoseAnswer is called for each write and reports whether its response is lost. The
+	// write is executed; the call times out.
 	LoseAnswer func() bool
-	Late       func(topic string) time.Duration // 0: not late
+	// Late is called for each write and returns by how much it is delayed; 0: not at all.
+	// A delayed write is executed at the end of the delay and never answered; the call
+	// times out.
+	Late func(topic string) time.Duration
 }
 
-// Client is one VM's way to the store. It implements store.Log and
+// Client is one VM's connection to the store. It implements store.Log and
 // store.Membership and is safe for concurrent use.
 type Client struct {
 	store   *Store
-	timeout time.Duration // of a call, beyond the wait it asks for
+	timeout time.Duration // of a call, in addition to the wait that it asks for
 
 	mu     sync.Mutex
 	faults Faults
 	calls  Calls
 }
 
-// Calls are what a client has asked of the store, refused calls included.
+// Calls counts the calls of a client, including the refused ones.
 type Calls struct {
-	Reads  int // of records and of the newest ones
+	Reads  int // reads of records and of newest records
 	Writes int
-	Joins  int // joins, leaves and lists of owners
+	Joins  int // joins, leaves and queries of owners
 }
 
-// Calls returns the calls so far.
+// Calls returns the number of calls so far.
 func (c *Client) Calls() Calls {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-func (c *Client) count(add Calls) {
+func (c *Client) addCalls(delta Calls) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls.Reads += add.Reads
-	c.calls.Writes += add.Writes
-	c.calls.Joins += add.Joins
+	c.calls.Reads += delta.Reads
+	c.calls.Writes += delta.Writes
+	c.calls.Joins += delta.Joins
 }
 
 // NewClient returns a client without faults.
 func NewClient(s *Store, timeout time.Duration) *Client { return &Client{store: s, timeout: timeout} }
 
-// SetFaults changes what the client suffers from now on.
+// SetFaults replaces the faults of future calls.
 func (c *Client) SetFaults(f Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = f
 }
 
-func (c *Client) now() Faults {
+func (c *Client) currentFaults() Faults {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.faults
 }
 
-// enter suffers the faults of a call before it arrives.
-func (c *Client) enter(ctx context.Context) (Faults, error) {
-	f := c.now()
+// applyCallFaults applies the faults that take effect before a call reaches the store. It
+// returns the client's current faults, and an error if the call doesn't reach the store.
+func (c *Client) applyCallFaults(ctx context.Context) (Faults, error) {
+	f := c.currentFaults()
 	if f.Cut {
 		pause.For(ctx, c.timeout)
-		return f, fmt.Errorf("%w: cut off", store.ErrUnknown)
+		return f, fmt.Errorf("%w: injected timeout", store.ErrUnknown)
 	}
 	pause.For(ctx, f.Latency)
 	if f.Reset {
-		return f, fmt.Errorf("%w: connection reset", store.ErrUnknown)
+		return f, fmt.Errorf("%w: injected connection reset", store.ErrUnknown)
 	}
 	if f.Refuse {
-		return f, fmt.Errorf("%w: refused", store.ErrNotDone)
+		return f, fmt.Errorf("%w: injected refusal", store.ErrNotDone)
 	}
 	if ctx.Err() != nil {
 		return f, fmt.Errorf("%w: %w", store.ErrNotDone, ctx.Err())
@@ -95,49 +100,50 @@
 	return f, nil
 }
 
-func (c *Client) write(ctx context.Context, topic string, do func() (int64, error)) (int64, error) {
-	c.count(Calls{Writes: 1})
-	f, err := c.enter(ctx)
+// write executes a write under the client's faults.
+func (c *Client) write(ctx context.Context, topic string, execute func() (int64, error)) (int64, error) {
+	c.addCalls(Calls{Writes: 1})
+	f, err := c.applyCallFaults(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if !c.store.meter.admitWrite(time.Now()) {
-		return 0, fmt.Errorf("%w: too many writes", store.ErrNotDone)
+	if !c.store.limiter.admitWrite(time.Now()) {
+		return 0, fmt.Errorf("%w: write rate limit exceeded", store.ErrNotDone)
 	}
 	if f.Late != nil {
-		if d := f.Late(topic); d > 0 {
-			time.AfterFunc(d, func() { _, _ = do() }) // nobody waits for its answer
+		if delay := f.Late(topic); delay > 0 {
+			time.AfterFunc(delay, func() { _, _ = execute() }) // nobody waits for the result
 			pause.For(ctx, c.timeout)
-			return 0, fmt.Errorf("%w: late", store.ErrUnknown)
+			return 0, fmt.Errorf("%w: injected delay of the write", store.ErrUnknown)
 		}
 	}
-	offset, err := do()
+	offset, err := execute()
 	if f.LoseAnswer != nil && f.LoseAnswer() {
 		pause.For(ctx, c.timeout)
-		return 0, fmt.Errorf("%w: lost", store.ErrUnknown)
+		return 0, fmt.Errorf("%w: injected loss of the response", store.ErrUnknown)
 	}
 	return offset, err
 }
 
-// Append adds records.
+// Append implements store.Log.
 func (c *Client) Append(ctx context.Context, topic string, part int, records [][]byte) (int64, error) {
-	return c.write(ctx, topic, func() (int64, error) { return c.store.append(topic, part, anyEnd, records) })
+	return c.write(ctx, topic, func() (int64, error) { return c.store.append(topic, part, unconditional, records) })
 }
 
-// AppendAt adds records if the partition ends at the offset.
+// AppendAt implements store.Log.
 func (c *Client) AppendAt(ctx context.Context, topic string, part int, at int64, records [][]byte) (int64, error) {
 	return c.write(ctx, topic, func() (int64, error) { return c.store.append(topic, part, at, records) })
 }
 
-// Read returns records from an offset on.
+// Read implements store.Log.
 func (c *Client) Read(ctx context.Context, topic string, part int, from store.ReadFrom) (store.Page, error) {
-	c.count(Calls{Reads: 1})
-	f, err := c.enter(ctx)
+	c.addCalls(Calls{Reads: 1})
+	f, err := c.applyCallFaults(ctx)
 	if err != nil {
 		return store.Page{}, err
 	}
-	if !c.store.meter.admitRead(time.Now()) {
-		return store.Page{}, fmt.Errorf("%w: too many reads", store.ErrNotDone)
+	if !c.store.limiter.admitRead(time.Now()) {
+		return store.Page{}, fmt.Errorf("%w: read rate limit exceeded", store.ErrNotDone)
 	}
 	if f.ReadDelay != nil {
 		pause.For(ctx, f.ReadDelay(topic, part))
@@ -145,15 +151,15 @@
 	limit := time.NewTimer(from.Wait)
 	defer limit.Stop()
 	for {
-		page, changed, err := c.store.read(topic, part, from)
+		page, appended, err := c.store.read(topic, part, from)
 		if err == nil && len(page.Records) > 0 {
-			return page, c.transfer(ctx, topic, bytesOf(page.Records))
+			return page, c.waitForTransfer(ctx, topic, totalBytes(page.Records))
 		}
 		if err != nil || from.Wait == 0 {
 			return page, err
 		}
 		select {
-		case <-changed:
+		case <-appended:
 		case <-limit.C:
 			return page, nil
 		case <-ctx.Done():
@@ -162,18 +168,18 @@
 	}
 }
 
-// transfer takes as long as a read's bytes do behind those of other reads. A client
-// gives up after its timeout; the bytes are on their way all the same.
-func (c *Client) transfer(ctx context.Context, topic string, bytes int) error {
-	takes := c.store.meter.transfer(topic, bytes, time.Now())
-	pause.For(ctx, min(takes, c.timeout))
-	if takes > c.timeout || ctx.Err() != nil {
-		return fmt.Errorf("%w: read not through in time", store.ErrUnknown)
+// waitForTransfer waits while a read's bytes are transferred, after those of earlier
+// reads. A client gives up after its timeout; the bytes are transferred all the same.
+func (c *Client) waitForTransfer(ctx context.Context, topic string, bytes int) error {
+	duration := c.store.limiter.bookTransfer(topic, bytes, time.Now())
+	pause.For(ctx, min(duration, c.timeout))
+	if duration > c.timeout || ctx.Err() != nil {
+		return fmt.Errorf("%w: read timed out during the transfer", store.ErrUnknown)
 	}
 	return nil
 }
 
-func bytesOf(records [][]byte) int {
+func totalBytes(records [][]byte) int {
 	n := 0
 	for _, r := range records {
 		n += len(r)
@@ -181,48 +187,48 @@
 	return n
 }
 
-// Newest returns the newest records of keys behind a key.
+// Newest implements store.Log.
 func (c *Client) Newest(ctx context.Context, topic string, part int, after string) (store.NewestPage, error) {
-	c.count(Calls{Reads: 1})
-	if _, err := c.enter(ctx); err != nil {
+	c.addCalls(Calls{Reads: 1})
+	if _, err := c.applyCallFaults(ctx); err != nil {
 		return store.NewestPage{}, err
 	}
-	if !c.store.meter.admitRead(time.Now()) {
-		return store.NewestPage{}, fmt.Errorf("%w: too many reads", store.ErrNotDone)
+	if !c.store.limiter.admitRead(time.Now()) {
+		return store.NewestPage{}, fmt.Errorf("%w: read rate limit exceeded", store.ErrNotDone)
 	}
 	page := c.store.newest(topic, part, after)
 	bytes := 0
 	for _, e := range page.Entries {
 		bytes += len(e.Key) + base64.StdEncoding.EncodedLen(len(e.Value))
 	}
-	if err := c.transfer(ctx, topic, bytes); err != nil {
+	if err := c.waitForTransfer(ctx, topic, bytes); err != nil {
 		return store.NewestPage{}, err
 	}
 	return page, nil
 }
 
-// Join enters or stays in a group.
+// Join implements store.Membership.
 func (c *Client) Join(ctx context.Context, group, member, _ string, ttl time.Duration, generation int64) (store.Assignment, error) {
-	c.count(Calls{Joins: 1})
-	if _, err := c.enter(ctx); err != nil {
+	c.addCalls(Calls{Joins: 1})
+	if _, err := c.applyCallFaults(ctx); err != nil {
 		return store.Assignment{}, err
 	}
 	return c.store.join(group, member, ttl, generation, time.Now()), nil
 }
 
-// Owners returns the partitions that have an owner.
+// Owners implements store.Membership.
 func (c *Client) Owners(ctx context.Context, group string) ([]store.Owned, error) {
-	c.count(Calls{Joins: 1})
-	if _, err := c.enter(ctx); err != nil {
+	c.addCalls(Calls{Joins: 1})
+	if _, err := c.applyCallFaults(ctx); err != nil {
 		return nil, err
 	}
 	return c.store.owners(group), nil
 }
 
-// Leave gives up a member's partitions.
+// Leave implements store.Membership.
 func (c *Client) Leave(ctx context.Context, group, member string) error {
-	c.count(Calls{Joins: 1})
-	if _, err := c.enter(ctx); err != nil {
+	c.addCalls(Calls{Joins: 1})
+	if _, err := c.applyCallFaults(ctx); err != nil {
 		return err
 	}
 	c.store.leave(group, member)
--- a/internal/standin/metastore/rates.go
+++ b/internal/standin/metastore/rates.go
@@ -5,76 +5,80 @@
 	"time"
 )
 
-// Rates are what all clients of a store share. Zero: no bound.
+// Rates are the rate limits of a store, shared by all clients. 0: unlimited.
 type Rates struct {
-	ReadBytes int // of all reads together, a second; they are served one after the other
-	Reads     int // calls a second, beyond which they are refused
-	Writes    int
+	ReadBytes int // bytes per second, over all reads; reads are transferred one after the other
+	Reads     int // calls per second; further calls are refused
+	Writes    int // calls per second; further calls are refused
 }
 
-// meter holds a store to its rates. It is safe for concurrent use.
-type meter struct {
-	mu     sync.Mutex
-	rates  Rates
-	freeAt time.Time // when the last read is through
-	second time.Time // in which calls are counted
-	reads  int
-	writes int
-	bytes  map[string]int // read of each topic since the start
+// rateLimiter enforces a store's Rates. It is safe for concurrent use.
+type rateLimiter struct {
+	mu           sync.Mutex
+	rates        Rates
+	transfersEnd time.Time      // when the last transfer booked so far ends
+	windowStart  time.Time      // of the second in which reads and writes are counted
+	reads        int            // calls since windowStart
+	writes       int            // calls since windowStart
+	bytesRead    map[string]int // by topic, since the start
 }
 
-// SetRates changes what the store can do.
+// SetRates replaces the store's rate limits.
 func (s *Store) SetRates(r Rates) {
-	s.meter.mu.Lock()
-	defer s.meter.mu.Unlock()
-	s.meter.rates = r
+	s.limiter.mu.Lock()
+	defer s.limiter.mu.Unlock()
+	s.limiter.rates = r
 }
 
-// BytesRead is what all reads of a topic brought since the start, given up ones included.
+// BytesRead returns the number of bytes that were read from a topic since the start,
+// including reads that timed out.
 func (s *Store) BytesRead(topic string) int {
-	s.meter.mu.Lock()
-	defer s.meter.mu.Unlock()
-	return s.meter.bytes[topic]
+	s.limiter.mu.Lock()
+	defer s.limiter.mu.Unlock()
+	return s.limiter.bytesRead[topic]
 }
 
-// transfer counts a read's bytes and returns how long they take behind those of others.
-func (m *meter) transfer(topic string, bytes int, now time.Time) time.Duration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.bytes == nil {
-		m.bytes = map[string]int{}
+// bookTransfer counts a read's bytes and returns how long their transfer takes, including
+// the wait for the transfers booked before.
+func (l *rateLimiter) bookTransfer(topic string, bytes int, now time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.bytesRead == nil {
+		l.bytesRead = map[string]int{}
 	}
-	m.bytes[topic] += bytes
-	if m.rates.ReadBytes == 0 {
+	l.bytesRead[topic] += bytes
+	if l.rates.ReadBytes == 0 {
 		return 0
 	}
-	if now.After(m.freeAt) {
-		m.freeAt = now
+	if now.After(l.transfersEnd) {
+		l.transfersEnd = now
 	}
-	m.freeAt = m.freeAt.Add(time.Duration(bytes) * time.Second / time.Duration(m.rates.ReadBytes))
-	return m.freeAt.Sub(now)
+	l.transfersEnd = l.transfersEnd.Add(time.Duration(bytes) * time.Second / time.Duration(l.rates.ReadBytes))
+	return l.transfersEnd.Sub(now)
 }
 
-// admitRead counts a read and reports whether the rate allows it.
-func (m *meter) admitRead(now time.Time) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.tickLocked(now)
-	m.reads++
-	return m.rates.Reads == 0 || m.reads <= m.rates.Reads
+// admitRead counts a read and reports whether the rate limit allows it.
+func (l *rateLimiter) admitRead(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.rollWindowLocked(now)
+	l.reads++
+	return l.rates.Reads == 0 || l.reads <= l.rates.Reads
 }
 
-// admitWrite is admitRead for writes.
-func (m *meter) admitWrite(now time.Time) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.tickLocked(now)
-	m.writes++
-	return m.rates.Writes == 0 || m.writes <= m.rates.Writes
+// admitWrite counts a write and reports whether the rate limit allows it.
+func (l *rateLimiter) admitWrite(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.rollWindowLocked(now)
+	l.writes++
+	return l.rates.Writes == 0 || l.writes <= l.rates.Writes
 }
 
-func (m *meter) tickLocked(now time.Time) {
-	if now.Sub(m.second) >= time.Second {
-		m.second, m.reads, m.writes = now, 0, 0
+// rollWindowLocked starts a new counting window if the current one is over. The caller
+// holds the lock.
+func (l *rateLimiter) rollWindowLocked(now time.Time) {
+	if now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.reads, l.writes = now, 0, 0
 	}
 }
--- a/internal/standin/metastore/store.go
+++ b/internal/standin/metastore/store.go
@@ -1,7 +1,7 @@
-// Package metastore stands in for the shared store that outlives every VM:
-// topics with partitions, conditional appends, newest records of keys, and groups
-// that divide partitions. It keeps everything in memory. Client, in this package,
-// is one VM's way to it, with its faults.
+// Package metastore simulates the shared store that outlives every VM: topics with
+// partitions, conditional appends, the newest record of each key, and groups that divide
+// the partitions among their members. A Store keeps everything in memory. A Client is one
+// VM's connection to it, with injected faults.
 package metastore
 
 import (
@@ -14,111 +14,118 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/store"
 )
 
-// Store is the state behind all clients. It is safe for concurrent use.
+// Store holds the state that all clients share. It is safe for concurrent use.
 type Store struct {
-	parts int
-	meter meter
+	partitions int // of each topic
+	limiter    rateLimiter
 
-	mu      sync.Mutex
-	topics  map[string][]*log
-	groups  map[string]*group
-	changed chan struct{} // closed at each append
+	mu       sync.Mutex
+	topics   map[string][]*partition // by name
+	groups   map[string]*group       // by name
+	appended chan struct{}           // closed and replaced by each append
 }
 
-// log is one partition.
-type log struct {
-	first   int64
-	records [][]byte
-	// kept holds, for a topic with keys, the newest trimmed record of each key: it
-	// outlives the log.
-	kept map[string]store.Entry
-	// newest is the newest record of each key as of the end newestAt.
-	newest   []store.Entry
-	newestAt int64
+// partition is one partition of a topic.
+type partition struct {
+	firstOffset int64 // of records
+	records     [][]byte
+	// compacted holds the newest trimmed record of each key of a keyed topic. These
+	// records outlive the log's retention.
+	compacted map[string]store.Entry
+	// newestCache holds the newest record of each key, sorted by key, as of the time when
+	// the partition ended at newestCacheEnd.
+	newestCache    []store.Entry
+	newestCacheEnd int64
 }
 
-func (l *log) end() int64 { return l.first + int64(len(l.records)) }
+func (p *partition) end() int64 { return p.firstOffset + int64(len(p.records)) }
 
-// New returns an empty store whose topics have so many partitions.
-func New(parts int) *Store {
-	return &Store{parts: parts, topics: map[string][]*log{}, groups: map[string]*group{}, changed: make(chan struct{})}
+// New returns an empty store whose topics have the given number of partitions.
+func New(partitions int) *Store {
+	return &Store{partitions: partitions, topics: map[string][]*partition{}, groups: map[string]*group{}, appended: make(chan struct{})}
 }
 
-func (s *Store) logLocked(topic string, part int) *log {
+// partitionLocked returns a partition and creates its topic if needed. The caller holds
+// the lock.
+func (s *Store) partitionLocked(topic string, part int) *partition {
 	if s.topics[topic] == nil {
-		for range s.parts {
-			s.topics[topic] = append(s.topics[topic], &log{})
+		for range s.partitions {
+			s.topics[topic] = append(s.topics[topic], &partition{})
 		}
 	}
 	return s.topics[topic][part]
 }
 
-// anyEnd makes an append unconditional.
-const anyEnd = -1
+// unconditional, as the expected end of a partition, allows an append at any end.
+const unconditional = -1
 
-func (s *Store) append(topic string, part int, at int64, records [][]byte) (int64, error) {
+// append adds records if the partition ends at expectedEnd, and returns the offset of the
+// first one.
+func (s *Store) append(topic string, part int, expectedEnd int64, records [][]byte) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.logLocked(topic, part)
-	if at != anyEnd && at != l.end() {
-		return 0, &store.ConflictError{End: l.end()}
+	p := s.partitionLocked(topic, part)
+	if expectedEnd != unconditional && expectedEnd != p.end() {
+		return 0, &store.ConflictError{End: p.end()}
 	}
-	offset := l.end()
+	offset := p.end()
 	for _, r := range records {
-		l.records = append(l.records, slices.Clone(r))
+		p.records = append(p.records, slices.Clone(r))
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return offset, nil
 }
 
-// defaultReadBytes bounds the records of a read that names no bound.
+// defaultReadBytes bounds the total size of the records of a read that sets no bound.
 const defaultReadBytes = 1 << 20
 
-// read returns what there is, and a channel that closes at the next append.
+// read returns the records available from an offset on, and a channel that is closed by
+// the next append.
 func (s *Store) read(topic string, part int, from store.ReadFrom) (store.Page, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.logLocked(topic, part)
-	if from.Offset < l.first {
-		return store.Page{}, nil, &store.TrimmedError{First: l.first}
+	p := s.partitionLocked(topic, part)
+	if from.Offset < p.firstOffset {
+		return store.Page{}, nil, &store.TrimmedError{First: p.firstOffset}
 	}
-	limit := from.MaxBytes
-	if limit == 0 {
-		limit = defaultReadBytes
+	maxBytes := from.MaxBytes
+	if maxBytes == 0 {
+		maxBytes = defaultReadBytes
 	}
-	page := store.Page{End: l.end()}
+	page := store.Page{End: p.end()}
 	size := 0
-	for at := from.Offset; at < l.end(); at++ {
-		record := l.records[at-l.first]
+	for offset := from.Offset; offset < p.end(); offset++ {
+		record := p.records[offset-p.firstOffset]
 		size += len(record)
-		if size > limit && len(page.Records) > 0 {
+		if size > maxBytes && len(page.Records) > 0 {
 			break
 		}
 		page.Records = append(page.Records, record)
 	}
-	return page, s.changed, nil
+	return page, s.appended, nil
 }
 
-// Put appends a record of a keyed topic, as servers and operators do; a nil value
-// drops the key.
+// Put appends a record to partition 0 of a keyed topic, as servers and operators do. A nil
+// value deletes the key.
 func (s *Store) Put(topic, key string, value []byte) error {
 	record, err := store.EncodeEntry(key, value)
 	if err != nil {
 		return err
 	}
-	_, err = s.append(topic, 0, anyEnd, [][]byte{record})
+	_, err = s.append(topic, 0, unconditional, [][]byte{record})
 	return err
 }
 
-// newestPageEntries is how many keys a page of the newest records has at most.
-const newestPageEntries = 200
+// maxNewestEntries is the maximum number of keys in a page of newest records.
+const maxNewestEntries = 200
 
+// newest returns a page of the newest records of the keys that sort after a key.
 func (s *Store) newest(topic string, part int, after string) store.NewestPage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.logLocked(topic, part)
-	entries := l.sortedNewest()
+	p := s.partitionLocked(topic, part)
+	entries := p.sortedNewest()
 	from, _ := slices.BinarySearchFunc(entries, after, func(e store.Entry, key string) int {
 		if e.Key <= key {
 			return -1
@@ -128,37 +135,38 @@
 	if after == "" {
 		from = 0
 	}
-	page := entries[from:min(len(entries), from+newestPageEntries)]
-	return store.NewestPage{Entries: slices.Clone(page), More: from+len(page) < len(entries), End: l.end()}
+	page := entries[from:min(len(entries), from+maxNewestEntries)]
+	return store.NewestPage{Entries: slices.Clone(page), More: from+len(page) < len(entries), End: p.end()}
 }
 
-// sortedNewest returns the newest record of each key that has one, by key.
-func (l *log) sortedNewest() []store.Entry {
-	if l.newest != nil && l.newestAt == l.end() {
-		return l.newest
+// sortedNewest returns the newest record of each key that isn't deleted, sorted by key.
+func (p *partition) sortedNewest() []store.Entry {
+	if p.newestCache != nil && p.newestCacheEnd == p.end() {
+		return p.newestCache
 	}
-	byKey := maps.Clone(l.kept)
+	byKey := maps.Clone(p.compacted)
 	if byKey == nil {
 		byKey = map[string]store.Entry{}
 	}
-	l.addNewest(byKey, l.records)
-	l.newest, l.newestAt = []store.Entry{}, l.end()
+	p.addNewestOf(byKey, p.records)
+	p.newestCache, p.newestCacheEnd = []store.Entry{}, p.end()
 	for _, key := range slices.Sorted(maps.Keys(byKey)) {
 		if len(byKey[key].Value) > 0 {
-			l.newest = append(l.newest, byKey[key])
+			p.newestCache = append(p.newestCache, byKey[key])
 		}
 	}
-	return l.newest
+	return p.newestCache
 }
 
-// addNewest adds the newest record of each key; the records begin at l.first.
-func (l *log) addNewest(byKey map[string]store.Entry, records [][]byte) {
+// addNewestOf puts the newest of the records of each key into byKey. The records begin at
+// firstOffset.
+func (p *partition) addNewestOf(byKey map[string]store.Entry, records [][]byte) {
 	for i, r := range records {
 		key, value, err := store.DecodeEntry(r)
 		if err != nil {
-			continue // no record of a key, and none that a reader would take
+			continue // malformed: readers skip it, too
 		}
-		byKey[key] = store.Entry{Key: key, Value: value, Offset: l.first + int64(i)}
+		byKey[key] = store.Entry{Key: key, Value: value, Offset: p.firstOffset + int64(i)}
 	}
 }
 
@@ -166,105 +174,111 @@
 func (s *Store) Trim(topic string, part int, before int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.logLocked(topic, part)
-	before = min(max(before, l.first), l.end())
+	p := s.partitionLocked(topic, part)
+	before = min(max(before, p.firstOffset), p.end())
 	if strings.HasPrefix(topic, store.KeyedPrefix) {
-		if l.kept == nil {
-			l.kept = map[string]store.Entry{}
+		if p.compacted == nil {
+			p.compacted = map[string]store.Entry{}
 		}
-		l.addNewest(l.kept, l.records[:before-l.first])
+		p.addNewestOf(p.compacted, p.records[:before-p.firstOffset])
 	}
-	l.records = l.records[before-l.first:]
-	l.first = before
+	p.records = p.records[before-p.firstOffset:]
+	p.firstOffset = before
 }
 
-// End is the offset behind a partition's last record.
+// End returns the offset after a partition's last record.
 func (s *Store) End(topic string, part int) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.logLocked(topic, part).end()
+	return s.partitionLocked(topic, part).end()
 }
 
 // group divides the partitions of a topic among its members.
 type group struct {
-	generation int64
-	members    map[string]*member
-	owner      []string // by partition, "" for nobody
-	since      []int64  // generation at which the partition was taken from its owner, 0: it wasn't
-	next       []string // who gets it when it is let go
+	generation   int64 // incremented by each rebalance
+	members      map[string]*member
+	owner        []string // by partition; "": none
+	reassignedIn []int64  // by partition: generation of its last assignment; 0: never assigned
+	nextOwner    []string // by partition: its owner once the present one has released it
 }
 
 type member struct {
-	until time.Time
-	seen  int64 // generation named last
+	expiresAt  time.Time // when it counts as gone unless it joins again
+	generation int64     // as named by its last join
 }
 
+// join adds a member or extends its membership, and returns the partitions assigned to it.
 func (s *Store) join(name, id string, ttl time.Duration, generation int64, now time.Time) store.Assignment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.groups[name]
 	if g == nil {
-		g = &group{members: map[string]*member{}, owner: make([]string, s.parts), since: make([]int64, s.parts), next: make([]string, s.parts)}
+		g = &group{members: map[string]*member{}, owner: make([]string, s.partitions), reassignedIn: make([]int64, s.partitions), nextOwner: make([]string, s.partitions)}
 		s.groups[name] = g
 	}
-	_, known := g.members[id]
-	g.members[id] = &member{until: now.Add(ttl), seen: generation}
-	if g.expire(now) || !known {
-		g.deal()
+	_, isMember := g.members[id]
+	g.members[id] = &member{expiresAt: now.Add(ttl), generation: generation}
+	if g.removeExpired(now) || !isMember {
+		g.rebalance()
 	}
-	g.release(id)
-	return store.Assignment{Generation: g.generation, Parts: g.partsOf(id)}
+	g.handOverReleased(id)
+	return store.Assignment{Generation: g.generation, Parts: g.assignedTo(id)}
 }
 
-// expire drops members that were silent.
-func (g *group) expire(now time.Time) bool {
-	gone := false
+// removeExpired removes the members whose membership has expired and reports whether there
+// were any.
+func (g *group) removeExpired(now time.Time) bool {
+	removed := false
 	for id, m := range g.members {
-		if now.After(m.until) {
+		if now.After(m.expiresAt) {
 			delete(g.members, id)
-			gone = true
+			removed = true
 		}
 	}
-	return gone
+	return removed
 }
 
-// deal plans an even division. A partition of a live member stays with it until
-// it has named the new generation.
-func (g *group) deal() {
+// rebalance plans an even assignment in a new generation. A live owner keeps its
+// partitions until it has named that generation.
+func (g *group) rebalance() {
 	g.generation++
 	ids := slices.Sorted(maps.Keys(g.members))
 	for part := range g.owner {
-		to := ""
+		next := ""
 		if len(ids) > 0 {
-			to = ids[part%len(ids)]
+			next = ids[part%len(ids)]
 		}
-		g.next[part] = to
+		g.nextOwner[part] = next
 		if _, alive := g.members[g.owner[part]]; !alive {
-			g.owner[part] = to
+			g.owner[part] = next
 		}
-		g.since[part] = g.generation
+		g.reassignedIn[part] = g.generation
 	}
 }
 
-// release hands on what a member let go by naming the generation that took it.
-func (g *group) release(id string) {
+// handOverReleased gives the partitions that a member has released to their next owners.
+// A member releases a partition by naming the generation that reassigned it, or a newer
+// one.
+func (g *group) handOverReleased(id string) {
 	for part, owner := range g.owner {
-		if owner == id && g.next[part] != id && g.members[id].seen >= g.since[part] {
-			g.owner[part] = g.next[part]
+		if owner == id && g.nextOwner[part] != id && g.members[id].generation >= g.reassignedIn[part] {
+			g.owner[part] = g.nextOwner[part]
 		}
 	}
 }
 
-func (g *group) partsOf(id string) []int {
-	var out []int
+// assignedTo returns the partitions that a member owns and isn't to release.
+func (g *group) assignedTo(id string) []int {
+	var parts []int
 	for part, owner := range g.owner {
-		if owner == id && g.next[part] == id {
-			out = append(out, part)
+		if owner == id && g.nextOwner[part] == id {
+			parts = append(parts, part)
 		}
 	}
-	return out
+	return parts
 }
 
+// owners returns the partitions of a group that are owned by a live member.
 func (s *Store) owners(name string) []store.Owned {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,27 +286,28 @@
 	if g == nil {
 		return nil
 	}
-	g.expire(time.Now())
-	var out []store.Owned
+	g.removeExpired(time.Now())
+	var owned []store.Owned
 	for part, id := range g.owner {
 		if _, alive := g.members[id]; alive {
-			out = append(out, store.Owned{Part: part, Member: id})
+			owned = append(owned, store.Owned{Part: part, Member: id})
 		}
 	}
-	return out
+	return owned
 }
 
+// leave removes a member and reassigns its partitions immediately.
 func (s *Store) leave(name, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[name]; g != nil {
 		delete(g.members, id)
-		g.deal()
+		g.rebalance()
 	}
 }
 
-// Redeal gives every partition to another member at once, without any member
-// having asked for it.
+// Redeal moves every partition of a group to another member immediately, although no
+// member has released it.
 func (s *Store) Redeal(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -303,7 +318,7 @@
 	g.generation++
 	ids := slices.Sorted(maps.Keys(g.members))
 	for part := range g.owner {
-		at := (slices.Index(ids, g.owner[part]) + 1) % len(ids)
-		g.owner[part], g.next[part], g.since[part] = ids[at], ids[at], g.generation
+		next := (slices.Index(ids, g.owner[part]) + 1) % len(ids)
+		g.owner[part], g.nextOwner[part], g.reassignedIn[part] = ids[next], ids[next], g.generation
 	}
 }
--- a/internal/standin/scorer/scorer.go
+++ b/internal/standin/scorer/scorer.go
@@ -1,4 +1,4 @@
-// Package scorer is the stand-in for a service that scores samples.
+// Package scorer simulates a service that scores samples.
 package scorer
 
 import (
@@ -15,24 +15,24 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// Options describe one scorer.
+// Options configure a scorer.
 type Options struct {
-	// Latency is the time of one score.
+	// Latency is the duration of scoring one sample.
 	Latency time.Duration
 	Faults  *fault.Injector
 }
 
-// Scorer is a stand-in scorer. It is an http.Handler.
+// Scorer is a simulated scorer. It is an http.Handler.
 type Scorer struct {
 	options Options
-	bootID  string
+	bootID  string // reported as LoadReport.BootID
 	leaving host.Leaving
 	handler http.Handler
 
-	mu      sync.Mutex
-	running int
-	runs    map[string]int
-	total   int
+	mu            sync.Mutex
+	running       int            // requests in execution
+	runsByRequest map[string]int // executions by request id
+	total         int            // executed requests
 }
 
 // New returns a scorer.
@@ -41,9 +41,9 @@
 		options.Faults = fault.New()
 	}
 	s := &Scorer{
-		options: options,
-		bootID:  strconv.FormatInt(time.Now().UnixNano(), 36),
-		runs:    map[string]int{},
+		options:       options,
+		bootID:        strconv.FormatInt(time.Now().UnixNano(), 36),
+		runsByRequest: map[string]int{},
 	}
 	routes := mux.NewRouter()
 	routes.HandleFunc("/score", s.serveScore).Methods(http.MethodPost)
@@ -53,10 +53,10 @@
 	return s
 }
 
-// Faults returns the scorer's faults.
+// Faults returns the scorer's fault injector.
 func (s *Scorer) Faults() *fault.Injector { return s.options.Faults }
 
-// SetLeaving begins or ends leaving.
+// SetLeaving sets whether the scorer is leaving.
 func (s *Scorer) SetLeaving(leaving bool) { s.leaving.Set(leaving) }
 
 // ServeHTTP implements http.Handler.
@@ -68,23 +68,23 @@
 		return
 	}
 	id := r.Header.Get(wire.HeaderRequestID)
-	s.begin(id)
+	s.startScore(id)
 	time.Sleep(s.options.Latency)
-	s.end()
+	s.finishScore()
 	reward := answer.Reward(request.Prompt, request.Completion)
 	host.WriteJSON(w, http.StatusOK, wire.ScoreResponse{ID: id, Reward: reward})
 }
 
-func (s *Scorer) begin(id string) {
+func (s *Scorer) startScore(id string) {
 	s.leaving.Begin()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
 	s.total++
-	s.runs[id]++
+	s.runsByRequest[id]++
 }
 
-func (s *Scorer) end() {
+func (s *Scorer) finishScore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
@@ -97,9 +97,9 @@
 	host.WriteJSON(w, http.StatusOK, wire.LoadReport{BootID: s.bootID, Running: running, Leaving: s.leaving.Active()})
 }
 
-// Counts is the answer to GET /counts.
+// Counts is the response to GET /counts. It counts executed requests.
 type Counts struct {
-	Runs    map[string]int     `json:"runs"`
+	Runs    map[string]int     `json:"runs"` // by X-Request-Id
 	Total   int                `json:"total"`
 	Leaving host.LeavingReport `json:"leaving"`
 }
@@ -107,7 +107,7 @@
 func (s *Scorer) serveCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	counts := Counts{Runs: map[string]int{}, Total: s.total, Leaving: s.leaving.Report()}
-	for id, n := range s.runs {
+	for id, n := range s.runsByRequest {
 		counts.Runs[id] = n
 	}
 	s.mu.Unlock()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the stand-in for a plain service: it echoes every request
-// byte for byte and counts what it executed.
+// Package service simulates a plain service. It echoes every request body byte for byte and
+// counts the executed requests.
 package service
 
 import (
@@ -15,47 +15,47 @@
 )
 
 const (
-	// CountsPath answers with Counts.
+	// CountsPath is the path that serves Counts.
 	CountsPath = "/_standin/counts"
-	// HeaderCall is a checker's own id of a call; it outlives every resend.
+	// HeaderCall is a checker's own id of a call, which is the same for all attempts.
 	HeaderCall = "X-Call"
-	// HeaderAttempt is a checker's own id of one attempt at a call.
+	// HeaderAttempt is a checker's own id of one attempt of a call.
 	HeaderAttempt = "X-Attempt"
 	// HeaderKey is the caller's idempotency key.
 	HeaderKey = "Idempotency-Key"
-	// HeaderEcho repeats "METHOD path?query" in the answer.
+	// HeaderEcho returns the request's "METHOD path?query" in the response.
 	HeaderEcho = "X-Echo"
 )
 
-// Options describe one service.
+// Options configure a service.
 type Options struct {
-	// Latency is the time of a call that runs alone; each further one
-	// lengthens it by Slowdown.
+	// Latency is the duration of a call that runs alone. Each further concurrent call adds
+	// Slowdown times Latency.
 	Latency  time.Duration
 	Slowdown float64
 	Faults   *fault.Injector
 }
 
-// Counts says how often each thing was executed.
+// Counts says how often requests were executed: in total, and by the id in each header.
 type Counts struct {
 	Total     int                `json:"total"`
-	ByRequest map[string]int     `json:"by_request"`
-	ByKey     map[string]int     `json:"by_key"`
-	ByCall    map[string]int     `json:"by_call"`
-	ByAttempt map[string]int     `json:"by_attempt"`
+	ByRequest map[string]int     `json:"by_request"` // by X-Request-Id
+	ByKey     map[string]int     `json:"by_key"`     // by HeaderKey
+	ByCall    map[string]int     `json:"by_call"`    // by HeaderCall
+	ByAttempt map[string]int     `json:"by_attempt"` // by HeaderAttempt
 	Leaving   host.LeavingReport `json:"leaving"`
 }
 
-// Service is a stand-in service. It is an http.Handler.
+// Service is a simulated service. It is an http.Handler.
 type Service struct {
 	options Options
-	bootID  string
+	bootID  string // reported as LoadReport.BootID
 	leaving host.Leaving
 	handler http.Handler
 
 	mu      sync.Mutex
-	running int
-	counts  Counts
+	running int    // requests in execution
+	counts  Counts // without Leaving
 }
 
 // New returns a service.
@@ -72,10 +72,10 @@
 	return s
 }
 
-// Faults returns the service's faults.
+// Faults returns the service's fault injector.
 func (s *Service) Faults() *fault.Injector { return s.options.Faults }
 
-// SetLeaving begins or ends leaving.
+// SetLeaving sets whether the service is leaving.
 func (s *Service) SetLeaving(leaving bool) { s.leaving.Set(leaving) }
 
 // ServeHTTP implements http.Handler.
@@ -86,15 +86,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.counts
-	out.ByRequest = clone(out.ByRequest)
-	out.ByKey = clone(out.ByKey)
-	out.ByCall = clone(out.ByCall)
-	out.ByAttempt = clone(out.ByAttempt)
+	out.ByRequest = cloneCounts(out.ByRequest)
+	out.ByKey = cloneCounts(out.ByKey)
+	out.ByCall = cloneCounts(out.ByCall)
+	out.ByAttempt = cloneCounts(out.ByAttempt)
 	out.Leaving = s.leaving.Report()
 	return out
 }
 
-func clone(m map[string]int) map[string]int {
+func cloneCounts(m map[string]int) map[string]int {
 	out := make(map[string]int, len(m))
 	for k, v := range m {
 		out[k] = v
@@ -119,17 +119,18 @@
 	return wire.LoadReport{BootID: s.bootID, Running: s.running, Leaving: s.leaving.Active()}
 }
 
+// echo executes a request and responds with its body.
 func (s *Service) echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		// A request that is cut on its way in isn't executed.
+		// A request whose body is incomplete isn't executed.
 		host.WriteError(w, http.StatusBadRequest, err)
 		return
 	}
-	time.Sleep(s.begin(r))
-	s.end()
-	if kind := r.Header.Get("Content-Type"); kind != "" {
-		w.Header().Set("Content-Type", kind)
+	time.Sleep(s.startExecution(r))
+	s.finishExecution()
+	if contentType := r.Header.Get("Content-Type"); contentType != "" {
+		w.Header().Set("Content-Type", contentType)
 	} else {
 		w.Header().Set("Content-Type", "application/octet-stream")
 	}
@@ -139,28 +140,29 @@
 	_, _ = w.Write(body)
 }
 
-// begin counts an execution and returns how long it takes.
-func (s *Service) begin(r *http.Request) time.Duration {
+// startExecution counts an execution and returns its duration.
+func (s *Service) startExecution(r *http.Request) time.Duration {
 	s.leaving.Begin()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
 	s.counts.Total++
-	count(s.counts.ByRequest, r.Header.Get(wire.HeaderRequestID))
-	count(s.counts.ByKey, r.Header.Get(HeaderKey))
-	count(s.counts.ByCall, r.Header.Get(HeaderCall))
-	count(s.counts.ByAttempt, r.Header.Get(HeaderAttempt))
+	increment(s.counts.ByRequest, r.Header.Get(wire.HeaderRequestID))
+	increment(s.counts.ByKey, r.Header.Get(HeaderKey))
+	increment(s.counts.ByCall, r.Header.Get(HeaderCall))
+	increment(s.counts.ByAttempt, r.Header.Get(HeaderAttempt))
 	factor := 1 + s.options.Slowdown*float64(s.running-1)
 	return time.Duration(float64(s.options.Latency) * factor)
 }
 
-func (s *Service) end() {
+func (s *Service) finishExecution() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 }
 
-func count(m map[string]int, id string) {
+// increment counts an id unless it is empty.
+func increment(m map[string]int, id string) {
 	if id != "" {
 		m[id]++
 	}
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,4 +1,4 @@
-// Package vmlist is the stand-in for the platform's lagging list of VMs.
+// Package vmlist simulates the platform's list of VMs, which shows changes only after a lag.
 package vmlist
 
 import (
@@ -14,35 +14,36 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// Options describe the list.
+// Options configure a list.
 type Options struct {
-	// VMs is the list at the start.
+	// VMs is the initial list, which is visible immediately.
 	VMs []wire.VMEntry
-	// Lag is how late a change shows.
+	// Lag is the time after which a change becomes visible.
 	Lag    time.Duration
 	Faults *fault.Injector
 }
 
-// List is a stand-in list of VMs. It is an http.Handler.
+// List is a simulated list of VMs. It is an http.Handler.
 type List struct {
 	options Options
 	handler http.Handler
 
 	mu      sync.Mutex
-	history []version // oldest first; the first one shows already
+	history []snapshot // oldest first; the first one is visible
 }
 
-type version struct {
-	shows time.Time
-	vms   []wire.VMEntry
+// snapshot is the list as it is from some time on.
+type snapshot struct {
+	visibleFrom time.Time
+	vms         []wire.VMEntry
 }
 
-// New returns a list.
+// New returns a list with the initial VMs.
 func New(options Options) *List {
 	if options.Faults == nil {
 		options.Faults = fault.New()
 	}
-	l := &List{options: options, history: []version{{vms: options.VMs}}}
+	l := &List{options: options, history: []snapshot{{vms: options.VMs}}}
 	routes := mux.NewRouter()
 	routes.HandleFunc("/v1/vms", l.serveGet).Methods(http.MethodGet)
 	routes.HandleFunc("/v1/vms", l.servePut).Methods(http.MethodPut)
@@ -51,24 +52,26 @@
 	return l
 }
 
-// Faults returns the list's faults.
+// Faults returns the list's fault injector.
 func (l *List) Faults() *fault.Injector { return l.options.Faults }
 
 // ServeHTTP implements http.Handler.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.handler.ServeHTTP(w, r) }
 
-// Set replaces the list; that shows after the lag.
+// Set replaces the list. The change becomes visible after the lag.
 func (l *List) Set(vms []wire.VMEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.set(vms)
+	l.appendSnapshotLocked(vms)
 }
 
-func (l *List) set(vms []wire.VMEntry) {
-	l.history = append(l.history, version{shows: time.Now().Add(l.options.Lag), vms: vms})
+// appendSnapshotLocked adds a list that becomes visible after the lag. The caller holds the
+// lock.
+func (l *List) appendSnapshotLocked(vms []wire.VMEntry) {
+	l.history = append(l.history, snapshot{visibleFrom: time.Now().Add(l.options.Lag), vms: vms})
 }
 
-// SetLeaving marks a VM as leaving; that shows after the lag.
+// SetLeaving marks a VM as leaving. The change becomes visible after the lag.
 func (l *List) SetLeaving(name string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,26 +80,26 @@
 	for i := range vms {
 		if vms[i].Name == name {
 			vms[i].Leaving = true
-			l.set(vms)
+			l.appendSnapshotLocked(vms)
 			return nil
 		}
 	}
 	return fmt.Errorf("no VM %q", name)
 }
 
-// shown returns the list as it shows now.
-func (l *List) shown() []wire.VMEntry {
+// visible returns the newest list that is visible by now.
+func (l *List) visible() []wire.VMEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for len(l.history) > 1 && !l.history[1].shows.After(now) {
+	for len(l.history) > 1 && !l.history[1].visibleFrom.After(now) {
 		l.history = l.history[1:]
 	}
 	return append([]wire.VMEntry{}, l.history[0].vms...)
 }
 
 func (l *List) serveGet(w http.ResponseWriter, _ *http.Request) {
-	host.WriteJSON(w, http.StatusOK, wire.VMList{VMs: l.shown()})
+	host.WriteJSON(w, http.StatusOK, wire.VMList{VMs: l.visible()})
 }
 
 func (l *List) servePut(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/vmlist/vmlist_test.go
+++ b/internal/standin/vmlist/vmlist_test.go
@@ -13,11 +13,11 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-func TestLeavingShowsAfterTheLag(t *testing.T) {
+func TestLeavingIsVisibleAfterLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		l := vmlist.New(vmlist.Options{VMs: []wire.VMEntry{{Name: "a"}}, Lag: 5 * time.Second})
-		shown := func() string {
+		visibleList := func() string {
 			w := httptest.NewRecorder()
 			l.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/vms", nil))
 			return w.Body.String()
@@ -25,8 +25,8 @@
 		g.Expect(l.SetLeaving("a")).To(Succeed())
 		g.Expect(l.SetLeaving("b")).NotTo(Succeed())
 		time.Sleep(4 * time.Second)
-		g.Expect(shown()).To(ContainSubstring(`"leaving":false`))
+		g.Expect(visibleList()).To(ContainSubstring(`"leaving":false`))
 		time.Sleep(time.Second)
-		g.Expect(shown()).To(ContainSubstring(`"leaving":true`))
+		g.Expect(visibleList()).To(ContainSubstring(`"leaving":true`))
 	})
 }
