--- a/cmd/standin/checks_test.go
+++ b/cmd/standin/checks_test.go
@@ -9,30 +9,30 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// The checks of the proofs must be able to fail.
+// These tests make sure that the checks used by the end-to-end scripts can fail.
 
-func TestVersionLogNoticesAFall(t *testing.T) {
+func TestVersionLogDetectsDecrease(t *testing.T) {
 	g := NewWithT(t)
 	log := newVersionLog()
 	for _, version := range []int64{0, 3, 3, 5, 0, 5} {
-		log.saw("a", version)
+		log.observe("a", version)
 	}
-	log.saw("b", 2)
+	log.observe("b", 2)
 	line, err := log.result()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(line).To(Equal("polls=5 falls=0"))
-	log.saw("a", 3) // restarted with an older configuration
+	log.observe("a", 3) // restarted with an older configuration
 	_, err = log.result()
-	g.Expect(err).To(MatchError(errVersionFell))
+	g.Expect(err).To(MatchError(errVersionDecreased))
 }
 
-func TestCountFencesTellsRefusedFromCarriedOut(t *testing.T) {
+func TestCountOrdersSeparatesRefusedFromApplied(t *testing.T) {
 	g := NewWithT(t)
 	order := func(fence int64, applied bool) engine.OrderEntry {
 		return engine.OrderEntry{Order: wire.Order{Fence: fence}, Applied: applied}
 	}
-	checked := []engine.OrderEntry{order(3, true), order(7, true), order(3, false), order(7, true)}
-	g.Expect(countFences(checked)).To(Equal(fenceCount{numbers: 2, applied: 3, refused: 1}))
-	ignored := []engine.OrderEntry{order(3, true), order(7, true), order(3, true)}
-	g.Expect(countFences(ignored)).To(Equal(fenceCount{numbers: 2, applied: 3, falls: 1}))
+	checkingEngine := []engine.OrderEntry{order(3, true), order(7, true), order(3, false), order(7, true)}
+	g.Expect(countOrders(checkingEngine)).To(Equal(fencingCounts{tokens: 2, applied: 3, refused: 1}))
+	ignoringEngine := []engine.OrderEntry{order(3, true), order(7, true), order(3, true)}
+	g.Expect(countOrders(ignoringEngine)).To(Equal(fencingCounts{tokens: 2, applied: 3, outdated: 1}))
 }
--- a/cmd/standin/fences.go
+++ b/cmd/standin/fences.go
@@ -13,33 +13,34 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/engine"
 )
 
-// errFences says that an engine carried out orders that it shouldn't have got.
-var errFences = errors.New("fences: an old holder's order was carried out, or none was refused")
+// errFencing: an engine executed an order with an outdated fencing token, or the run didn't
+// exercise fencing as expected.
+var errFencing = errors.New("fences: an order of a former holder was executed, or fewer were refused or fewer tokens seen than expected")
 
-// fenceCount is what an engine's history says of fencing.
-type fenceCount struct {
-	numbers int // different fencing numbers, each above those before
-	applied int
-	refused int // not applied, and below a number seen before
-	falls   int // applied, and below a number applied before
+// fencingCounts summarizes an engine's history of orders with regard to fencing.
+type fencingCounts struct {
+	tokens   int // distinct fencing tokens, each higher than all before
+	applied  int // orders applied
+	refused  int // orders not applied whose token is lower than one seen before
+	outdated int // orders applied whose token is lower than one seen before
 }
 
-func countFences(history []engine.OrderEntry) fenceCount {
-	var c fenceCount
-	var highest int64
+func countOrders(history []engine.OrderEntry) fencingCounts {
+	var c fencingCounts
+	var highestFence int64
 	for _, order := range history {
 		switch {
-		case !order.Applied && order.Fence < highest:
+		case !order.Applied && order.Fence < highestFence:
 			c.refused++
-		case order.Applied && order.Fence < highest:
-			c.falls++
+		case order.Applied && order.Fence < highestFence:
+			c.outdated++
 		}
 		if order.Applied {
 			c.applied++
 		}
-		if order.Fence > highest {
-			c.numbers++
-			highest = order.Fence
+		if order.Fence > highestFence {
+			c.tokens++
+			highestFence = order.Fence
 		}
 	}
 	return c
@@ -47,41 +48,41 @@
 
 func fencesCommand() *ff.Command {
 	fs := ff.NewFlagSet("fences")
-	wantRefused := fs.IntLong("want-refused", 0, "orders with an old fencing number that all engines together must have refused")
+	wantRefused := fs.IntLong("want-refused", 0, "minimum number of orders with an outdated fencing token that all engines together must have refused")
 	return &ff.Command{
 		Name:      "fences",
 		Usage:     "standin fences [FLAGS] URL ...",
-		ShortHelp: "checks from engines' orders that no former holder's order was carried out after a newer one's",
+		ShortHelp: "checks in engines' histories of orders that no order of a former holder was executed after one of a newer holder",
 		Flags:     fs,
 		Exec: func(ctx context.Context, urls []string) error {
-			var sum fenceCount
+			var sum fencingCounts
 			for _, url := range urls {
-				c, err := fencesOf(ctx, url)
+				c, err := fetchFencingCounts(ctx, url)
 				if err != nil {
 					return err
 				}
 				sum.applied += c.applied
 				sum.refused += c.refused
-				sum.falls += c.falls
-				sum.numbers = max(sum.numbers, c.numbers)
+				sum.outdated += c.outdated
+				sum.tokens = max(sum.tokens, c.tokens)
 			}
-			fmt.Printf("applied=%d numbers=%d refused_old=%d applied_old=%d\n", sum.applied, sum.numbers, sum.refused, sum.falls)
-			if sum.falls > 0 || sum.refused < *wantRefused || sum.numbers < 2 {
-				return errFences
+			fmt.Printf("applied=%d numbers=%d refused_old=%d applied_old=%d\n", sum.applied, sum.tokens, sum.refused, sum.outdated)
+			if sum.outdated > 0 || sum.refused < *wantRefused || sum.tokens < 2 {
+				return errFencing
 			}
 			return nil
 		},
 	}
 }
 
-func fencesOf(ctx context.Context, url string) (fenceCount, error) {
+func fetchFencingCounts(ctx context.Context, url string) (fencingCounts, error) {
 	var raw bytes.Buffer
-	if err := send(ctx, http.MethodGet, url+"/orders", nil, &raw); err != nil {
-		return fenceCount{}, err
+	if err := sendRequest(ctx, http.MethodGet, url+"/orders", nil, &raw); err != nil {
+		return fencingCounts{}, err
 	}
 	var history []engine.OrderEntry
 	if err := json.Unmarshal(raw.Bytes(), &history); err != nil {
-		return fenceCount{}, fmt.Errorf("%s: %w", url, err)
+		return fencingCounts{}, fmt.Errorf("%s: %w", url, err)
 	}
-	return countFences(history), nil
+	return countOrders(history), nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,7 @@
-// Command standin plays the systems around dogwoodflow, for demos, tests and
-// trials on loopback: engines, services, scorers, the platform's log, weight
-// store and list of VMs, the trainers and the callers. Each is a sub-command.
+// Command standin simulates the systems around dogwoodflow on loopback, for demos, tests
+// and trials: engines, services, scorers, the platform's log, weight store and list of VMs,
+// trainers and callers. Each is a subcommand. Further subcommands inject faults, send
+// requests and check results.
 package main
 
 import (
@@ -21,9 +22,9 @@
 	return &ff.Command{
 		Name:      "standin",
 		Usage:     "standin SUBCOMMAND ...",
-		ShortHelp: "plays the systems around dogwoodflow, on loopback",
+		ShortHelp: "simulates the systems around dogwoodflow, on loopback",
 		LongHelp: "Every flag can be set in the environment, as " + envPrefix + "_ and the flag's name in\n" +
-			"capitals with _ for -, e.g. " + envPrefix + "_LISTEN.",
+			"upper case with _ for -, e.g. " + envPrefix + "_LISTEN.",
 		Flags: flags,
 		Subcommands: []*ff.Command{
 			engineCommand(), serviceCommand(), scorerCommand(),
--- a/cmd/standin/platform.go
+++ b/cmd/standin/platform.go
@@ -19,15 +19,15 @@
 	fs := ff.NewFlagSet("log")
 	listen := listenFlag(fs)
 	var o log.Options
-	fs.IntVar(&o.KeepRecords, 0, "keep-records", 0, "records that a stream keeps; 0: no bound")
-	fs.DurationVar(&o.KeepFor, 0, "keep-for", 0, "how long a stream keeps a record; 0: no bound")
-	fs.Float64Var(&o.AppendRate, 0, "append-rate", 500, "appends a second, over all streams; 0: no limit")
-	fs.Float64Var(&o.AppendBurst, 0, "append-burst", 0, "appends at once (default a tenth of the rate)")
-	fs.DurationVar(&o.Latency, 0, "latency", 0, "time of an append, and of a read that needn't wait")
+	fs.IntVar(&o.KeepRecords, 0, "keep-records", 0, "number of records that a stream retains; 0: no limit")
+	fs.DurationVar(&o.KeepFor, 0, "keep-for", 0, "how long a stream retains a record; 0: no limit")
+	fs.Float64Var(&o.AppendRate, 0, "append-rate", 500, "append calls per second, over all streams; 0: no limit")
+	fs.Float64Var(&o.AppendBurst, 0, "append-burst", 0, "append calls that may come at once (default: a tenth of the rate)")
+	fs.DurationVar(&o.Latency, 0, "latency", 0, "duration of an append, and of a read without its long poll")
 	return &ff.Command{
 		Name:      "log",
 		Usage:     "standin log [FLAGS]",
-		ShortHelp: "the platform's append-only log",
+		ShortHelp: "simulates the platform's append-only log",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			o.Faults = fault.New()
@@ -39,24 +39,24 @@
 func weightsCommand() *ff.Command {
 	fs := ff.NewFlagSet("weights")
 	listen := listenFlag(fs)
-	models := fs.StringLong("models", "drafts=1", "models and their first versions: model=version,...")
+	models := fs.StringLong("models", "drafts=1", "models and their initial versions: model=version,...")
 	var o weights.Options
-	fs.Float64Var(&o.FetchRate, 0, "fetch-rate", 5, "fetches a second; 0: no limit")
-	fs.Float64Var(&o.FetchBurst, 0, "fetch-burst", 2, "fetches at once")
-	fs.DurationVar(&o.FetchTime, 0, "fetch-time", 0, "how long a fetch takes")
+	fs.Float64Var(&o.FetchRate, 0, "fetch-rate", 5, "fetches per second; 0: no limit")
+	fs.Float64Var(&o.FetchBurst, 0, "fetch-burst", 2, "fetches that may come at once")
+	fs.DurationVar(&o.FetchTime, 0, "fetch-time", 0, "duration of a fetch")
 	return &ff.Command{
 		Name:      "weights",
 		Usage:     "standin weights [FLAGS]",
-		ShortHelp: "the weight store",
+		ShortHelp: "simulates the weight store",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			first, err := parseVersions(*models)
+			initial, err := parseModelVersions(*models)
 			if err != nil {
 				return err
 			}
 			o.Faults = fault.New()
 			store := weights.New(o)
-			for model, version := range first {
+			for model, version := range initial {
 				store.Publish(model, version)
 			}
 			return serve(ctx, "weights", *listen, store, o.Faults)
@@ -67,13 +67,13 @@
 func vmlistCommand() *ff.Command {
 	fs := ff.NewFlagSet("vmlist")
 	listen := listenFlag(fs)
-	file := fs.StringLong("file", "", "JSON file with the list at the start, as GET /v1/vms answers it")
+	file := fs.StringLong("file", "", "JSON file with the initial list, in the format of GET /v1/vms")
 	var o vmlist.Options
-	fs.DurationVar(&o.Lag, 0, "lag", 0, "how late a change shows")
+	fs.DurationVar(&o.Lag, 0, "lag", 0, "time after which a change becomes visible")
 	return &ff.Command{
 		Name:      "vmlist",
 		Usage:     "standin vmlist [FLAGS]",
-		ShortHelp: "the platform's lagging list of VMs",
+		ShortHelp: "simulates the platform's list of VMs, which shows changes after a lag",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			vms, err := readVMs(*file)
@@ -86,6 +86,7 @@
 	}
 }
 
+// readVMs reads a list of VMs from a JSON file; "" means an empty list.
 func readVMs(file string) ([]wire.VMEntry, error) {
 	if file == "" {
 		return nil, nil
--- a/cmd/standin/report.go
+++ b/cmd/standin/report.go
@@ -13,19 +13,19 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/trainer"
 )
 
-// errDemo says that the demo's figures aren't all as they must be.
-var errDemo = errors.New("report: the figures above are not all as they must be")
+// errRunChecks: a check of the demo failed.
+var errRunChecks = errors.New("report: the run failed its checks, see the figures above")
 
-// reportCommand prints the demo's last line from what the trainer and the
-// callers counted themselves.
+// reportCommand prints the last line of the demo, from the figures that the trainer and the
+// callers counted.
 func reportCommand() *ff.Command {
 	fs := ff.NewFlagSet("report")
-	trainerFile := fs.StringLong("trainer", "", "the trainer's JSON summary")
-	callersFile := fs.StringLong("callers", "", "the callers' JSON result")
+	trainerFile := fs.StringLong("trainer", "", "file with the trainer's JSON summary")
+	callersFile := fs.StringLong("callers", "", "file with the callers' JSON result")
 	return &ff.Command{
 		Name:      "report",
 		Usage:     "standin report --trainer FILE --callers FILE",
-		ShortHelp: "sums up a run from the trainer's and the callers' counts",
+		ShortHelp: "summarizes and checks a run from the trainer's and the callers' counts",
 		Flags:     fs,
 		Exec: func(context.Context, []string) error {
 			var t trainer.Summary
@@ -39,13 +39,13 @@
 }
 
 func report(t *trainer.Summary, c *callers.Result) error {
-	ok := t.OK() && t.Samples > 0 && c.Answers > 0 && c.Wrong == 0 && c.Failed == 0 && verified(c)
-	word := "ok"
+	ok := t.OK() && t.Samples > 0 && c.Answers > 0 && c.Wrong == 0 && c.Failed == 0 && countsVerified(c)
+	verdict := "ok"
 	if !ok {
-		word = "FAILED"
+		verdict = "FAILED"
 	}
 	fmt.Printf("demo: %s samples=%d missing=%d duplicates=%d stale=%d mislabelled=%d answers=%d wrong=%d\n",
-		word, t.Samples, t.Missing, t.Duplicates, t.Stale, t.Mislabelled+t.Wrong, c.Answers, c.Wrong)
+		verdict, t.Samples, t.Missing, t.Duplicates, t.Stale, t.Mislabelled+t.Wrong, c.Answers, c.Wrong)
 	if ok {
 		return nil
 	}
@@ -53,11 +53,12 @@
 	if c.Verified != nil {
 		fmt.Fprintf(os.Stderr, "services: %+v\n", *c.Verified)
 	}
-	return errDemo
+	return errRunChecks
 }
 
-// verified says whether the services executed what the callers were told.
-func verified(c *callers.Result) bool { return c.Verified == nil || c.Verified.OK() }
+// countsVerified reports whether the services' counts, if compared, agree with the
+// responses that the callers received.
+func countsVerified(c *callers.Result) bool { return c.Verified == nil || c.Verified.OK() }
 
 func readJSON(file string, v any) error {
 	data, err := os.ReadFile(file)
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -14,11 +14,12 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/host"
 )
 
-// crashStatus is the exit status of a crash fault, that of a process ended by SIGKILL.
+// crashStatus is the exit status after a Crash fault. It is the same as that of a process
+// killed by SIGKILL.
 const crashStatus = 137
 
 func listenFlag(fs *ff.FlagSet) *string {
-	return fs.StringLong("listen", "127.0.0.1:0", "loopback ip:port to serve on; port 0 picks a free one and prints it")
+	return fs.StringLong("listen", "127.0.0.1:0", "loopback ip:port to serve on; port 0 picks a free port and prints it")
 }
 
 // serve serves a stand-in until the context ends.
@@ -34,20 +35,21 @@
 	return nil
 }
 
-// parseVersions reads "model=1,other=2".
-func parseVersions(text string) (map[string]int64, error) {
+// parseModelVersions parses a list of models and versions such as "model=1,other=2".
+func parseModelVersions(text string) (map[string]int64, error) {
 	out := map[string]int64{}
 	for _, part := range splitList(text) {
 		name, number, found := strings.Cut(part, "=")
 		version, err := strconv.ParseInt(number, 10, 64)
 		if !found || err != nil || version <= 0 || name == "" {
-			return nil, fmt.Errorf("models: %q: want model=version", part)
+			return nil, fmt.Errorf("models: %q isn't of the form model=version, with a positive version", part)
 		}
 		out[name] = version
 	}
 	return out, nil
 }
 
+// splitList splits a comma-separated list and drops empty items.
 func splitList(text string) []string {
 	var out []string
 	for part := range strings.SplitSeq(text, ",") {
