--- a/internal/standin/answer/check.go
+++ b/internal/standin/answer/check.go
@@ -68,7 +68,7 @@
 }
 
 // Versions returns the weight version of each token of a completion of prompt. Not every
-// checker knows the seed, so Versions verifies only that it is the same in all tokens.
+// checker knows the seed, so it is only verified to be the same in all tokens.
 func Versions(prompt, text string) ([]int64, error) {
 	return parseTokens(prompt, text)
 }
--- a/internal/standin/dutyapi/api.go
+++ b/internal/standin/dutyapi/api.go
@@ -84,11 +84,12 @@
 	return http.StatusOK
 }
 
-// NoneAvailable is returned by Scale if no server of the ordered kind is available now. On
-// the wire it has the same status as a refused fencing token.
+// NoneAvailable is the status of an order if no server of its kind is available now. On the
+// wire it has the same status as a refused fencing token.
 const NoneAvailable = http.StatusGone
 
-// Scale accepts an order for servers and returns the HTTP status, or NoneAvailable.
+// Scale accepts an order for servers and returns the HTTP status, which is 410 if no server
+// of the kind is available.
 func (a *API) Scale(holder string, fence int64, service string, o scaling.Order) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -154,8 +155,8 @@
 	return n
 }
 
-// Reclaim removes all spot servers of a service in a data centre. No spot servers are
-// available there until Reopen is called.
+// Reclaim removes all spot servers of a service in a data centre. No more spot servers are
+// available there until the reclaim is ended.
 func (a *API) Reclaim(service, dataCentre string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,7 +167,7 @@
 	}
 }
 
-// Reopen makes spot servers available again in a data centre after Reclaim.
+// Reopen makes spot servers available again in a data centre where they were reclaimed.
 func (a *API) Reopen(dataCentre string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/fault/injector.go
+++ b/internal/standin/fault/injector.go
@@ -9,7 +9,7 @@
 // concurrent use.
 type Injector struct {
 	mu         sync.Mutex
-	active     []*activeFault // in the order in which they were set
+	active     []*activeFault // oldest first
 	openConns  map[*faultyConn]struct{}
 	unfreeze   chan struct{} // closed when the current freeze ends; nil if not frozen
 	onCrash    func()        // executes a crash; nil: nothing to do
@@ -99,7 +99,8 @@
 	return in.find(kind, texts, true)
 }
 
-// Peek is like Take but doesn't count the request.
+// Peek returns the oldest active fault of a kind that matches one of a request's texts,
+// without counting the request.
 func (in *Injector) Peek(kind Kind, texts ...string) (Spec, bool) {
 	return in.find(kind, texts, false)
 }
--- a/internal/standin/metastore/rates.go
+++ b/internal/standin/metastore/rates.go
@@ -12,7 +12,7 @@
 	Writes    int // calls per second; further calls are refused
 }
 
-// rateLimiter enforces a store's Rates. It is safe for concurrent use.
+// rateLimiter enforces a store's rate limits. It is safe for concurrent use.
 type rateLimiter struct {
 	mu           sync.Mutex
 	rates        Rates
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -40,9 +40,9 @@
 type Counts struct {
 	Total     int                `json:"total"`
 	ByRequest map[string]int     `json:"by_request"` // by X-Request-Id
-	ByKey     map[string]int     `json:"by_key"`     // by HeaderKey
-	ByCall    map[string]int     `json:"by_call"`    // by HeaderCall
-	ByAttempt map[string]int     `json:"by_attempt"` // by HeaderAttempt
+	ByKey     map[string]int     `json:"by_key"`     // by Idempotency-Key
+	ByCall    map[string]int     `json:"by_call"`    // by X-Call
+	ByAttempt map[string]int     `json:"by_attempt"` // by X-Attempt
 	Leaving   host.LeavingReport `json:"leaving"`
 }
 
