--- a/internal/claims/answers.go
+++ b/internal/claims/answers.go
@@ -2,30 +2,32 @@
 
 import "github.com/dogwoodflow/dogwoodflow/internal/ident"
 
-// boundAnswers keeps memory bounded. It never forgets that a key is done.
-func (f *Fold) boundAnswers() {
-	for f.answerBytes > f.maxAnswerBytes && len(f.answers) > 0 {
-		oldest := f.answers[0]
-		f.answers = f.answers[1:]
-		e, ok := f.entries[oldest.id]
+// evictOldAnswers drops the oldest answers until the rest fit into maxAnswerBytes. Their
+// keys stay done.
+func (t *Fold) evictOldAnswers() {
+	for t.answerBytes > t.maxAnswerBytes && len(t.answerRefs) > 0 {
+		oldest := t.answerRefs[0]
+		t.answerRefs = t.answerRefs[1:]
+		e, ok := t.entries[oldest.key]
 		if ok {
-			e.dropAnswers(f, oldest.offset)
+			e.dropAnswersAt(t, oldest.offset)
 		}
 	}
 }
 
-func (e *entry) dropAnswers(f *Fold, offset ident.Offset) {
-	for _, d := range e.dones {
+// dropAnswersAt drops the answers of the entry's done records at an offset.
+func (e *entry) dropAnswersAt(t *Fold, offset ident.Offset) {
+	for _, d := range e.doneRecords {
 		if d.offset == offset {
-			f.dropAnswer(d)
+			t.dropAnswer(d)
 		}
 	}
 }
 
-func (f *Fold) dropAnswer(d *done) {
+func (t *Fold) dropAnswer(d *doneRecord) {
 	if d.answer == nil {
 		return
 	}
-	f.answerBytes -= d.answer.size()
+	t.answerBytes -= d.answer.sizeBytes()
 	d.answer = nil
 }
--- a/internal/claims/batcher.go
+++ b/internal/claims/batcher.go
@@ -5,91 +5,93 @@
 	"time"
 )
 
-// AppendResult is what became of an append.
+// AppendResult is the outcome of an append to the log.
 type AppendResult int
 
 // The results of an append.
 const (
-	Appended    AppendResult = iota // in the log
-	Unavailable                     // certainly not in the log
-	Lost                            // answer lost: may be in the log, or get there yet
+	Appended    AppendResult = iota // the records are in the log
+	Unavailable                     // the records are certainly not in the log
+	Lost                            // no answer: the records may be in the log, or still get there
 )
 
-// ErrFull says that too many records wait for the log.
-var ErrFull = errors.New("claims: too many records wait for the log")
+// ErrFull is returned when the queue of claims is full.
+var ErrFull = errors.New("claims: queue of claims is full")
 
-// BatcherOptions bounds a Batcher. All fields are required.
+// BatcherOptions are the limits of a Batcher. All fields are required.
 type BatcherOptions struct {
-	Gather     time.Duration // wait for neighbours, from the first waiting record on
-	Budget     float64       // appends a second of all daemons together
-	Burst      time.Duration // a daemon that paused may use its share of that time at once
-	MaxClaims  int           // claims that may wait
-	MaxReports int           // releases and done records that may wait
+	Gather     time.Duration // how long the first queued record waits for others to share its batch
+	Budget     float64       // appends per second, of all daemons together
+	Burst      time.Duration // an idle daemon may save up its share of the appends for this long
+	MaxClaims  int           // most claims queued
+	MaxReports int           // most releases and done records queued
 }
 
-// Batcher decides when the waiting records are appended and what an append's
-// result means for them. Not safe for concurrent use.
+// Batcher queues records, decides when a batch of them is appended, and handles the
+// append's result. Releases and done records are called outcomes. It is not safe for
+// concurrent use.
 //
-// Invariants: one append at a time; a claim that was refused or removed is
-// never sent again; releases and done records are sent until the log has them
-// or MaxReports is reached (a lost release leaves its key held, which is safe).
+// Invariants: one append is in flight at a time. A claim that was refused or removed is
+// never sent again. Outcomes are sent until the log has them, or until too many are
+// queued and some are dropped; a release that is lost leaves its key held, which is safe.
 type Batcher struct {
-	opts     BatcherOptions
-	claims   []Record
-	reports  []Record
-	since    time.Time // when the oldest waiting record came
-	tokens   float64
-	refilled time.Time
-	flight   []Record // the batch being appended
-	gone     map[string]bool
-	failures int       // appends in a row that found the log unavailable
-	retryAt  time.Time // before it, reports alone aren't worth an append
+	opts                BatcherOptions
+	claims              []Record        // queued
+	outcomes            []Record        // queued
+	batchDelayStart     time.Time       // start of the batch delay
+	tokens              float64         // appends that may be sent now
+	refilledAt          time.Time       // when tokens was last refilled
+	inFlight            []Record        // the batch being appended
+	removedInFlight     map[string]bool // nonces of claims removed while in flight
+	consecutiveFailures int             // appends in a row that certainly didn't reach the log
+	outcomesRetryAt     time.Time       // earliest append of a batch without claims
 }
 
-// NewBatcher returns an empty batcher with a full burst, which Next cuts to the
-// daemon's share.
+// NewBatcher returns an empty batcher. It starts with the appends of all daemons for one
+// second, which is reduced to the burst of this daemon before the first batch.
 func NewBatcher(opts BatcherOptions, now time.Time) *Batcher {
-	return &Batcher{opts: opts, tokens: opts.Budget, refilled: now, gone: map[string]bool{}}
+	return &Batcher{opts: opts, tokens: opts.Budget, refilledAt: now, removedInFlight: map[string]bool{}}
 }
 
-// AddClaim queues a claim. Error: ErrFull.
+// AddClaim queues a claim. It returns ErrFull if too many are queued.
 func (b *Batcher) AddClaim(r Record, now time.Time) error {
 	if len(b.claims) >= b.opts.MaxClaims {
 		return ErrFull
 	}
-	b.touch(now)
+	b.startBatchDelay(now)
 	b.claims = append(b.claims, r)
 	return nil
 }
 
-// AddReport queues a release or done record. When too many wait, the oldest done
-// record goes first (its key stays held), then the oldest release.
-// It reports whether a record was dropped.
+// AddReport queues a release or done record and reports whether a record was dropped. If
+// too many are queued, the oldest done record is dropped (its key stays held), or the
+// oldest release if there is no done record.
 func (b *Batcher) AddReport(r Record, now time.Time) (dropped bool) {
-	b.touch(now)
-	b.reports = append(b.reports, r)
-	return b.boundReports()
+	b.startBatchDelay(now)
+	b.outcomes = append(b.outcomes, r)
+	return b.dropExcessOutcomes()
 }
 
-func (b *Batcher) boundReports() bool {
+// dropExcessOutcomes enforces the limit on queued outcomes and reports whether it dropped
+// any.
+func (b *Batcher) dropExcessOutcomes() bool {
 	dropped := false
-	for len(b.reports) > b.opts.MaxReports {
-		victim := 0
-		for i := range b.reports {
-			if b.reports[i].Kind == KindDone {
-				victim = i
+	for len(b.outcomes) > b.opts.MaxReports {
+		index := 0
+		for i := range b.outcomes {
+			if b.outcomes[i].Kind == KindDone {
+				index = i
 				break
 			}
 		}
-		b.reports = append(b.reports[:victim:victim], b.reports[victim+1:]...)
+		b.outcomes = append(b.outcomes[:index:index], b.outcomes[index+1:]...)
 		dropped = true
 	}
 	return dropped
 }
 
-// Remove takes back a claim that its caller no longer waits for. It isn't sent
-// again; a copy that is under way may still reach the log, and its writer
-// releases it when it reads it.
+// Remove cancels a claim that its caller no longer waits for. It isn't sent again. If it
+// is in flight, it may still reach the log; this daemon releases it when it reads it.
 func (b *Batcher) Remove(nonce string) {
 	for i := range b.claims {
 		if b.claims[i].Nonce == nonce {
@@ -97,81 +99,83 @@
 			return
 		}
 	}
-	for i := range b.flight {
-		if b.flight[i].Kind == KindClaim && b.flight[i].Nonce == nonce {
-			b.gone[nonce] = true
+	for i := range b.inFlight {
+		if b.inFlight[i].Kind == KindClaim && b.inFlight[i].Nonce == nonce {
+			b.removedInFlight[nonce] = true
 		}
 	}
 }
 
-// Next returns the batch to append now, or how long to wait before asking again.
-// With nothing to do it returns neither. daemons is the number of daemons that
-// append claims; together they stay within Budget, whatever their number.
+// Next returns the batch to append now, or else how long to wait before the next call. It
+// returns neither if nothing is queued or an append is in flight. daemons is the number
+// of daemons that append claims; each may use an equal share of the appends per second.
 func (b *Batcher) Next(now time.Time, daemons int) (batch []Record, wait time.Duration) {
-	if b.flight != nil || b.waiting() == 0 {
+	if b.inFlight != nil || b.queued() == 0 {
 		return nil, 0
 	}
-	if left := b.retryAt.Sub(now); left > 0 && len(b.claims) == 0 {
-		return nil, left
+	if remaining := b.outcomesRetryAt.Sub(now); remaining > 0 && len(b.claims) == 0 {
+		return nil, remaining
 	}
-	b.refill(now, daemons)
-	if left := b.opts.Gather - now.Sub(b.since); left > 0 && b.waiting() < MaxBatchRecords {
-		return nil, left
+	b.refillTokens(now, daemons)
+	if remaining := b.opts.Gather - now.Sub(b.batchDelayStart); remaining > 0 && b.queued() < MaxBatchRecords {
+		return nil, remaining
 	}
 	if b.tokens < 1 {
-		return nil, b.untilToken(daemons)
+		return nil, b.timeToNextToken(daemons)
 	}
 	b.tokens--
-	b.flight = b.take()
-	b.since = now
-	return b.flight, 0
+	b.inFlight = b.dequeueBatch()
+	b.batchDelayStart = now
+	return b.inFlight, 0
 }
 
-// Finished takes the result of the batch that Next returned. It returns the
-// nonces of claims to refuse as not run.
+// Finished takes the result of the append in flight and returns the nonces of the claims
+// to refuse as not run.
 //
-// Unavailable: claims are refused at once, their callers come back later.
-// Lost: everything is sent again. The fold ignores the second copy of a record,
-// and reading back decides alone who may run.
+// If the records certainly aren't in the log, claims are refused at once and their callers
+// retry later. If that is unknown, all records are sent again: a duplicate changes no
+// key's state, and only the claims read back decide who may run a request.
 func (b *Batcher) Finished(result AppendResult, now time.Time) (refused []string) {
-	flight := b.flight
-	b.flight = nil
+	batch := b.inFlight
+	b.inFlight = nil
 	if result != Appended {
-		refused = b.putBack(flight, result)
-		b.since = now
+		refused = b.requeue(batch, result)
+		b.batchDelayStart = now
 	}
-	b.gone = map[string]bool{}
-	b.backOff(result, now)
+	b.removedInFlight = map[string]bool{}
+	b.updateBackoff(result, now)
 	return refused
 }
 
-// Backoff of reports while the log is unavailable. Claims are tried at once:
-// their callers wait for the refusal.
+// Outcomes are retried with a backoff while the log is unavailable. Claims are tried at
+// once, since their callers wait for the refusal.
 const (
-	backoffBase     = 100 * time.Millisecond
-	backoffDoubling = 6
+	minOutcomeBackoff   = 100 * time.Millisecond
+	maxBackoffDoublings = 6
 )
 
-func (b *Batcher) backOff(result AppendResult, now time.Time) {
+func (b *Batcher) updateBackoff(result AppendResult, now time.Time) {
 	if result != Unavailable {
-		b.failures = 0
-		b.retryAt = time.Time{}
+		b.consecutiveFailures = 0
+		b.outcomesRetryAt = time.Time{}
 		return
 	}
-	b.retryAt = now.Add(backoffBase << b.failures)
-	b.failures = min(b.failures+1, backoffDoubling)
+	b.outcomesRetryAt = now.Add(minOutcomeBackoff << b.consecutiveFailures)
+	b.consecutiveFailures = min(b.consecutiveFailures+1, maxBackoffDoublings)
 }
 
 // Pending returns the number of records that the log hasn't confirmed.
-func (b *Batcher) Pending() int { return b.waiting() + len(b.flight) }
+func (b *Batcher) Pending() int { return b.queued() + len(b.inFlight) }
 
-func (b *Batcher) putBack(flight []Record, result AppendResult) (refused []string) {
-	var claims, reports []Record
-	for _, r := range flight {
+// requeue puts the records of a failed append back at the front of their queues, except
+// for the claims that were removed or are refused. It returns the nonces of the latter.
+func (b *Batcher) requeue(batch []Record, result AppendResult) (refused []string) {
+	var claims, outcomes []Record
+	for _, r := range batch {
 		switch {
 		case r.Kind != KindClaim:
-			reports = append(reports, r)
-		case b.gone[r.Nonce]:
+			outcomes = append(outcomes, r)
+		case b.removedInFlight[r.Nonce]:
 		case result == Unavailable:
 			refused = append(refused, r.Nonce)
 		default:
@@ -179,40 +183,44 @@
 		}
 	}
 	b.claims = append(claims, b.claims...)
-	b.reports = append(reports, b.reports...)
-	b.boundReports()
+	b.outcomes = append(outcomes, b.outcomes...)
+	b.dropExcessOutcomes()
 	return refused
 }
 
-func (b *Batcher) waiting() int { return len(b.claims) + len(b.reports) }
+func (b *Batcher) queued() int { return len(b.claims) + len(b.outcomes) }
 
-// touch starts the gathering time with the first waiting record.
-func (b *Batcher) touch(now time.Time) {
-	if b.waiting() == 0 {
-		b.since = now
+// startBatchDelay is called before a record is queued. The first record of an empty queue
+// starts the batch delay.
+func (b *Batcher) startBatchDelay(now time.Time) {
+	if b.queued() == 0 {
+		b.batchDelayStart = now
 	}
 }
 
-// take cuts the next batch, claims first: callers wait for them.
-func (b *Batcher) take() []Record {
-	n := min(len(b.claims), MaxBatchRecords)
-	batch := append([]Record(nil), b.claims[:n]...)
-	b.claims = b.claims[n:]
-	m := min(len(b.reports), MaxBatchRecords-n)
-	batch = append(batch, b.reports[:m]...)
-	b.reports = b.reports[m:]
+// dequeueBatch removes the next batch from the queues. Claims come first, since callers
+// wait for them.
+func (b *Batcher) dequeueBatch() []Record {
+	claims := min(len(b.claims), MaxBatchRecords)
+	batch := append([]Record(nil), b.claims[:claims]...)
+	b.claims = b.claims[claims:]
+	outcomes := min(len(b.outcomes), MaxBatchRecords-claims)
+	batch = append(batch, b.outcomes[:outcomes]...)
+	b.outcomes = b.outcomes[outcomes:]
 	return batch
 }
 
-func (b *Batcher) rate(daemons int) float64 { return b.opts.Budget / float64(max(daemons, 1)) }
+// tokenRate returns this daemon's share of the append rate, in appends per second.
+func (b *Batcher) tokenRate(daemons int) float64 { return b.opts.Budget / float64(max(daemons, 1)) }
 
-func (b *Batcher) refill(now time.Time, daemons int) {
-	b.tokens += now.Sub(b.refilled).Seconds() * b.rate(daemons)
-	b.tokens = min(b.tokens, max(b.rate(daemons)*b.opts.Burst.Seconds(), 1))
-	b.refilled = now
+func (b *Batcher) refillTokens(now time.Time, daemons int) {
+	b.tokens += now.Sub(b.refilledAt).Seconds() * b.tokenRate(daemons)
+	b.tokens = min(b.tokens, max(b.tokenRate(daemons)*b.opts.Burst.Seconds(), 1))
+	b.refilledAt = now
 }
 
-func (b *Batcher) untilToken(daemons int) time.Duration {
-	seconds := (1 - b.tokens) / b.rate(daemons)
+// timeToNextToken returns how long it takes until the next append is allowed.
+func (b *Batcher) timeToNextToken(daemons int) time.Duration {
+	seconds := (1 - b.tokens) / b.tokenRate(daemons)
 	return max(time.Duration(seconds*float64(time.Second)), time.Millisecond)
 }
--- a/internal/claims/batcher_test.go
+++ b/internal/claims/batcher_test.go
@@ -13,7 +13,7 @@
 	opts := BatcherOptions{Gather: 5 * time.Millisecond, Budget: 200, Burst: time.Second, MaxClaims: 10, MaxReports: 2}
 	claim := func(nonce string) Record { return Record{Kind: KindClaim, Key: "k", Nonce: nonce} }
 
-	It("gathers neighbours, then appends them together", func() {
+	It("appends the records queued within the batch delay together", func() {
 		b := NewBatcher(opts, start)
 		Expect(b.AddClaim(claim("a"), start)).To(Succeed())
 		_, wait := b.Next(start, 1)
@@ -23,7 +23,7 @@
 		Expect(batch).To(HaveLen(2))
 	})
 
-	It("keeps all daemons together within the budget", func() {
+	It("keeps the appends of all daemons together within the budget", func() {
 		const daemons = 40
 		b, now, appends := NewBatcher(opts, start), start, 0
 		for now.Before(start.Add(10 * time.Second)) {
@@ -39,10 +39,10 @@
 		Expect(appends * daemons).To(BeNumerically("<=", 200*(10+1)))
 	})
 
-	// The log appends a batch and its answer is lost. Refusing the claims as "not run"
-	// would be true, but they would stand in the log; taking them as written would be a
-	// guess. They are sent again, and reading back decides.
-	It("sends claims again after a lost answer, and refuses them when nothing was written", func() {
+	// After a lost answer it is unknown whether the claims are in the log. If they were refused
+	// as not run, they might still hold their keys; if they were taken for written, they might
+	// be missing. They are sent again, and the claims read back decide.
+	It("sends claims again after a lost answer, and refuses them if they certainly weren't written", func() {
 		b := NewBatcher(opts, start)
 		Expect(b.AddClaim(claim("a"), start)).To(Succeed())
 		now := start.Add(time.Second)
@@ -55,7 +55,7 @@
 		Expect(b.Pending()).To(BeZero())
 	})
 
-	It("never sends a claim again that was taken back in flight", func() {
+	It("doesn't resend a claim that was removed while in flight", func() {
 		b := NewBatcher(opts, start)
 		Expect(b.AddClaim(claim("a"), start)).To(Succeed())
 		b.Next(start.Add(time.Second), 1)
@@ -64,7 +64,7 @@
 		Expect(b.Pending()).To(BeZero())
 	})
 
-	It("keeps releases before done records when too many wait, and retries them with backoff", func() {
+	It("drops done records before releases when too many are queued, and retries with a backoff", func() {
 		b := NewBatcher(opts, start)
 		for _, kind := range []Kind{KindRelease, KindDone, KindRelease} {
 			b.AddReport(Record{Kind: kind}, start)
@@ -75,7 +75,7 @@
 		Expect(batch).To(HaveEach(HaveField("Kind", KindRelease)))
 		b.Finished(Unavailable, now)
 		_, wait := b.Next(now, 1)
-		Expect(wait).To(Equal(backoffBase))
+		Expect(wait).To(Equal(minOutcomeBackoff))
 	})
 })
 
@@ -88,7 +88,7 @@
 			return
 		}
 		if _, err := EncodeBatch(records); err != nil {
-			t.Fatalf("decoded, but doesn't encode: %v", err)
+			t.Fatalf("decoded batch doesn't encode again: %v", err)
 		}
 	})
 }
--- a/internal/claims/fold.go
+++ b/internal/claims/fold.go
@@ -1,30 +1,30 @@
-// Package claims decides which attempt may run a request that carries an
-// idempotency key. It is pure: records of the log's claims stream and the
-// time go in, the state of each key comes out.
+// Package claims decides which daemon may run a request that carries an idempotency key,
+// so that the request runs at most once. It is pure: records of the log's claims stream
+// and the time go in, the state of each key comes out.
 //
 // # Rule
 //
-// A key's claims stand in the log's order. The first one that is neither
-// released nor past the log's retention holds the key, and only the daemon that
-// wrote it may dispatch, once, after it has read the claim back. Nobody but the
-// writer of a claim releases it, and only when it knows that nothing ran and
-// that it will never dispatch under that nonce.
+// The claims on a key form a queue in log order. The first claim that is neither released
+// nor past the log's retention holds the key. Only the daemon that wrote it may dispatch
+// the request, once, after it has read the claim back from the log. A claim is released
+// only by its writer, and only if the writer knows that the request didn't run and will
+// never be dispatched under this claim's nonce.
 //
-// # Why later claims stay in the line
+// # Why claims that lost stay in the queue
 //
-// Daemons trim at the retention's end at different moments. Suppose claim O is
-// about to expire when M is appended. One daemon reads M while O is kept, sees
-// it lose and, if losers were dropped, finds the key free once O expires. The
-// writer of M reads M back after O expired and sees it win. Both would run the
-// request. With M kept in line, the first daemon finds the key held by M.
-// A loser's writer therefore releases its claim explicitly.
+// Daemons drop expired records at different moments. Suppose claim O is about to expire
+// when claim M is appended. One daemon reads M while it still has O, so M loses there. If
+// claims that lost were dropped, that daemon would find the key free once O expires. The
+// writer of M reads M back after it has dropped O, so M wins there. Both would run the
+// request. With M in the queue, the first daemon finds the key held by M. The writer of a
+// claim that lost therefore releases it explicitly.
 //
-// # How long a key protects
+// # How long a key is protected
 //
-// As long as the log keeps its claim, or its done record when there is one: the
-// retention of the claims stream, counted from the append. A key that comes
-// again later than that runs again. The same holds for a reader that fell
-// behind the retention: all it lost concerned keys whose protection had ended.
+// A key is protected as long as the log keeps its claim, or its done record if there is
+// one: for the retention of the claims stream, counted from the append. A request that is
+// sent again after that runs again. A reader that fell behind the retention misses nothing
+// that still matters: all records that it missed concerned keys whose protection had ended.
 package claims
 
 import (
@@ -33,67 +33,69 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// State is what is known of a key.
+// State is the state of an idempotency key.
 type State int
 
 // The states of a key.
 const (
-	Free     State = iota // nobody may have run it within the retention
-	Held                  // a claim stands; its request may have run or be running
-	Finished              // its request ran and was answered
+	Free     State = iota // no claim: its request wasn't run within the retention
+	Held                  // a claim holds the key: its request may have run or be running
+	Finished              // its request has run
 )
 
-// Status is a key's state with its particulars.
+// Status is a key's state and the claim that determines it.
 type Status struct {
 	State    State
-	Nonce    string   // holder's, when Held or Finished
-	VM       ident.VM // holder's
-	BodyHash uint64   // holder's
-	Answer   *Answer  // Finished: nil when the answer wasn't kept. Read only.
+	Nonce    string   // of the claim; empty if the key is free
+	VM       ident.VM // that wrote the claim
+	BodyHash uint64   // of the claim's request
+	Answer   *Answer  // of a finished request, nil if it wasn't kept; read-only
 }
 
-// Verdict tells how a claim stood at its place in the log.
+// Verdict is the result of one claim, decided at its position in the log.
 type Verdict struct {
 	Nonce  string
 	Scope  string
 	Key    string
-	Won    bool
-	Status Status // the key's state just behind the claim
+	Won    bool   // the claim holds its key
+	Status Status // the key's state after the claim
 }
 
-type id struct{ scope, key string }
+// keyID identifies an idempotency key.
+type keyID struct{ scope, key string }
 
+// claim is the part of a claim or done record that is kept.
 type claim struct {
 	nonce    string
-	vm       ident.VM
-	bodyHash uint64
+	vm       ident.VM // that wrote the record
+	bodyHash uint64   // of the request
 	offset   ident.Offset
 }
 
-type done struct {
+type doneRecord struct {
 	claim
-	answer *Answer
+	answer *Answer // nil if it wasn't kept
 }
 
-// entry is one key: its unreleased claims and its done records, both in the
-// log's order and with the copies that repeated appends left. A copy outlives the
-// first one at the retention's end, so that a key's state depends on nothing but
-// the records from First on: daemons that read as far agree, whenever they began.
+// entry holds the unreleased claims and the done records of one key, both in log order.
+// Duplicates from repeated appends are kept, since they expire later than the original. A
+// key's state then depends only on the records that the log still keeps, and daemons that
+// have read up to the same offset agree, wherever they started to read.
 type entry struct {
-	line  []claim
-	dones []*done
+	claims      []claim
+	doneRecords []*doneRecord
 }
 
-func (e *entry) empty() bool { return len(e.line) == 0 && len(e.dones) == 0 }
+func (e *entry) empty() bool { return len(e.claims) == 0 && len(e.doneRecords) == 0 }
 
-// has reports whether the entry still holds a record of that offset.
-func (e *entry) has(offset ident.Offset) bool {
-	for _, d := range e.dones {
+// hasRecordAt reports whether the entry still holds a record at an offset.
+func (e *entry) hasRecordAt(offset ident.Offset) bool {
+	for _, d := range e.doneRecords {
 		if d.offset == offset {
 			return true
 		}
 	}
-	for _, c := range e.line {
+	for _, c := range e.claims {
 		if c.offset == offset {
 			return true
 		}
@@ -101,165 +103,169 @@
 	return false
 }
 
-// mark remembers that a record at an offset concerns a key, for Trim.
-type mark struct {
+// recordRef refers to a record of a key by the record's offset.
+type recordRef struct {
 	offset ident.Offset
-	id     id
+	key    keyID
 }
 
-// Fold is the state of all keys. Not safe for concurrent use.
+// Fold holds the state of all keys, computed from the records of the claims stream. It is
+// not safe for concurrent use.
 type Fold struct {
-	entries        map[id]*entry
-	marks          []mark // ascending by offset
-	answers        []mark // done records that still hold their answer, ascending
-	answerBytes    int
+	entries        map[keyID]*entry
+	recordRefs     []recordRef // all records kept, and some released ones, by ascending offset
+	answerRefs     []recordRef // done records that were appended with an answer, by ascending offset
+	answerBytes    int         // size of the answers kept
 	maxAnswerBytes int
 }
 
-// NewFold returns an empty fold that holds at most maxAnswerBytes of answers;
-// beyond that the oldest answers go, while their keys stay done.
+// NewFold returns an empty table that keeps at most maxAnswerBytes of answers. The oldest
+// answers are dropped first; their keys stay done.
 func NewFold(maxAnswerBytes int) *Fold {
-	return &Fold{entries: map[id]*entry{}, maxAnswerBytes: maxAnswerBytes}
+	return &Fold{entries: map[keyID]*entry{}, maxAnswerBytes: maxAnswerBytes}
 }
 
 // Len returns the number of keys that aren't free.
-func (f *Fold) Len() int { return len(f.entries) }
+func (t *Fold) Len() int { return len(t.entries) }
 
-// Apply folds in the batch at an offset. Batches come in the log's order, and
-// Trim with the First of the page comes before Apply of its records. It returns
-// a verdict for each claim that is new, not for the copy of one that stands (its
-// append was repeated after a lost answer).
-func (f *Fold) Apply(offset ident.Offset, records []Record) []Verdict {
+// Apply applies the batch at an offset. Batches must be applied in log order, after Trim
+// with the first offset that the log kept when they were read. It returns a verdict for
+// each new claim. The duplicate of a claim that is still queued gets none: its append was
+// repeated after a lost answer.
+func (t *Fold) Apply(offset ident.Offset, records []Record) []Verdict {
 	var verdicts []Verdict
 	for i := range records {
 		r := &records[i]
 		switch r.Kind {
 		case KindClaim:
-			if f.applyClaim(offset, r) {
-				verdicts = append(verdicts, f.verdict(r))
+			if t.applyClaim(offset, r) {
+				verdicts = append(verdicts, t.verdict(r))
 			}
 		case KindRelease:
-			f.applyRelease(r)
+			t.applyRelease(r)
 		case KindDone:
-			f.applyDone(offset, r)
+			t.applyDone(offset, r)
 		}
 	}
-	f.boundAnswers()
-	f.compact()
+	t.evictOldAnswers()
+	t.compactRefs()
 	return verdicts
 }
 
-func (f *Fold) verdict(r *Record) Verdict {
-	s := f.Status(r.Scope, r.Key)
+func (t *Fold) verdict(r *Record) Verdict {
+	s := t.Status(r.Scope, r.Key)
 	won := s.State == Held && s.Nonce == r.Nonce
 	return Verdict{Nonce: r.Nonce, Scope: r.Scope, Key: r.Key, Won: won, Status: s}
 }
 
-func (f *Fold) applyClaim(offset ident.Offset, r *Record) bool {
-	e := f.entry(r)
-	fresh := !slices.ContainsFunc(e.line, func(c claim) bool { return c.nonce == r.Nonce })
-	e.line = append(e.line, claimOf(offset, r))
-	f.marks = append(f.marks, mark{offset, idOf(r)})
-	return fresh
+// applyClaim queues a claim and reports whether it is new, and not a duplicate of one in the
+// queue.
+func (t *Fold) applyClaim(offset ident.Offset, r *Record) bool {
+	e := t.entryFor(r)
+	isNew := !slices.ContainsFunc(e.claims, func(c claim) bool { return c.nonce == r.Nonce })
+	e.claims = append(e.claims, newClaim(offset, r))
+	t.recordRefs = append(t.recordRefs, recordRef{offset, keyIDOf(r)})
+	return isNew
 }
 
-// applyRelease takes the nonce's own claim and its copies out of the line.
-func (f *Fold) applyRelease(r *Record) {
-	e, ok := f.entries[idOf(r)]
+// applyRelease removes the claim with the release's nonce and its duplicates.
+func (t *Fold) applyRelease(r *Record) {
+	e, ok := t.entries[keyIDOf(r)]
 	if !ok {
 		return
 	}
-	e.line = slices.DeleteFunc(e.line, func(c claim) bool { return c.nonce == r.Nonce })
-	f.dropIfEmpty(idOf(r), e)
+	e.claims = slices.DeleteFunc(e.claims, func(c claim) bool { return c.nonce == r.Nonce })
+	t.deleteIfEmpty(keyIDOf(r), e)
 }
 
-func (f *Fold) applyDone(offset ident.Offset, r *Record) {
-	e := f.entry(r)
-	e.dones = append(e.dones, &done{claim: claimOf(offset, r), answer: r.Answer})
-	f.marks = append(f.marks, mark{offset, idOf(r)})
+func (t *Fold) applyDone(offset ident.Offset, r *Record) {
+	e := t.entryFor(r)
+	e.doneRecords = append(e.doneRecords, &doneRecord{claim: newClaim(offset, r), answer: r.Answer})
+	t.recordRefs = append(t.recordRefs, recordRef{offset, keyIDOf(r)})
 	if r.Answer != nil {
-		f.answers = append(f.answers, mark{offset, idOf(r)})
-		f.answerBytes += r.Answer.size()
+		t.answerRefs = append(t.answerRefs, recordRef{offset, keyIDOf(r)})
+		t.answerBytes += r.Answer.sizeBytes()
 	}
 }
 
 // Status returns a key's state.
-func (f *Fold) Status(scope, key string) Status {
-	e, ok := f.entries[id{scope, key}]
+func (t *Fold) Status(scope, key string) Status {
+	e, ok := t.entries[keyID{scope, key}]
 	switch {
 	case !ok:
 		return Status{}
-	case len(e.dones) > 0:
-		d := e.dones[0]
+	case len(e.doneRecords) > 0:
+		d := e.doneRecords[0]
 		return Status{State: Finished, Nonce: d.nonce, VM: d.vm, BodyHash: d.bodyHash, Answer: d.answer}
 	default:
-		c := e.line[0]
+		c := e.claims[0]
 		return Status{State: Held, Nonce: c.nonce, VM: c.vm, BodyHash: c.bodyHash}
 	}
 }
 
-// Trim forgets the records before an offset: the log no longer keeps them.
-func (f *Fold) Trim(before ident.Offset) {
+// Trim drops the records before an offset, which the log no longer keeps.
+func (t *Fold) Trim(before ident.Offset) {
 	n := 0
-	for n < len(f.marks) && f.marks[n].offset < before {
-		f.trimEntry(f.marks[n].id, before)
+	for n < len(t.recordRefs) && t.recordRefs[n].offset < before {
+		t.trimEntry(t.recordRefs[n].key, before)
 		n++
 	}
-	f.marks = f.marks[n:]
-	for len(f.answers) > 0 && f.answers[0].offset < before {
-		f.answers = f.answers[1:]
+	t.recordRefs = t.recordRefs[n:]
+	for len(t.answerRefs) > 0 && t.answerRefs[0].offset < before {
+		t.answerRefs = t.answerRefs[1:]
 	}
 }
 
-func (f *Fold) trimEntry(k id, before ident.Offset) {
-	e, ok := f.entries[k]
+func (t *Fold) trimEntry(key keyID, before ident.Offset) {
+	e, ok := t.entries[key]
 	if !ok {
 		return
 	}
-	e.line = slices.DeleteFunc(e.line, func(c claim) bool { return c.offset < before })
-	for len(e.dones) > 0 && e.dones[0].offset < before {
-		f.dropAnswer(e.dones[0])
-		e.dones = e.dones[1:]
+	e.claims = slices.DeleteFunc(e.claims, func(c claim) bool { return c.offset < before })
+	for len(e.doneRecords) > 0 && e.doneRecords[0].offset < before {
+		t.dropAnswer(e.doneRecords[0])
+		e.doneRecords = e.doneRecords[1:]
 	}
-	f.dropIfEmpty(k, e)
+	t.deleteIfEmpty(key, e)
 }
 
-// minCompact is the number of marks below which compact isn't worth its while.
-const minCompact = 1024
+// minCompactRefs is the number of references below which compaction isn't worth its cost.
+const minCompactRefs = 1024
 
-// compact drops the marks of released claims, so that memory follows the number
-// of keys and not the number of records in the retention.
-func (f *Fold) compact() {
-	if len(f.marks) < minCompact || len(f.marks) < 4*len(f.entries) {
+// compactRefs drops the references to released claims, so that memory grows with the
+// number of keys and not with the number of records within the retention.
+func (t *Fold) compactRefs() {
+	if len(t.recordRefs) < minCompactRefs || len(t.recordRefs) < 4*len(t.entries) {
 		return
 	}
-	kept := make([]mark, 0, len(f.marks)/2)
-	for _, m := range f.marks {
-		if e, ok := f.entries[m.id]; ok && e.has(m.offset) {
-			kept = append(kept, m)
+	kept := make([]recordRef, 0, len(t.recordRefs)/2)
+	for _, ref := range t.recordRefs {
+		if e, ok := t.entries[ref.key]; ok && e.hasRecordAt(ref.offset) {
+			kept = append(kept, ref)
 		}
 	}
-	f.marks = kept
+	t.recordRefs = kept
 }
 
-func (f *Fold) entry(r *Record) *entry {
-	k := idOf(r)
-	e, ok := f.entries[k]
+// entryFor returns the entry of a record's key, which it creates if there is none.
+func (t *Fold) entryFor(r *Record) *entry {
+	key := keyIDOf(r)
+	e, ok := t.entries[key]
 	if !ok {
 		e = &entry{}
-		f.entries[k] = e
+		t.entries[key] = e
 	}
 	return e
 }
 
-func (f *Fold) dropIfEmpty(k id, e *entry) {
+func (t *Fold) deleteIfEmpty(key keyID, e *entry) {
 	if e.empty() {
-		delete(f.entries, k)
+		delete(t.entries, key)
 	}
 }
 
-func idOf(r *Record) id { return id{r.Scope, r.Key} }
+func keyIDOf(r *Record) keyID { return keyID{r.Scope, r.Key} }
 
-func claimOf(offset ident.Offset, r *Record) claim {
+func newClaim(offset ident.Offset, r *Record) claim {
 	return claim{nonce: r.Nonce, vm: r.VM, bodyHash: r.BodyHash, offset: offset}
 }
--- a/internal/claims/fold_test.go
+++ b/internal/claims/fold_test.go
@@ -14,41 +14,41 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/golden"
 )
 
-// naiveFold keeps every record and works a key's state out from scratch.
-type naiveFold struct {
+// referenceTable keeps every record and computes a key's state from scratch.
+type referenceTable struct {
 	offsets []ident.Offset
 	records []Record
 }
 
-func (n *naiveFold) apply(off ident.Offset, records []Record) {
+func (n *referenceTable) apply(off ident.Offset, records []Record) {
 	for _, r := range records {
 		n.offsets = append(n.offsets, off)
 		n.records = append(n.records, r)
 	}
 }
 
-// status replays all that is kept. A release acts on claims before it, also when
-// the claim itself is past the retention.
-func (n *naiveFold) status(scope, key string, first ident.Offset) Status {
-	var line []Record
+// status replays all records on a key. first is the first offset that the log keeps. A
+// release also removes a claim that is itself past the retention.
+func (n *referenceTable) status(scope, key string, first ident.Offset) Status {
+	var queue []Record
 	for i, r := range n.records {
 		if r.Scope != scope || r.Key != key {
 			continue
 		}
-		held := slices.IndexFunc(line, func(c Record) bool { return c.Nonce == r.Nonce })
+		held := slices.IndexFunc(queue, func(c Record) bool { return c.Nonce == r.Nonce })
 		switch {
 		case r.Kind == KindDone && n.offsets[i] >= first:
 			return Status{Finished, r.Nonce, r.VM, r.BodyHash, r.Answer}
 		case r.Kind == KindClaim && held < 0 && n.offsets[i] >= first:
-			line = append(line, r)
+			queue = append(queue, r)
 		case r.Kind == KindRelease && held >= 0:
-			line = slices.Delete(line, held, held+1)
+			queue = slices.Delete(queue, held, held+1)
 		}
 	}
-	if len(line) == 0 {
+	if len(queue) == 0 {
 		return Status{}
 	}
-	return Status{Held, line[0].Nonce, line[0].VM, line[0].BodyHash, nil}
+	return Status{Held, queue[0].Nonce, queue[0].VM, queue[0].BodyHash, nil}
 }
 
 func randomRecord(rng *rand.Rand, off ident.Offset) Record {
@@ -63,36 +63,37 @@
 	return r
 }
 
-var _ = Describe("Fold", func() {
-	It("agrees with a naive replay over random sessions with trimming", func() {
+var _ = Describe("Table", func() {
+	It("agrees with a replay of the whole log over random sessions with trimming", func() {
 		for seed := range uint64(200) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			fold, naive, first := NewFold(1<<20), &naiveFold{}, ident.Offset(1)
+			table, reference, first := NewFold(1<<20), &referenceTable{}, ident.Offset(1)
 			for off := ident.Offset(1); off <= 150; off++ {
 				batch := []Record{randomRecord(rng, off), randomRecord(rng, off)}
-				// A nonce belongs to one key; a naive copy after a trim would count again in both.
+				// A nonce belongs to one key. A duplicate counts as a new claim, here and in the
+				// reference, once its original is trimmed.
 				for i := range batch {
 					batch[i].Nonce += batch[i].Key
 				}
 				if rng.IntN(10) == 0 {
 					first = max(first, off-ident.Offset(rng.IntN(40)))
-					fold.Trim(first)
+					table.Trim(first)
 				}
-				naive.apply(off, batch)
-				fold.Apply(off, batch)
+				reference.apply(off, batch)
+				table.Apply(off, batch)
 				for k := range 6 {
 					key := fmt.Sprint("k", k)
-					Expect(fold.Status("t/r", key)).To(Equal(naive.status("t/r", key, first)), "seed %d offset %d %s", seed, off, key)
+					Expect(table.Status("t/r", key)).To(Equal(reference.status("t/r", key, first)), "seed %d offset %d %s", seed, off, key)
 				}
 			}
 		}
 	})
 
-	// A user books once and sees two bookings. Claim O is about to leave the log's
-	// retention when M is appended behind it. One daemon reads M while O stands and sees
-	// M lose; the slow writer of M reads it after O has gone, sees it win and runs it.
-	// The first daemon must not find the key free when O goes there too.
-	It("keeps a later claim in line while an expiring one goes", func() {
+	// Guards against running a request twice. Claim O is about to expire when claim M is
+	// appended. One daemon reads M before it drops O, and M loses. The slow writer of M reads
+	// it after dropping O, and M wins. The first daemon must not find the key free once it
+	// drops O too.
+	It("keeps a claim that lost queued, so that it holds the key after the first one expires", func() {
 		early, late := NewFold(1), NewFold(1)
 		o := []Record{{Kind: KindClaim, Scope: "s", Key: "k", Nonce: "O"}}
 		m := []Record{{Kind: KindClaim, Scope: "s", Key: "k", Nonce: "M"}}
@@ -104,43 +105,43 @@
 		Expect(early.Status("s", "k").Nonce).To(Equal("M"))
 	})
 
-	It("drops old answers beyond its bound and never the fact that the key is done", func() {
-		fold := NewFold(10)
+	It("drops the oldest answers above the limit, but keeps their keys done", func() {
+		table := NewFold(10)
 		for i := range 5 {
-			fold.Apply(ident.Offset(i+1), []Record{{Kind: KindDone, Scope: "s", Key: fmt.Sprint(i), Nonce: "n",
+			table.Apply(ident.Offset(i+1), []Record{{Kind: KindDone, Scope: "s", Key: fmt.Sprint(i), Nonce: "n",
 				Answer: &Answer{Status: 200, Body: []byte("12345")}}})
 		}
-		Expect(fold.Status("s", "0")).To(HaveField("State", Finished))
-		Expect(fold.Status("s", "0").Answer).To(BeNil())
-		Expect(fold.Status("s", "4").Answer).NotTo(BeNil())
-		Expect(fold.answerBytes).To(BeNumerically("<=", 10))
+		Expect(table.Status("s", "0")).To(HaveField("State", Finished))
+		Expect(table.Status("s", "0").Answer).To(BeNil())
+		Expect(table.Status("s", "4").Answer).NotTo(BeNil())
+		Expect(table.answerBytes).To(BeNumerically("<=", 10))
 	})
 
-	It("keeps memory bound to keys when claims are released again and again", func() {
-		fold := NewFold(1)
+	It("keeps memory bounded when many claims are appended and released", func() {
+		table := NewFold(1)
 		for i := range ident.Offset(50_000) {
 			n := fmt.Sprint(i)
-			fold.Apply(i+1, []Record{{Kind: KindClaim, Scope: "s", Key: n, Nonce: n}, {Kind: KindRelease, Scope: "s", Key: n, Nonce: n}})
+			table.Apply(i+1, []Record{{Kind: KindClaim, Scope: "s", Key: n, Nonce: n}, {Kind: KindRelease, Scope: "s", Key: n, Nonce: n}})
 		}
-		Expect(fold.Len()).To(BeZero())
-		Expect(len(fold.marks)).To(BeNumerically("<=", minCompact))
+		Expect(table.Len()).To(BeZero())
+		Expect(len(table.recordRefs)).To(BeNumerically("<=", minCompactRefs))
 	})
 
-	It("replays a recorded session to the byte", func() {
+	It("reproduces a recorded session exactly", func() {
 		rng := rand.New(rand.NewPCG(7, 7))
-		fold := NewFold(1 << 20)
+		table := NewFold(1 << 20)
 		var out strings.Builder
 		for off := ident.Offset(1); off <= 60; off++ {
 			r := randomRecord(rng, off)
-			verdicts := fold.Apply(off, []Record{r})
-			s := fold.Status(r.Scope, r.Key)
+			verdicts := table.Apply(off, []Record{r})
+			s := table.Status(r.Scope, r.Key)
 			fmt.Fprintf(&out, "%d %s %s %s -> state %d nonce %s", off, r.Kind, r.Key, r.Nonce, s.State, s.Nonce)
 			for _, v := range verdicts {
 				fmt.Fprintf(&out, " won=%t", v.Won)
 			}
 			out.WriteByte('\n')
 			if off%20 == 0 {
-				fold.Trim(off - 10)
+				table.Trim(off - 10)
 			}
 		}
 		golden.Expect("session.golden", out.String())
