--- a/internal/loads/claims.go
+++ b/internal/loads/claims.go
@@ -1,25 +1,28 @@
-// Package loads decides who may order an engine to load weights, and which
-// engines load when. It is pure: records of the claims' log, views and time go
-// in; permits and orders come out. Not safe for concurrent use.
+// Package loads decides which VM may order an engine to load weights, which engines load
+// when, and which engines and partitions belong to which model. It is pure: records of the
+// claims log, the state of the engines and the time go in, permits and plans come out. Its
+// types aren't safe for concurrent use.
 //
 // # Claims
 //
-// Before each order a daemon appends a claim on the engine, as before each call of a duty
-// on the duty. A claim names the offset up to which its daemon had read the log then; it is
-// void if another VM's valid claim on the same subject stands between that offset and its
-// own, so whoever reads the log judges alike. The daemon reads its claim back before it
-// acts. The claim's offset is the order's fencing number: numbers grow, and no two claims
-// share one.
+// Before a VM orders an engine to load, it appends a claim on the engine to the claims log.
+// Before each call of a duty, a fleet-wide task that one VM does at a time, it appends a
+// claim on the duty. A claim names the offset up to which its VM had read the log. It is
+// void if a valid claim of another VM on the same subject lies between that offset and its
+// own, so all readers of the log agree on which claims are valid. The VM reads its claim
+// back before it acts on it. The offset of a claim determines the fencing token of
+// its order, so tokens only grow, and no two claims have the same.
 //
-// The order must leave within ClaimLife of the append's start, by a clock that goes on while
-// the VM is suspended. A valid claim of another VM bars the engine for ClaimLife + the lease
-// + ClaimMargin after it was read, so that no engine hears of two holders within the lease:
-// the other's last order left at most ClaimLife after its claim, and its claim was in the
-// log before it was read here.
+// A claim has a short lifetime, which begins with the start of its append and is measured
+// by a clock that keeps running while the VM is suspended. The order must be sent within
+// it. Once a VM has read another VM's valid claim, it may not claim the engine itself for
+// the claim's lifetime plus the lease plus the transit margin. So no engine gets orders of
+// two holders within the lease: the other VM sent its last order at most one lifetime after
+// its claim, and the claim was in the log before it was read here.
 //
-// Were claims appended on the condition that the log hasn't grown, each claim on any engine
-// would make all others that are on their way fail, and the more models load, the fewer come
-// through.
+// Appends of claims aren't conditional on the end of the log. Otherwise each claim on any
+// engine would make all other claims in flight fail, and the more models load, the fewer
+// claims would succeed.
 package loads
 
 import (
@@ -31,58 +34,62 @@
 )
 
 const (
-	// ClaimLife is how long after the start of its append a claim permits an order.
-	// An append takes some ms, or a few hundred when the store is slow.
+	// ClaimLife is the lifetime of a claim: how long after the start of its append an order
+	// may be sent. An append takes a few ms, or a few hundred when the store is slow.
 	ClaimLife = 700 * time.Millisecond
-	// ClaimMargin covers the way of an order to the engine.
-	ClaimMargin = 300 * time.Millisecond
+	// TransitMargin is the time that an order may take to reach the engine.
+	TransitMargin = 300 * time.Millisecond
 )
 
-// Claim is what a VM writes before it orders an engine or does a duty.
+// Claim is the record that a VM appends before it sends an order to an engine or calls a
+// duty.
 type Claim struct {
-	// Subject is the address of the engine, not its incarnation: one that restarts between
-	// two VMs' orders would hear of two holders within the lease. Or it names a duty.
+	// Subject is the address of an engine or the name of a duty. It isn't the engine's
+	// incarnation: an engine that restarts between the orders of two VMs would then get
+	// orders of two holders within the lease.
 	Subject string `cbor:"1,keyasint"`
-	Holder  string `cbor:"2,keyasint"` // VM
-	// Seen is the offset behind the last record that the VM had read.
+	Holder  string `cbor:"2,keyasint"` // VM that appended the claim
+	// Seen is the offset after the last record that the VM had read.
 	Seen int64 `cbor:"3,keyasint"`
-	// Token is of this claim alone, so that one whose append had no answer is found.
+	// Token is a nonce that is unique to this claim, so that its VM finds it in the log even
+	// if the append had no answer.
 	Token uint64 `cbor:"4,keyasint"`
 }
 
-// Permit is a claim that this VM holds.
+// Permit is the permission to send orders under a claim that this VM holds.
 type Permit struct {
-	Fence int64 // fencing number
-	// Until which a call under this claim may leave, by a clock that goes on while the VM
-	// is suspended.
+	Fence int64 // fencing token
+	// Until is the time at which the permit expires, on a clock that keeps running while the
+	// VM is suspended. Calls under the claim must be sent before.
 	Until time.Duration
 }
 
-// Wish asks the VM that claimed an engine last to order a load: it may do so at
-// once, while any other VM is barred.
+// Wish asks the VM with the last claim on an engine to order a load. That VM may do so at
+// once, while the claim blocks all others.
 type Wish struct {
-	Engine  string `cbor:"1,keyasint"`
+	Engine  string `cbor:"1,keyasint"` // ID
 	Model   string `cbor:"2,keyasint"`
 	Version int64  `cbor:"3,keyasint"`
-	// Retain: runs may go on during the load.
+	// Retain reports whether samples keep running during the load.
 	Retain bool `cbor:"4,keyasint,omitempty"`
-	// Part is the partition of the model, whose owner wants to hear of the load.
+	// Part is the model's partition, where the load is recorded for the partition's owner.
 	Part int `cbor:"5,keyasint,omitempty"`
 }
 
-// Record is an entry of the claims' log. Exactly one field is set.
+// Record is an entry of the claims log: a claim, or a request to load. Exactly one field is
+// set.
 type Record struct {
 	Claim *Claim `cbor:"1,keyasint,omitempty"`
 	Wish  *Wish  `cbor:"2,keyasint,omitempty"`
 }
 
-// ErrMalformed says that a record can't be read.
+// ErrMalformed is returned for a record that can't be decoded.
 var ErrMalformed = errors.New("loads: malformed record")
 
-// Encode turns a record into log data.
+// Encode encodes a record for the log.
 func Encode(r Record) ([]byte, error) { return cbor.Marshal(r) }
 
-// Decode reads log data. Error: ErrMalformed.
+// Decode decodes a record of the log. It returns ErrMalformed if that fails.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if err := cbor.Unmarshal(data, &r); err != nil {
@@ -91,73 +98,79 @@
 	return r, nil
 }
 
-// BarredFor is how long a claim that was just read bars other VMs from its subject.
-func BarredFor(lease time.Duration) time.Duration { return ClaimLife + lease + ClaimMargin }
+// BarredFor returns how long a claim blocks its subject for other VMs, counted from the
+// moment they read it. lease is the time within which an engine must not get orders of two
+// holders.
+func BarredFor(lease time.Duration) time.Duration { return ClaimLife + lease + TransitMargin }
 
-// Claims is the fold of the claims' log.
+// Claims holds the last valid claim on each subject, computed from the claims log.
 type Claims struct {
-	self  string
+	self  string // this VM
 	lease time.Duration
-	last  map[string]held
+	last  map[string]lastClaim // by subject
 }
 
-type held struct {
+// lastClaim is the last valid claim on a subject.
+type lastClaim struct {
 	holder string
-	token  uint64
+	nonce  uint64
 	offset int64
-	read   time.Duration
+	readAt time.Duration // time by which it was in the log, at the latest when it was read
 }
 
-// NewClaims returns a fold that has read nothing. self is this VM, lease the time
-// within which an engine may not hear of two holders.
+// NewClaims returns a state without claims. self is this VM, lease the time within which an
+// engine must not get orders of two holders.
 func NewClaims(self string, lease time.Duration) *Claims {
-	return &Claims{self: self, lease: lease, last: map[string]held{}}
+	return &Claims{self: self, lease: lease, last: map[string]lastClaim{}}
 }
 
-// Apply takes the claim at an offset, read at a time. A void claim changes nothing.
-func (c *Claims) Apply(offset int64, claim Claim, read time.Duration) {
+// Apply applies the claim at an offset. readAt is a time by which the claim was in the log,
+// at the latest the time at which it was read. A void claim changes nothing.
+func (c *Claims) Apply(offset int64, claim Claim, readAt time.Duration) {
 	last, ok := c.last[claim.Subject]
 	if ok && last.holder != claim.Holder && last.offset >= claim.Seen {
 		return
 	}
-	c.last[claim.Subject] = held{claim.Holder, claim.Token, offset, read}
+	c.last[claim.Subject] = lastClaim{claim.Holder, claim.Token, offset, readAt}
 }
 
-// Barred returns how long this VM must still not claim a subject, 0 if it may.
+// Barred returns for how long another VM's claim still blocks a subject for this VM, 0 if
+// none does.
 func (c *Claims) Barred(subject string, now time.Duration) time.Duration {
 	h, ok := c.last[subject]
 	if !ok || h.holder == c.self {
 		return 0
 	}
-	return max(0, h.read+BarredFor(c.lease)-now)
+	return max(0, h.readAt+BarredFor(c.lease)-now)
 }
 
-// Holder returns who claimed a subject last.
+// Holder returns the VM with the last valid claim on a subject, and the claim's offset.
 func (c *Claims) Holder(subject string) (vm string, offset int64, ok bool) {
 	h, ok := c.last[subject]
 	return h.holder, h.offset, ok
 }
 
-// Holds returns the offset of this VM's claim with a token, false if it isn't the last valid
-// one on its subject.
-func (c *Claims) Holds(subject string, token uint64) (offset int64, ok bool) {
+// Holds returns the offset of this VM's claim on a subject, given by the claim's nonce. It
+// returns false if that isn't the last valid claim on the subject.
+func (c *Claims) Holds(subject string, nonce uint64) (offset int64, ok bool) {
 	h, ok := c.last[subject]
-	return h.offset, ok && h.holder == c.self && h.token == token
+	return h.offset, ok && h.holder == c.self && h.nonce == nonce
 }
 
-// Age returns for how long the last claim on a subject has been known here.
+// Age returns the time since the last valid claim on a subject was read, or is known to have
+// been in the log.
 func (c *Claims) Age(subject string, now time.Duration) time.Duration {
-	return now - c.last[subject].read
+	return now - c.last[subject].readAt
 }
 
-// claimMemory is how long a claim that bars nobody any more is kept for operators: above the
-// longest time between two calls of a duty in an incident.
-const claimMemory = 10 * time.Minute
+// claimRetention is how long a claim is kept for queries by operators although it no longer
+// blocks its subject. It is longer than the time between two calls of a duty in an incident.
+const claimRetention = 10 * time.Minute
 
-// Forget drops the claims that bar nobody any more and that nobody asks for.
+// Forget drops the claims that no longer block their subjects and are past their retention.
 func (c *Claims) Forget(now time.Duration) {
 	for subject, h := range c.last {
-		if now > h.read+max(claimMemory, BarredFor(c.lease)) {
+		if now > h.readAt+max(claimRetention, BarredFor(c.lease)) {
 			delete(c.last, subject)
 		}
 	}
--- a/internal/loads/homes.go
+++ b/internal/loads/homes.go
@@ -9,89 +9,93 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Home assigns a model to a partition of the batches' topic. The first record of a
-// model counts, so every daemon has the same answer for good, and the samples of
-// two models don't crowd on one owner while other partitions are free.
+// Home assigns a model to a partition of the batch topic. Only the first record of a model
+// counts, so all daemons agree on its partition and it never changes. Models get different
+// partitions, so that the samples of two models aren't handled by one owner while other
+// partitions are free.
 type Home struct {
 	Model string `cbor:"1,keyasint"`
 	Part  int    `cbor:"2,keyasint"`
-	// Samples of a batch of the model, 0 if none came yet. Engines are divided by it.
+	// Samples is the number of samples in a batch of the model, 0 if it had no batch yet.
+	// Engines are split among models by it.
 	Samples int `cbor:"3,keyasint,omitempty"`
 }
 
-// EncodeHome turns a record into log data.
-func EncodeHome(h Home) ([]byte, error) { return cbor.Marshal(h) }
+// EncodeHome encodes a record for the log.
+func EncodeHome(assignment Home) ([]byte, error) { return cbor.Marshal(assignment) }
 
-// DecodeHome reads log data. Error: ErrMalformed.
+// DecodeHome decodes a record of the log. It returns ErrMalformed if that fails.
 func DecodeHome(data []byte) (Home, error) {
-	var h Home
-	if err := cbor.Unmarshal(data, &h); err != nil {
+	var assignment Home
+	if err := cbor.Unmarshal(data, &assignment); err != nil {
 		return Home{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	return h, nil
+	return assignment, nil
 }
 
-// Homes is the fold of these records.
+// Homes holds the partition and the batch size of each model, computed from the records.
 type Homes struct {
-	parts   int
-	byModel map[string]int
-	demand  map[string]int // samples of a batch, by model
+	partitions int
+	byModel    map[string]int // partition of each model
+	demand     map[string]int // number of samples in a batch of each model
 }
 
-// NewHomes returns a fold without models, over so many partitions.
-func NewHomes(parts int) *Homes {
-	return &Homes{parts: parts, byModel: map[string]int{}, demand: map[string]int{}}
+// NewHomes returns a state without models. partitions is the number of partitions of the
+// topic.
+func NewHomes(partitions int) *Homes {
+	return &Homes{partitions: partitions, byModel: map[string]int{}, demand: map[string]int{}}
 }
 
-// demandChange is by which part the samples of a batch must differ from those noted
-// before engines are divided anew: a step brings some of the last one's along, and
-// each engine that passes on to another model is of no use for seconds.
-const demandChange = 0.25
+// minDemandChange is the relative change of a model's batch size above which engines are
+// split anew. Batch sizes vary, since a step includes some samples of the step before, and
+// each engine that moves to another model is of no use for seconds.
+const minDemandChange = 0.25
 
-// Apply takes the next record.
-func (h *Homes) Apply(r Home) {
-	if _, known := h.byModel[r.Model]; !known && r.Part >= 0 && r.Part < h.parts {
-		h.byModel[r.Model] = r.Part
+// Apply applies the next record.
+func (a *Homes) Apply(r Home) {
+	if _, known := a.byModel[r.Model]; !known && r.Part >= 0 && r.Part < a.partitions {
+		a.byModel[r.Model] = r.Part
 	}
-	if h.Differs(r) {
-		h.demand[r.Model] = r.Samples
+	if a.Differs(r) {
+		a.demand[r.Model] = r.Samples
 	}
 }
 
-// Differs reports whether a record would change the known demand of its model.
-func (h *Homes) Differs(r Home) bool {
-	noted := h.demand[r.Model]
-	return r.Samples > 0 && (noted == 0 || math.Abs(float64(r.Samples-noted)) > demandChange*float64(noted))
+// Differs reports whether a record would change the batch size of its model.
+func (a *Homes) Differs(r Home) bool {
+	known := a.demand[r.Model]
+	return r.Samples > 0 && (known == 0 || math.Abs(float64(r.Samples-known)) > minDemandChange*float64(known))
 }
 
-// Demand returns the samples of a batch by model, for those that are known.
-func (h *Homes) Demand() map[string]int { return maps.Clone(h.demand) }
+// Demand returns the number of samples in a batch by model, for the models where it is known.
+func (a *Homes) Demand() map[string]int { return maps.Clone(a.demand) }
 
-// Parts returns the partitions that models have, sorted.
-func (h *Homes) Parts() []int {
-	parts := slices.Sorted(maps.Values(h.byModel))
+// Parts returns the partitions that models are assigned to, sorted.
+func (a *Homes) Parts() []int {
+	parts := slices.Sorted(maps.Values(a.byModel))
 	return slices.Compact(parts)
 }
 
-// Of returns a model's partition.
-func (h *Homes) Of(model string) (part int, ok bool) {
-	part, ok = h.byModel[model]
+// Of returns a model's partition, false if none is assigned.
+func (a *Homes) Of(model string) (part int, ok bool) {
+	part, ok = a.byModel[model]
 	return part, ok
 }
 
-// stride spreads the first partitions: owners tend to get neighbouring ones.
-const stride = 4
+// partitionStride is the distance between partitions that are assigned one after the other:
+// adjacent partitions tend to have the same owner.
+const partitionStride = 4
 
-// Next returns the record to append for a new model: the partition with the fewest
-// models, in an order that keeps the first ones apart.
-func (h *Homes) Next(model string) Home {
-	used := make([]int, h.parts)
-	for _, part := range h.byModel {
+// Next returns the record to append for a new model. It assigns the partition with the
+// fewest models, in an order that keeps the partitions of the first models apart.
+func (a *Homes) Next(model string) Home {
+	used := make([]int, a.partitions)
+	for _, part := range a.byModel {
 		used[part]++
 	}
 	best := 0
-	for n := range h.parts {
-		part := (n*stride + n*stride/h.parts) % h.parts
+	for n := range a.partitions {
+		part := (n*partitionStride + n*partitionStride/a.partitions) % a.partitions
 		if n == 0 || used[part] < used[best] {
 			best = part
 		}
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -14,43 +14,43 @@
 		return Engine{ID: id, Version: version, Running: running, Slots: 16, Usable: true}
 	}
 	loading := func(e Engine) Engine { e.Loading = true; return e }
-	gone := func(e Engine) Engine { e.Usable = false; return e }
+	unusable := func(e Engine) Engine { e.Usable = false; return e }
 	for _, c := range []struct {
 		name string
 		in   Input
 		want Plan
 	}{
 		{"nothing published", Input{Engines: []Engine{e("a", 0, 0)}}, Plan{}},
-		{"idle: two at once", Input{Newest: 2, Engines: []Engine{e("a", 1, 0), e("b", 1, 0), e("c", 1, 0)}}, Plan{Load: []string{"a", "b"}}},
-		{"idle: one loads already", Input{Newest: 2, Engines: []Engine{loading(e("a", 1, 0)), e("b", 1, 0), e("c", 1, 0)}}, Plan{Load: []string{"b"}}},
-		{"samples wait: useful engines stay", Input{Newest: 2, Needed: 1, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 16), e("b", 1, 16)}}, Plan{}},
-		{"samples wait: an engine that is no use loads", Input{Newest: 2, Needed: 2, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 0), e("b", 2, 16)}}, Plan{Load: []string{"a"}}},
-		{"no engine is of use: two load", Input{Newest: 2, Needed: 2, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 3), e("b", 1, 0), e("c", 1, 0)}}, Plan{Load: []string{"b", "c"}}},
-		{"the end of a step: the idle one", Input{Newest: 2, Active: true, Engines: []Engine{e("a", 1, 2), e("b", 1, 0)}}, Plan{Load: []string{"b"}}},
-		{"the end of a step: the emptiest is vacated", Input{Newest: 2, Active: true, Engines: []Engine{e("a", 1, 4), e("b", 1, 2), e("c", 1, 3)}}, Plan{Vacate: []string{"b"}}},
-		{"useless with samples of the step before: they go on elsewhere", Input{Newest: 3, Needed: 3, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 2), e("b", 3, 9), e("c", 3, 9)}}, Plan{Vacate: []string{"a"}}},
-		{"useless with more samples than the others take: they end there", Input{Newest: 3, Needed: 3, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 2), e("b", 3, 16), e("c", 3, 15)}}, Plan{Load: []string{"a"}}},
-		{"useless, and the others are older still: both load", Input{Newest: 3, Needed: 3, Waiting: 5, Active: true, Engines: []Engine{e("a", 2, 2), e("b", 1, 0)}}, Plan{Load: []string{"b", "a"}}},
-		{"no room elsewhere", Input{Newest: 2, Active: true, Engines: []Engine{e("a", 1, 16), e("b", 1, 2)}}, Plan{}},
-		{"one at a time while a step runs", Input{Newest: 2, Active: true, Engines: []Engine{loading(e("a", 1, 0)), e("b", 1, 0)}}, Plan{}},
-		{"an engine out of reach isn't ordered", Input{Newest: 2, Engines: []Engine{gone(e("a", 1, 0))}}, Plan{}},
-		{"fresh enough for the next step", Input{Newest: 5, Next: 4, Engines: []Engine{e("a", 4, 0), e("b", 5, 0)}}, Plan{}},
-		{"too old for the next step, whose version is there", Input{Newest: 5, Next: 4, Engines: []Engine{e("a", 3, 0), e("b", 4, 0)}}, Plan{Load: []string{"a"}}},
+		{"idle: two load at a time", Input{Newest: 2, Engines: []Engine{e("a", 1, 0), e("b", 1, 0), e("c", 1, 0)}}, Plan{Load: []string{"a", "b"}}},
+		{"idle: one is already loading", Input{Newest: 2, Engines: []Engine{loading(e("a", 1, 0)), e("b", 1, 0), e("c", 1, 0)}}, Plan{Load: []string{"b"}}},
+		{"samples wait: eligible engines don't load", Input{Newest: 2, Needed: 1, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 16), e("b", 1, 16)}}, Plan{}},
+		{"samples wait: an outdated engine loads", Input{Newest: 2, Needed: 2, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 0), e("b", 2, 16)}}, Plan{Load: []string{"a"}}},
+		{"all engines are outdated: two load", Input{Newest: 2, Needed: 2, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 3), e("b", 1, 0), e("c", 1, 0)}}, Plan{Load: []string{"b", "c"}}},
+		{"end of a step: the idle engine loads", Input{Newest: 2, Active: true, Engines: []Engine{e("a", 1, 2), e("b", 1, 0)}}, Plan{Load: []string{"b"}}},
+		{"end of a step: the fewest samples are evicted", Input{Newest: 2, Active: true, Engines: []Engine{e("a", 1, 4), e("b", 1, 2), e("c", 1, 3)}}, Plan{Vacate: []string{"b"}}},
+		{"outdated, with samples of the step before: they are evicted", Input{Newest: 3, Needed: 3, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 2), e("b", 3, 9), e("c", 3, 9)}}, Plan{Vacate: []string{"a"}}},
+		{"outdated, with more samples than fit elsewhere: they end there", Input{Newest: 3, Needed: 3, Waiting: 5, Active: true, Engines: []Engine{e("a", 1, 2), e("b", 3, 16), e("c", 3, 15)}}, Plan{Load: []string{"a"}}},
+		{"outdated, and the other engine is older still: both load", Input{Newest: 3, Needed: 3, Waiting: 5, Active: true, Engines: []Engine{e("a", 2, 2), e("b", 1, 0)}}, Plan{Load: []string{"b", "a"}}},
+		{"no free slots elsewhere", Input{Newest: 2, Active: true, Engines: []Engine{e("a", 1, 16), e("b", 1, 2)}}, Plan{}},
+		{"one load at a time while a step runs", Input{Newest: 2, Active: true, Engines: []Engine{loading(e("a", 1, 0)), e("b", 1, 0)}}, Plan{}},
+		{"an unusable engine gets no order", Input{Newest: 2, Engines: []Engine{unusable(e("a", 1, 0))}}, Plan{}},
+		{"new enough for the next step", Input{Newest: 5, Next: 4, Engines: []Engine{e("a", 4, 0), e("b", 5, 0)}}, Plan{}},
+		{"too old for the next step, whose version has been published", Input{Newest: 5, Next: 4, Engines: []Engine{e("a", 3, 0), e("b", 4, 0)}}, Plan{Load: []string{"a"}}},
 		{"enough are ready: the last one waits for the next version", Input{Newest: 4, Next: 4, Active: true, Engines: []Engine{e("a", 3, 0), e("b", 4, 2), e("c", 4, 1)}}, Plan{}},
 		{"too few are ready", Input{Newest: 4, Next: 4, Active: true, Engines: []Engine{e("a", 3, 0), e("b", 3, 2), e("c", 4, 1)}}, Plan{Load: []string{"a"}}},
-		{"one of two loads when one is ready", Input{Newest: 4, Next: 4, Engines: []Engine{e("a", 3, 0), e("b", 3, 0), e("c", 4, 0)}}, Plan{Load: []string{"a"}}},
-		{"nothing to vacate when enough are ready", Input{Newest: 4, Next: 4, Active: true, Engines: []Engine{e("a", 3, 3), e("b", 4, 2), e("c", 4, 1)}}, Plan{}},
+		{"one is ready: one of the other two loads", Input{Newest: 4, Next: 4, Engines: []Engine{e("a", 3, 0), e("b", 3, 0), e("c", 4, 0)}}, Plan{Load: []string{"a"}}},
+		{"enough are ready: none is evicted", Input{Newest: 4, Next: 4, Active: true, Engines: []Engine{e("a", 3, 3), e("b", 4, 2), e("c", 4, 1)}}, Plan{}},
 		{"all have it", Input{Newest: 2, Engines: []Engine{e("a", 2, 0)}}, Plan{}},
 	} {
 		t.Run(c.name, func(t *testing.T) { NewWithT(t).Expect(Decide(c.in)).To(Equal(c.want)) })
 	}
 }
 
-// A version is named while a step's long samples run on every engine. If loads had to
+// A version is published while long samples of a step run on every engine. If loads had to
 // wait for them, or samples had to move for each load, the next step would find no engine
-// with fresh weights for seconds. Engines that keep their runs during a load, full ones
-// first, lose nothing.
-func TestDecideWhenRunsGoOn(t *testing.T) {
+// with new weights for seconds. A full engine whose samples keep running loses nothing by
+// a load, so full engines load first.
+func TestDecideWithRetainedRuns(t *testing.T) {
 	e := func(id string, version int64, running int) Engine {
 		return Engine{ID: id, Version: version, Running: running, Slots: 8, Usable: true}
 	}
@@ -61,10 +61,10 @@
 		want []string
 	}{
 		{"full engines load while samples wait", Input{Newest: 2, Needed: 1, Waiting: 9, Active: true, Engines: []Engine{e("a", 1, 3), e("b", 1, 8), e("c", 1, 8)}}, []string{"b"}},
-		{"one with room doesn't", Input{Newest: 2, Needed: 1, Waiting: 9, Active: true, Engines: []Engine{e("a", 1, 3), e("b", 2, 8), e("c", 2, 8)}}, nil},
-		{"one that is no use does", Input{Newest: 3, Needed: 3, Waiting: 9, Active: true, Engines: []Engine{e("a", 2, 8), e("b", 3, 8), loading(e("c", 3, 0))}}, nil},
-		{"the oldest first", Input{Newest: 3, Needed: 3, Waiting: 9, Active: true, Engines: []Engine{e("a", 2, 8), e("b", 1, 1), e("c", 2, 8)}}, []string{"b", "a"}},
-		{"fresh enough for the next step: it can wait", Input{Newest: 5, Next: 4, Active: true, Engines: []Engine{e("a", 4, 8), e("b", 4, 8)}}, nil},
+		{"an engine with free slots doesn't load", Input{Newest: 2, Needed: 1, Waiting: 9, Active: true, Engines: []Engine{e("a", 1, 3), e("b", 2, 8), e("c", 2, 8)}}, nil},
+		{"an outdated engine loads", Input{Newest: 3, Needed: 3, Waiting: 9, Active: true, Engines: []Engine{e("a", 2, 8), e("b", 3, 8), loading(e("c", 3, 0))}}, nil},
+		{"the oldest version first", Input{Newest: 3, Needed: 3, Waiting: 9, Active: true, Engines: []Engine{e("a", 2, 8), e("b", 1, 1), e("c", 2, 8)}}, []string{"b", "a"}},
+		{"new enough for the next step: no load", Input{Newest: 5, Next: 4, Active: true, Engines: []Engine{e("a", 4, 8), e("b", 4, 8)}}, nil},
 		{"all have it", Input{Newest: 2, Engines: []Engine{e("a", 2, 0)}}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -77,10 +77,11 @@
 	}
 }
 
-// A model has sixteen engines and its step may use none of their weights any more.
-// With one load at a time, as for three engines, a step meets four fresh engines
-// where it needs sixteen, and half of its samples begin six seconds late.
-func TestLoadsAtOnceGrowWithTheShare(t *testing.T) {
+// Guards against a fixed limit on loads. A model has sixteen engines, and its next step may
+// not use the weights of any of them. With one load at a time, as for three engines, the
+// step found four engines with new weights where it needed sixteen, and half of its samples
+// began six seconds late.
+func TestConcurrentLoadsScaleWithEngines(t *testing.T) {
 	engines := func(n int, version int64) []Engine {
 		var out []Engine
 		for i := range n {
@@ -92,19 +93,19 @@
 	for _, c := range []struct {
 		name    string
 		in      Input
-		atOnce  int
+		loads   int
 		engines int
 	}{
-		{"three, a step waits", Input{Newest: 3, Needed: 3, Waiting: 9, Active: true, Engines: append(engines(2, 1), fresh)}, 1, 3},
+		{"three, step waiting", Input{Newest: 3, Needed: 3, Waiting: 9, Active: true, Engines: append(engines(2, 1), fresh)}, 1, 3},
 		{"three, idle", Input{Newest: 3, Engines: engines(3, 1)}, 2, 3},
-		{"sixteen, a step waits", Input{Newest: 3, Needed: 3, Waiting: 99, Active: true, Engines: append(engines(15, 1), fresh)}, 4, 16},
+		{"sixteen, step waiting", Input{Newest: 3, Needed: 3, Waiting: 99, Active: true, Engines: append(engines(15, 1), fresh)}, 4, 16},
 		{"sixteen, idle", Input{Newest: 3, Engines: engines(16, 1)}, 4, 16},
 		{"230, idle", Input{Newest: 3, Engines: engines(230, 1)}, 57, 230},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
 			g.Expect(c.in.Engines).To(HaveLen(c.engines))
-			g.Expect(Decide(c.in).Load).To(HaveLen(c.atOnce))
+			g.Expect(Decide(c.in).Load).To(HaveLen(c.loads))
 		})
 	}
 }
@@ -116,10 +117,10 @@
 	g.Expect(DecideAtOnce(in)).To(Equal(Plan{Load: []string{"c", "a"}}))
 }
 
-// A version is published at the beginning of a step whose samples fill every engine
-// for seconds. If engines loaded only when nothing waits any more, half of them would
-// serve weights that are too old when the next step comes.
-func TestLargeShareLoadsWhileSamplesWait(t *testing.T) {
+// A version is published at the beginning of a step whose samples fill every engine for
+// seconds. If engines loaded only when no sample waits, half of them would serve weights
+// that are too old when the next step begins.
+func TestLargeGroupLoadsWhileSamplesWait(t *testing.T) {
 	full := func(n int) []Engine {
 		var out []Engine
 		for i := range n {
@@ -127,7 +128,7 @@
 		}
 		return out
 	}
-	busy := func(engines []Engine, n int, change func(*Engine)) []Engine {
+	changeFirst := func(engines []Engine, n int, change func(*Engine)) []Engine {
 		for i := range n {
 			change(&engines[i])
 		}
@@ -136,26 +137,26 @@
 	in := func(engines []Engine) Input {
 		return Input{Newest: 3, Needed: 2, Next: 3, Waiting: 50, Active: true, Engines: engines}
 	}
-	vacated := func(e *Engine) { e.Vacated = true }
+	evicted := func(e *Engine) { e.Vacated = true }
 	loading := func(e *Engine) { e.Loading, e.Running = true, 0 }
 	for _, c := range []struct {
 		name string
 		in   Input
 		want Plan
 	}{
-		{"the first one is vacated", in(full(16)), Plan{Vacate: []string{"e00"}}},
-		{"the next one", in(busy(full(16), 2, vacated)), Plan{Vacate: []string{"e02"}}},
-		{"a quarter is enough", in(busy(full(16), 4, vacated)), Plan{}},
-		{"a quarter loads", in(busy(full(16), 4, loading)), Plan{}},
-		{"a vacated one that is empty loads", in(busy(full(16), 1, func(e *Engine) { e.Vacated, e.Running = true, 0 })), Plan{Load: []string{"e00"}}},
-		{"a small share has none to spare", in(full(3)), Plan{}},
+		{"the first engine is evicted", in(full(16)), Plan{Vacate: []string{"e00"}}},
+		{"two are evicted: so is the next", in(changeFirst(full(16), 2, evicted)), Plan{Vacate: []string{"e02"}}},
+		{"a quarter is evicted: no more", in(changeFirst(full(16), 4, evicted)), Plan{}},
+		{"a quarter is loading: no more", in(changeFirst(full(16), 4, loading)), Plan{}},
+		{"an evicted engine that has become idle loads", in(changeFirst(full(16), 1, func(e *Engine) { e.Vacated, e.Running = true, 0 })), Plan{Load: []string{"e00"}}},
+		{"a model with few engines", in(full(3)), Plan{}},
 	} {
 		t.Run(c.name, func(t *testing.T) { NewWithT(t).Expect(Decide(c.in)).To(Equal(c.want)) })
 	}
 }
 
-// names returns the addresses of engines.
-func names(n int) []string {
+// engineAddresses returns the addresses of n engines.
+func engineAddresses(n int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprint("10.0.0.", i, ":1"))
@@ -163,9 +164,9 @@
 	return out
 }
 
-func TestShare(t *testing.T) {
+func TestSplit(t *testing.T) {
 	g := NewWithT(t)
-	engines := names(10)
+	engines := engineAddresses(10)
 	models := []string{"c", "a", "b"}
 	all := Share(engines, models, nil, 0)
 	seen := map[string]string{}
@@ -192,9 +193,10 @@
 	}
 }
 
-// Two models' steps have twice the samples of the others', and every model has the same
-// number of engines. Their last samples begin when the others' steps are half done.
-func TestShareFollowsDemand(t *testing.T) {
+// Guards against equal numbers of engines for models of unequal demand. When two models had
+// twice the samples of the others in a step, their last samples began only when the steps
+// of the others were half done.
+func TestSplitFollowsDemand(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		engines int
@@ -203,43 +205,43 @@
 	}{
 		{"equal", 9, nil, []int{3, 2, 2, 2}},
 		{"by demand", 45, map[string]int{"a": 128, "b": 192, "c": 192, "d": 112}, []int{9, 14, 14, 8}},
-		{"one is unknown", 12, map[string]int{"a": 2, "b": 4}, []int{2, 4, 3, 3}},
-		{"each gets one", 6, map[string]int{"a": 1, "b": 1, "c": 1, "d": 1000}, []int{1, 1, 1, 3}},
-		{"fewer engines than models: all share them", 3, map[string]int{"a": 1, "b": 1, "c": 1, "d": 9}, []int{3, 3, 3, 3}},
+		{"unknown demand of one model", 12, map[string]int{"a": 2, "b": 4}, []int{2, 4, 3, 3}},
+		{"at least one each", 6, map[string]int{"a": 1, "b": 1, "c": 1, "d": 1000}, []int{1, 1, 1, 3}},
+		{"fewer engines than models: shared by all", 3, map[string]int{"a": 1, "b": 1, "c": 1, "d": 9}, []int{3, 3, 3, 3}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			share := Share(names(c.engines), []string{"a", "b", "c", "d"}, c.demand, 0)
+			split := Share(engineAddresses(c.engines), []string{"a", "b", "c", "d"}, c.demand, 0)
 			var got []int
 			for _, m := range []string{"a", "b", "c", "d"} {
-				got = append(got, len(share[m]))
+				got = append(got, len(split[m]))
 			}
 			NewWithT(t).Expect(got).To(Equal(c.want))
 		})
 	}
 }
 
-func TestDemandChangesOnlyByMuch(t *testing.T) {
+func TestSmallDemandChangesAreIgnored(t *testing.T) {
 	g := NewWithT(t)
-	h := NewHomes(12)
-	h.Apply(Home{Model: "m", Part: 1, Samples: 100})
-	h.Apply(Home{Model: "m", Part: 1, Samples: 120})
-	h.Apply(Home{Model: "m", Part: 1})
-	g.Expect(h.Demand()).To(Equal(map[string]int{"m": 100}))
-	h.Apply(Home{Model: "m", Part: 1, Samples: 60})
-	g.Expect(h.Demand()).To(Equal(map[string]int{"m": 60}))
+	assignments := NewHomes(12)
+	assignments.Apply(Home{Model: "m", Part: 1, Samples: 100})
+	assignments.Apply(Home{Model: "m", Part: 1, Samples: 120})
+	assignments.Apply(Home{Model: "m", Part: 1})
+	g.Expect(assignments.Demand()).To(Equal(map[string]int{"m": 100}))
+	assignments.Apply(Home{Model: "m", Part: 1, Samples: 60})
+	g.Expect(assignments.Demand()).To(Equal(map[string]int{"m": 60}))
 }
 
-// A VM freezes after it claimed an engine, and another claims it. When the first
-// wakes it may order only with a new claim, and that only after the lease: an
-// engine must not hear of two holders in turn.
-func TestClaimsBarOthersForTheLease(t *testing.T) {
+// A VM freezes after it claimed an engine, and another VM claims the engine. When the first
+// VM continues, it needs a new claim to order the engine, and may append that only after
+// the lease. Otherwise the engine would get orders of two holders within the lease.
+func TestClaimBlocksOtherVMsForTheLease(t *testing.T) {
 	g := NewWithT(t)
 	const lease = 3 * time.Second
 	c := NewClaims("me", lease)
 	g.Expect(c.Barred("e", 0)).To(BeZero())
 	c.Apply(4, Claim{Subject: "e", Holder: "other"}, time.Second)
-	g.Expect(c.Barred("e", time.Second)).To(Equal(ClaimLife + lease + ClaimMargin))
-	g.Expect(c.Barred("e", time.Second+ClaimLife+lease+ClaimMargin)).To(BeZero())
+	g.Expect(c.Barred("e", time.Second)).To(Equal(ClaimLife + lease + TransitMargin))
+	g.Expect(c.Barred("e", time.Second+ClaimLife+lease+TransitMargin)).To(BeZero())
 	g.Expect(c.Barred("another", time.Second)).To(BeZero())
 	c.Apply(5, Claim{Subject: "e", Holder: "me", Seen: 5}, 2*time.Second)
 	g.Expect(c.Barred("e", 2*time.Second)).To(BeZero())
@@ -249,19 +251,19 @@
 	g.Expect(ok).To(BeTrue())
 	c.Forget(3 * time.Second)
 	_, _, ok = c.Holder("e")
-	g.Expect(ok).To(BeTrue(), "it may still bar others")
+	g.Expect(ok).To(BeTrue(), "it may still block others")
 	c.Forget(time.Minute)
 	_, _, ok = c.Holder("e")
-	g.Expect(ok).To(BeTrue(), "operators ask who held it last")
+	g.Expect(ok).To(BeTrue(), "kept for queries by operators")
 	g.Expect(c.Age("e", time.Minute)).To(Equal(58 * time.Second))
-	c.Forget(2*time.Second + claimMemory + time.Millisecond)
+	c.Forget(2*time.Second + claimRetention + time.Millisecond)
 	_, _, ok = c.Holder("e")
 	g.Expect(ok).To(BeFalse())
 }
 
-// Guards against two VMs that both take an engine for theirs because each claimed it before
-// it had read the other's claim.
-func TestClaimBehindOneThatWasNotReadIsVoid(t *testing.T) {
+// Guards against two VMs that both hold an engine because each claimed it before it had read
+// the other's claim.
+func TestClaimAfterUnreadClaimIsVoid(t *testing.T) {
 	g := NewWithT(t)
 	for _, self := range []string{"a", "b", "c"} {
 		c := NewClaims(self, time.Second)
@@ -282,105 +284,107 @@
 	}
 }
 
-// claimWorld plays VMs that claim one subject: what each has read of the log lags, appends
-// take long or arrive seconds late, and a VM acts within its permit.
-type claimWorld struct {
-	random *rand.Rand
+// claimSimulation simulates VMs that claim one engine. The VMs read the log with a lag,
+// appends are slow or arrive seconds late, and a VM sends an order while its permit allows.
+type claimSimulation struct {
+	rng    *rand.Rand
 	log    []Claim
-	acts   []act
+	orders []sentOrder
 }
 
-// act is an order that left.
-type act struct {
+// sentOrder is an order that a VM has sent.
+type sentOrder struct {
 	vm string
 	at time.Duration
 }
 
-// claimVM is one VM of a claimWorld.
-type claimVM struct {
+// simulatedVM is one VM of a claimSimulation.
+type simulatedVM struct {
 	name   string
 	claims *Claims
-	read   int
+	next   int // offset of the next record to read
 }
 
-func (w *claimWorld) catchUp(v *claimVM, now time.Duration) {
-	for ; v.read < len(w.log); v.read++ {
-		v.claims.Apply(int64(v.read), w.log[v.read], now)
+func (s *claimSimulation) catchUp(v *simulatedVM, now time.Duration) {
+	for ; v.next < len(s.log); v.next++ {
+		v.claims.Apply(int64(v.next), s.log[v.next], now)
 	}
 }
 
-// Guards against an engine that hears of two holders within the lease, whatever comes late.
+// Guards against an engine that gets orders of two holders within the lease when reads or
+// appends are late.
 func TestNoTwoHoldersWithinTheLease(t *testing.T) {
 	const lease, tick, sessions = 3 * time.Second, 50 * time.Millisecond, 200
-	acted := 0
+	ordersSent := 0
 	for seed := range uint64(sessions) {
-		w := &claimWorld{random: rand.New(rand.NewPCG(seed, 1))}
-		var vms []*claimVM
+		simulation := &claimSimulation{rng: rand.New(rand.NewPCG(seed, 1))}
+		var vms []*simulatedVM
 		for i := range 4 {
-			vms = append(vms, &claimVM{name: fmt.Sprint("vm", i), claims: NewClaims(fmt.Sprint("vm", i), lease)})
+			vms = append(vms, &simulatedVM{name: fmt.Sprint("vm", i), claims: NewClaims(fmt.Sprint("vm", i), lease)})
 		}
-		later := map[time.Duration][]func(now time.Duration){}
+		scheduled := map[time.Duration][]func(now time.Duration){}
 		for now := time.Duration(0); now < 2*time.Minute; now += tick {
-			for _, do := range later[now] {
-				do(now)
+			for _, run := range scheduled[now] {
+				run(now)
 			}
-			delete(later, now)
-			v := vms[w.random.IntN(len(vms))]
-			if w.random.IntN(3) == 0 {
-				w.catchUp(v, now)
+			delete(scheduled, now)
+			v := vms[simulation.rng.IntN(len(vms))]
+			if simulation.rng.IntN(3) == 0 {
+				simulation.catchUp(v, now)
 			}
-			if w.random.IntN(4) != 0 || v.claims.Barred("e", now) > 0 {
+			if simulation.rng.IntN(4) != 0 || v.claims.Barred("e", now) > 0 {
 				continue
 			}
-			claim, began := Claim{Subject: "e", Holder: v.name, Seen: int64(v.read), Token: w.random.Uint64()}, now
-			arrives := now + tick*time.Duration(1+w.random.IntN(4))
-			if w.random.IntN(5) == 0 {
-				arrives += tick * time.Duration(w.random.IntN(120)) // the answer is lost, it is done late
+			claim, start := Claim{Subject: "e", Holder: v.name, Seen: int64(v.next), Token: simulation.rng.Uint64()}, now
+			arrives := now + tick*time.Duration(1+simulation.rng.IntN(4))
+			if simulation.rng.IntN(5) == 0 {
+				arrives += tick * time.Duration(simulation.rng.IntN(120)) // the answer is lost and the append happens late
 			}
-			later[arrives] = append(later[arrives], func(time.Duration) { w.log = append(w.log, claim) })
-			answered := arrives + tick*time.Duration(1+w.random.IntN(8))
-			later[answered] = append(later[answered], func(now time.Duration) {
-				w.catchUp(v, now)
-				if _, holds := v.claims.Holds("e", claim.Token); holds && now < began+ClaimLife {
-					w.acts = append(w.acts, act{v.name, now})
+			scheduled[arrives] = append(scheduled[arrives], func(time.Duration) { simulation.log = append(simulation.log, claim) })
+			answered := arrives + tick*time.Duration(1+simulation.rng.IntN(8))
+			scheduled[answered] = append(scheduled[answered], func(now time.Duration) {
+				simulation.catchUp(v, now)
+				if _, holds := v.claims.Holds("e", claim.Token); holds && now < start+ClaimLife {
+					simulation.orders = append(simulation.orders, sentOrder{v.name, now})
 				}
 			})
 		}
-		for i := 1; i < len(w.acts); i++ {
-			a, b := w.acts[i-1], w.acts[i]
+		for i := 1; i < len(simulation.orders); i++ {
+			a, b := simulation.orders[i-1], simulation.orders[i]
 			if a.vm != b.vm && b.at-a.at < lease {
 				t.Fatalf("seed %d: %s at %v, %s at %v", seed, a.vm, a.at, b.vm, b.at)
 			}
 		}
-		acted += len(w.acts)
+		ordersSent += len(simulation.orders)
 	}
-	NewWithT(t).Expect(acted).To(BeNumerically(">", 1000))
+	NewWithT(t).Expect(ordersSent).To(BeNumerically(">", 1000))
 }
 
-// Two models on one owner made it too slow for both, while other owners had none.
-func TestHomesKeepModelsApart(t *testing.T) {
+// Guards against two models on one owner, which was too slow for both while other owners had
+// no model.
+func TestModelsGetDifferentPartitions(t *testing.T) {
 	g := NewWithT(t)
-	h := NewHomes(12)
+	assignments := NewHomes(12)
 	seen := map[int]bool{}
 	for n := range 12 {
-		next := h.Next(fmt.Sprint("m", n))
+		next := assignments.Next(fmt.Sprint("m", n))
 		g.Expect(seen).NotTo(HaveKey(next.Part))
 		seen[next.Part] = true
-		h.Apply(next)
+		assignments.Apply(next)
 	}
-	part, ok := h.Of("m0")
+	part, ok := assignments.Of("m0")
 	g.Expect(ok).To(BeTrue())
-	h.Apply(Home{Model: "m0", Part: part + 1})
-	again, _ := h.Of("m0")
+	assignments.Apply(Home{Model: "m0", Part: part + 1})
+	again, _ := assignments.Of("m0")
 	g.Expect(again).To(Equal(part), "the first record counts")
-	h.Apply(Home{Model: "bad", Part: 12})
-	_, ok = h.Of("bad")
+	assignments.Apply(Home{Model: "bad", Part: 12})
+	_, ok = assignments.Of("bad")
 	g.Expect(ok).To(BeFalse())
-	g.Expect(h.Next("m12").Part).To(BeNumerically("<", 12))
+	g.Expect(assignments.Next("m12").Part).To(BeNumerically("<", 12))
 	g.Expect(NewHomes(1).Next("m")).To(Equal(Home{Model: "m", Part: 0}))
 }
 
-func TestRecordsOfTheClaimsLog(t *testing.T) {
+func TestRecordEncoding(t *testing.T) {
 	g := NewWithT(t)
 	for _, r := range []Record{{Claim: &Claim{"e", "vm", 9, 7}}, {Wish: &Wish{"e", "m", 3, true, 2}}} {
 		data, err := Encode(r)
@@ -389,20 +393,20 @@
 	}
 	_, err := Decode([]byte{0xff})
 	g.Expect(err).To(MatchError(ErrMalformed))
-	home := Home{"m", 2, 64}
-	data, err := EncodeHome(home)
+	assignment := Home{"m", 2, 64}
+	data, err := EncodeHome(assignment)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(DecodeHome(data)).To(Equal(home))
+	g.Expect(DecodeHome(data)).To(Equal(assignment))
 	_, err = DecodeHome([]byte{0xff})
 	g.Expect(err).To(MatchError(ErrMalformed))
 }
 
-// A deployment has a thousand engines for four models whose batches have some hundred
-// samples. Divided among the models, all engines load every version, each sample meets an
-// engine to which no connection is open, and versions wait for loads that nobody needs. A
-// model gets the engines that it can use; where they are scarce, as on a deployment of
-// fifty, nothing changes.
-func TestShareIsNoLargerThanTheDemand(t *testing.T) {
+// Guards against models with more engines than they can use. A deployment has a thousand
+// engines for four models with some hundred samples a batch. If all engines were split among
+// the models, all of them would load every version, each sample would run on an engine to
+// which no connection is open, and versions would wait for needless loads. Where engines
+// are scarce, as in a deployment of fifty, the limit changes nothing.
+func TestSplitIsLimitedByDemand(t *testing.T) {
 	models := []string{"a", "b", "c", "d"}
 	demand := map[string]int{"a": 128, "b": 192, "c": 192}
 	for _, c := range []struct {
@@ -414,14 +418,14 @@
 		{45, 8, map[string]int{"a": 8, "b": 13, "c": 13}},
 	} {
 		g := NewWithT(t)
-		share := Share(names(c.engines), models, demand, c.slots)
+		split := Share(engineAddresses(c.engines), models, demand, c.slots)
 		for m, n := range c.want {
-			g.Expect(len(share[m])).To(Equal(n), "%d engines of %d places, model %s", c.engines, c.slots, m)
+			g.Expect(len(split[m])).To(Equal(n), "%d engines of %d slots, model %s", c.engines, c.slots, m)
 		}
-		g.Expect(share["d"]).NotTo(BeEmpty(), "a model of unknown demand")
-		fewer := Share(names(c.engines)[1:], models, demand, c.slots)
+		g.Expect(split["d"]).NotTo(BeEmpty(), "a model of unknown demand")
+		fewer := Share(engineAddresses(c.engines)[1:], models, demand, c.slots)
 		for m := range c.want {
-			g.Expect(len(fewer[m])).To(BeNumerically(">=", len(share[m])-1))
+			g.Expect(len(fewer[m])).To(BeNumerically(">=", len(split[m])-1))
 		}
 	}
 }
--- a/internal/loads/plan.go
+++ b/internal/loads/plan.go
@@ -5,165 +5,169 @@
 	"slices"
 )
 
-// Engine is what the plan knows of one engine of a model's share.
+// Engine is the state of one engine that is allocated to a model.
 type Engine struct {
 	ID      string
-	Version int64 // of the model's weights that it serves
-	Running int   // samples of the model there
-	Slots   int
-	Loading bool // an order is under way
-	Vacated bool // it gets no samples, so that it can load when its last run has ended
+	Version int64 // weight version of the model that it serves
+	Running int   // samples of the model that it runs
+	Slots   int   // samples that it can run at once
+	Loading bool  // a load order is in progress
+	// Vacated reports whether the engine's samples were evicted. It gets no new ones, so that
+	// it can load when the last of them has ended.
+	Vacated bool
 	Usable  bool // reachable and not leaving
 }
 
-// Input of one look at a model's engines.
+// Input is the state of a model and its engines.
 type Input struct {
 	Engines []Engine
-	Newest  int64 // published version, 0: none
-	// Needed is the oldest version that waiting samples may use, 0 if none wait.
+	Newest  int64 // newest published version, 0 if there is none
+	// Needed is the oldest version that all waiting samples may use, 0 if none wait.
 	Needed int64
-	// Next is the oldest version that the next step is expected to use, 0 unknown.
-	Next int64
-	// Waiting counts samples that no engine runs yet.
-	Waiting int
-	// Active: a batch of the model is open.
-	Active bool
-	// Retain: runs go on while their engine loads, under the new version from then on.
-	// Only new ones aren't taken meanwhile.
+	// Next is the oldest version that the next step is expected to use, 0 if unknown.
+	Next    int64
+	Waiting int  // samples that no engine runs yet
+	Active  bool // a batch of the model is open
+	// Retain reports whether samples keep running while their engine loads, and continue with
+	// the new version after that. The engine takes no new samples during the load.
 	Retain bool
 }
 
-// Plan is what to do now.
+// Plan lists the engines to act on now, by ID.
 type Plan struct {
-	Load   []string // engines to order
-	Vacate []string // engines whose samples should go on elsewhere, so that they can load
+	Load   []string // engines to order to load the newest version
+	Vacate []string // engines whose samples are to continue on others, so that they can load
 }
 
 const (
-	// loadShare: one in so many engines of a model loads at once. The weight store
-	// serves a fifth of all engines at full speed (2 of 9, 9 of 45, 10 of 48 on the
-	// deployments known), for 0.9 s of the 1.2 s that a load takes with its claim and
-	// the engine's report. With more, each load takes longer; with fewer, a version
-	// reaches too few engines before the next one comes.
-	loadShare = 4
-	// leastLoads is how many engines of a model load at once at least, and
-	// leastLoadsActive the same while a step runs, which needs the others.
-	leastLoads       = 2
-	leastLoadsActive = 1
+	// loadDivisor limits the loads of a model at a time to this fraction of its engines. The
+	// weight store serves a fifth of all engines at full speed (2 of 9, 9 of 45, 10 of 48 on
+	// the known deployments), for 0.9 s of the 1.2 s that a load takes with its claim and the
+	// engine's report. With more loads at a time, each takes longer. With fewer, a version
+	// reaches too few engines before the next one is published.
+	loadDivisor = 4
+	// minLoads is the lower bound on that limit. minLoadsActive is the bound while a step
+	// runs, which needs the other engines.
+	minLoads       = 2
+	minLoadsActive = 1
 )
 
-// atOnce is how many engines may load now.
-func (in Input) atOnce() int {
-	share := len(in.Engines) / loadShare
-	if in.Active && (in.Needed == 0 || useful(in) > 0) {
-		return max(leastLoadsActive, share)
+// maxConcurrentLoads returns how many of the model's engines may load at a time.
+func (in Input) maxConcurrentLoads() int {
+	share := len(in.Engines) / loadDivisor
+	if in.Active && (in.Needed == 0 || eligibleCount(in) > 0) {
+		return max(minLoadsActive, share)
 	}
-	return max(leastLoads, share)
+	return max(minLoads, share)
 }
 
-// Decide chooses the engines that load the newest version now.
+// Decide chooses the engines that load the newest version now, and the engines whose
+// samples are evicted for that. An engine is outdated if its version is too old for the
+// waiting samples, and eligible otherwise.
 //
-// An engine that waiting samples can't use loads at once; its samples, of an earlier
-// step, go on elsewhere if there is room, since a load begins when the last of them
-// has ended. Any other loads when it runs nothing, and if there is no such engine, the
-// one with the fewest samples is vacated: another engine goes on with them at the price
-// of their prompts. While samples wait for a place, only a large share spares engines
-// for that: without it a version that comes at the beginning of a step isn't loaded
-// before the next one begins, whose samples then find few engines that they may use.
+// An outdated engine loads at once. Its samples, which belong to an earlier step, are moved
+// to other engines if these have room, since a load begins when the last of them has ended.
+//
+// An eligible engine loads when it is idle. If no such engine is idle, the samples of the
+// engine with the fewest are evicted: they continue on other engines, which have to process
+// their prompts again. While samples wait for a slot, eligible engines load only if the
+// model has many engines. Otherwise a version published at the beginning of a step wouldn't
+// be loaded before the next step begins, whose samples would then find few engines that
+// they may use.
 func Decide(in Input) Plan {
 	if in.Retain {
 		return decideRetaining(in)
 	}
 	var plan Plan
-	room, spare := in.atOnce(), in.spareWhileWaiting()
+	loadsLeft, eligibleLoadsLeft := in.maxConcurrentLoads(), in.maxEligibleLoads()
 	for _, e := range in.Engines {
 		if e.Loading || e.Vacated && e.Running > 0 {
-			room--
-			spare--
+			loadsLeft--
+			eligibleLoadsLeft--
 		}
 	}
 	for _, e := range candidates(in) {
-		if room <= 0 {
+		if loadsLeft <= 0 {
 			return plan
 		}
 		if e.Vacated && e.Running > 0 {
-			continue // its last runs are ending
+			continue // its last samples are still ending
 		}
-		useless := e.Version < in.Needed
-		if useless && e.Running > 0 && e.Running <= in.roomBeside(e) {
+		outdated := e.Version < in.Needed
+		if outdated && e.Running > 0 && e.Running <= in.freeSlotsElsewhere(e) {
 			plan.Vacate = append(plan.Vacate, e.ID)
-			room--
-			spare--
+			loadsLeft--
+			eligibleLoadsLeft--
 			continue
 		}
-		if !useless && (e.Running > 0 || spare <= 0 || in.spared(e, len(plan.Load))) {
+		if !outdated && (e.Running > 0 || eligibleLoadsLeft <= 0 || in.canDefer(e, len(plan.Load))) {
 			continue
 		}
 		plan.Load = append(plan.Load, e.ID)
-		room--
-		spare--
+		loadsLeft--
+		eligibleLoadsLeft--
 	}
-	if room > 0 && spare > 0 && in.Active && len(plan.Load)+len(plan.Vacate) == 0 {
-		plan.Vacate = vacate(in)
+	if loadsLeft > 0 && eligibleLoadsLeft > 0 && in.Active && len(plan.Load)+len(plan.Vacate) == 0 {
+		plan.Vacate = planEviction(in)
 	}
 	return plan
 }
 
-// decideRetaining chooses when loads don't disturb runs. Then no sample has to leave an
-// engine, and what a load costs is the second in which the engine takes no new samples:
-// nothing on a full engine, so these come first.
+// decideRetaining plans loads that samples keep running through, so none has to move. The
+// only cost of a load is the second during which its engine takes no new samples. A full
+// engine loses nothing by that, so full engines come first.
 func decideRetaining(in Input) Plan {
 	var plan Plan
-	room, spare := in.atOnce(), in.spareWhileWaiting()
+	loadsLeft, eligibleLoadsLeft := in.maxConcurrentLoads(), in.maxEligibleLoads()
 	for _, e := range in.Engines {
 		if e.Loading {
-			room--
-			spare--
+			loadsLeft--
+			eligibleLoadsLeft--
 		}
 	}
-	list := candidates(in)
-	slices.SortStableFunc(list, func(a, b Engine) int {
+	ordered := candidates(in)
+	slices.SortStableFunc(ordered, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(b.Running, a.Running))
 	})
-	for _, e := range list {
-		useless := e.Version < in.Needed
+	for _, e := range ordered {
+		outdated := e.Version < in.Needed
 		full := e.Running >= e.Slots
-		if room <= 0 || !useless && (!full && spare <= 0 || in.spared(e, len(plan.Load))) {
+		if loadsLeft <= 0 || !outdated && (!full && eligibleLoadsLeft <= 0 || in.canDefer(e, len(plan.Load))) {
 			continue
 		}
 		plan.Load = append(plan.Load, e.ID)
-		room--
-		spare--
+		loadsLeft--
+		eligibleLoadsLeft--
 	}
 	return plan
 }
 
-// spareWhileWaiting is how many engines that samples could use may load now.
-func (in Input) spareWhileWaiting() int {
+// maxEligibleLoads returns how many of the eligible engines may load at a time.
+func (in Input) maxEligibleLoads() int {
 	if in.Waiting == 0 {
 		return len(in.Engines)
 	}
-	return len(in.Engines) / loadShare
+	return len(in.Engines) / loadDivisor
 }
 
-// spared reports whether an engine may keep its weights for now. A version serves
-// the step that names it and the one before the next, so an engine that is fresh
-// enough for the next step gains nothing by a load; and one that isn't gains more by
-// waiting for the version that comes with that step, as long as enough others are
-// ready. Loading every version everywhere takes all that the weight store gives, and
-// each load then takes several times as long.
-func (in Input) spared(e Engine, chosen int) bool {
+// canDefer reports whether an engine need not load now. planned is the number of loads
+// planned so far. A version is used during two steps, the one that requires it and the one
+// before. So an engine that is new enough for the next step gains nothing from a load, and
+// one that isn't gains more by waiting for the version that is published with that step, as
+// long as enough others are ready. Loading every version on every engine would use the
+// whole capacity of the weight store, and each load would take several times as long.
+func (in Input) canDefer(e Engine, planned int) bool {
 	if in.Next == 0 {
 		return false
 	}
 	if e.Version >= in.Next {
 		return true
 	}
-	return in.Newest == in.Next && in.ready()+chosen >= quorum(len(in.Engines))
+	return in.Newest == in.Next && in.readyCount()+planned >= readyTarget(len(in.Engines))
 }
 
-// ready counts the engines that are fresh enough for the next step, or will be.
-func (in Input) ready() int {
+// readyCount counts the engines that are new enough for the next step, or that are loading.
+func (in Input) readyCount() int {
 	n := 0
 	for _, e := range in.Engines {
 		if e.Loading || e.Version >= in.Next {
@@ -173,12 +177,12 @@
 	return n
 }
 
-// quorum of a model's engines should be ready when its next step comes: the others
-// load during its first second.
-func quorum(engines int) int { return (2*engines + 2) / 3 }
+// readyTarget returns how many of a model's engines should be ready when its next step
+// begins. The others load during the step's first second.
+func readyTarget(engines int) int { return (2*engines + 2) / 3 }
 
-// useful counts the engines that waiting samples can use.
-func useful(in Input) int {
+// eligibleCount counts the eligible engines that take new samples now.
+func eligibleCount(in Input) int {
 	n := 0
 	for _, e := range in.Engines {
 		if e.Usable && !e.Loading && e.Version >= in.Needed {
@@ -188,8 +192,9 @@
 	return n
 }
 
-// candidates are the engines that lack the newest version, those first that
-// nobody misses: useless ones, then idle ones.
+// candidates returns the usable engines that lack the newest version and aren't loading.
+// Those with the oldest version come first, which includes all outdated ones, and among
+// them those with the fewest samples.
 func candidates(in Input) []Engine {
 	var out []Engine
 	for _, e := range in.Engines {
@@ -203,33 +208,35 @@
 	return out
 }
 
-// vacate returns the candidate with the fewest samples if the other engines have
-// room for them, or if samples wait for room anyway: the longest get it first.
-func vacate(in Input) []string {
-	list := slices.DeleteFunc(candidates(in), func(e Engine) bool { return e.Vacated || in.spared(e, 0) })
-	if len(list) == 0 {
+// planEviction returns the engine whose samples are evicted, if any: the one with the fewest
+// among those that should load. The other engines must have room for them, unless samples
+// wait for a slot anyway: slots go to the longest samples first.
+func planEviction(in Input) []string {
+	due := slices.DeleteFunc(candidates(in), func(e Engine) bool { return e.Vacated || in.canDefer(e, 0) })
+	if len(due) == 0 {
 		return nil
 	}
-	least := slices.MinFunc(list, func(a, b Engine) int { return cmp.Compare(a.Running, b.Running) })
-	if least.Running == 0 || least.Running > in.roomBeside(least) && in.Waiting == 0 {
+	least := slices.MinFunc(due, func(a, b Engine) int { return cmp.Compare(a.Running, b.Running) })
+	if least.Running == 0 || least.Running > in.freeSlotsElsewhere(least) && in.Waiting == 0 {
 		return nil
 	}
 	return []string{least.ID}
 }
 
-// roomBeside counts the places that an engine's samples could take elsewhere.
-func (in Input) roomBeside(e Engine) int {
-	room := 0
+// freeSlotsElsewhere counts the free slots on other engines where the samples of an engine
+// could continue.
+func (in Input) freeSlotsElsewhere(e Engine) int {
+	free := 0
 	for _, other := range in.Engines {
 		if other.ID != e.ID && other.Usable && !other.Loading && !other.Vacated && other.Version >= e.Version {
-			room += max(0, other.Slots-other.Running)
+			free += max(0, other.Slots-other.Running)
 		}
 	}
-	return room
+	return free
 }
 
-// DecideAtOnce loads the newest version on every engine that lacks it, all at once. It
-// is the baseline for Decide.
+// DecideAtOnce plans loads of the newest version on all engines that lack it at the same
+// time. It is the baseline that the planning with limits is compared with.
 func DecideAtOnce(in Input) Plan {
 	var plan Plan
 	for _, e := range candidates(in) {
--- a/internal/loads/tail.go
+++ b/internal/loads/tail.go
@@ -2,67 +2,67 @@
 
 import "time"
 
-// Tail remembers where the claims' log ended at past moments. A daemon that doesn't follow
-// the log notes its end now and then; when it begins to follow, it knows how old the records
-// are at least, and which of them it needs. Without that every claim that it reads would bar
-// it as if it had been written just now, and an owner that takes a partition over would
-// order nothing for the time that a claim bars.
+// Tail records where the claims log ended at times in the past. A daemon that doesn't follow
+// the log records its end from time to time. When it starts to follow the log, it then knows
+// the minimum age of the records, and which of them it needs. Without that, each claim that
+// it reads would block its subject as if it had just been appended, and a daemon that takes
+// over a partition couldn't send any order while a claim blocks.
 //
-// Invariant: marks are in the order of time, and their ends don't fall.
+// Invariant: ends is in order of time, and the offsets in it don't decrease.
 type Tail struct {
-	keep  time.Duration
-	marks []mark
+	keep time.Duration // records older than this aren't needed
+	ends []logEnd
 }
 
-// mark says that the log ended here at a moment, or had ended here before.
-type mark struct {
-	at  time.Duration
-	end int64
+// logEnd says that all records before offset were in the log at a point in time.
+type logEnd struct {
+	at     time.Duration
+	offset int64
 }
 
-// NewTail returns a Tail that has noted nothing. Records older than keep aren't asked for.
+// NewTail returns an empty history. keep is the age above which records aren't needed.
 func NewTail(keep time.Duration) *Tail { return &Tail{keep: keep} }
 
-// Note takes the log's end, as an answer told it that came at this moment.
+// Note adds the end of the log, as read in an answer that has just arrived.
 func (t *Tail) Note(end int64, now time.Duration) {
-	if n := len(t.marks); n > 0 && (end < t.marks[n-1].end || now < t.marks[n-1].at) {
-		return // an answer overtook this one
+	if n := len(t.ends); n > 0 && (end < t.ends[n-1].offset || now < t.ends[n-1].at) {
+		return // an older answer that arrived late
 	}
-	t.marks = append(t.marks, mark{now, end})
-	for len(t.marks) > 1 && t.marks[1].at <= now-t.keep {
-		t.marks = t.marks[1:]
+	t.ends = append(t.ends, logEnd{now, end})
+	for len(t.ends) > 1 && t.ends[1].at <= now-t.keep {
+		t.ends = t.ends[1:]
 	}
 }
 
-// Last is the newest end noted, 0 for none.
+// Last returns the newest end added, 0 if there is none.
 func (t *Tail) Last() int64 {
-	if len(t.marks) == 0 {
+	if len(t.ends) == 0 {
 		return 0
 	}
-	return t.marks[len(t.marks)-1].end
+	return t.ends[len(t.ends)-1].offset
 }
 
-// From is the offset of the first record that may be younger than keep; 0 if that isn't
+// From returns the offset of the first record that may still be needed, 0 if that isn't
 // known.
 func (t *Tail) From(now time.Duration) int64 {
-	if len(t.marks) == 0 || t.marks[0].at > now-t.keep {
+	if len(t.ends) == 0 || t.ends[0].at > now-t.keep {
 		return 0
 	}
-	from := t.marks[0].end
-	for _, m := range t.marks {
-		if m.at <= now-t.keep {
-			from = m.end
+	offset := t.ends[0].offset
+	for _, end := range t.ends {
+		if end.at <= now-t.keep {
+			offset = end.offset
 		}
 	}
-	return from
+	return offset
 }
 
-// WrittenBy is a moment by which the record at an offset was in the log; now, if nothing
-// earlier is known.
+// WrittenBy returns a time by which the record at an offset was in the log, which is now if
+// no earlier time is known.
 func (t *Tail) WrittenBy(offset int64, now time.Duration) time.Duration {
-	for _, m := range t.marks {
-		if m.end > offset {
-			return m.at
+	for _, end := range t.ends {
+		if end.offset > offset {
+			return end.at
 		}
 	}
 	return now
