--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -8,76 +8,81 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// renewals of a lease that fit into its duration: two may fail.
-const renewals = 3
+// renewalsPerLease is the number of renewals within the duration of a lease. Two of them may
+// fail.
+const renewalsPerLease = 3
 
-// Want is an upstream that somebody has to hold the lease of.
-type Want struct {
+// Candidate is an upstream whose lease must be held by some daemon.
+type Candidate struct {
 	Upstream ident.Upstream
-	Owner    bool // this daemon is its owner by rendezvous hashing
+	Owner    bool // rendezvous hashing assigns the upstream to this daemon
 }
 
-// Plan returns the records to append now: one for all claims, one for all
-// renewals. now is taken before the append, and leases count from it. A daemon
-// claims what it owns at once, anything else only after its lease has lapsed for
-// a while; it doesn't renew what it no longer owns and another will claim.
-func (t *Table) Plan(wants []Want, now time.Time) []Record {
-	var claim, renew []ident.Upstream
-	for _, w := range wants {
-		switch s := t.slot(w.Upstream); {
-		case now.Before(t.asked[w.Upstream].Add(t.opts.Duration / renewals)):
+// Plan returns the records to append now: one for all claims and one for all renewals. now
+// is the time before the append, from which the leases count. A daemon claims the upstreams
+// that it owns at once, and others only some time after their lease has expired. It doesn't
+// renew the lease of an upstream that it no longer owns, since the new owner will claim it.
+func (t *Table) Plan(candidates []Candidate, now time.Time) []Record {
+	var claims, renewals []ident.Upstream
+	for _, candidate := range candidates {
+		switch s := t.leaseFor(candidate.Upstream); {
+		case now.Before(t.lastAppends[candidate.Upstream].Add(t.opts.Duration / renewalsPerLease)):
 		case s.nonce == t.opts.Nonce:
-			if w.Owner {
-				renew = append(renew, w.Upstream)
+			if candidate.Owner {
+				renewals = append(renewals, candidate.Upstream)
 			}
-		case t.mayClaim(s, w, now):
-			claim = append(claim, w.Upstream)
+		case t.mayClaim(s, candidate, now):
+			claims = append(claims, candidate.Upstream)
 		}
 	}
 	var records []Record
-	records = t.add(records, Record{Upstreams: claim}, now)
-	return t.add(records, Record{Renew: true, Upstreams: renew}, now)
+	records = t.addRecord(records, Record{Upstreams: claims}, now)
+	return t.addRecord(records, Record{Renew: true, Upstreams: renewals}, now)
 }
 
-// Release returns the record that gives up everything held, for a graceful stop.
-// Nothing may be ordered after this call; it holds in this table at once.
+// Release returns the record that releases all leases held, for a graceful stop, and false
+// if none is held. No order may be sent after this call: the table no longer permits any.
 func (t *Table) Release(now time.Time) (Record, bool) {
 	held := t.Held()
 	for _, up := range held {
-		t.slots[up].nonce = ""
+		t.leases[up].nonce = ""
 	}
-	records := t.add(nil, Record{Release: true, Upstreams: held}, now)
+	records := t.addRecord(nil, Record{Release: true, Upstreams: held}, now)
 	if len(records) == 0 {
 		return Record{}, false
 	}
 	return records[0], true
 }
 
-// Trim forgets upstreams that left the configuration, once no order of another
-// holder can arrive any more: the upstream may come back.
-func (t *Table) Trim(keep func(ident.Upstream) bool, now time.Time) {
-	for up, s := range t.slots {
-		if !keep(up) && !now.Before(s.quietUntil()) {
-			delete(t.slots, up)
-			delete(t.asked, up)
+// Prune removes the leases of upstreams for which configured returns false, once no order of
+// another holder can arrive any more. Until then they are kept, since the upstream may be
+// configured again.
+func (t *Table) Prune(configured func(ident.Upstream) bool, now time.Time) {
+	for up, s := range t.leases {
+		if !configured(up) && !now.Before(s.otherOrdersEnd()) {
+			delete(t.leases, up)
+			delete(t.lastAppends, up)
 		}
 	}
 }
 
-func (t *Table) mayClaim(s *slot, w Want, now time.Time) bool {
-	if w.Owner {
-		return !now.Before(s.claimAfter)
+// mayClaim reports whether this daemon may claim the lease on a candidate that it doesn't
+// hold.
+func (t *Table) mayClaim(s *leaseState, candidate Candidate, now time.Time) bool {
+	if candidate.Owner {
+		return !now.Before(s.claimNotBefore)
 	}
 	if s.nonce == "" {
-		return false // free, its owner will come
+		return false // released: its owner will claim it
 	}
-	lapse := s.readAt.Add(2*s.duration + t.stagger(w.Upstream))
-	return !now.Before(lapse)
+	claimableAt := s.readAt.Add(2*s.duration + t.claimDelay(candidate.Upstream))
+	return !now.Before(claimableAt)
 }
 
-// stagger spreads daemons that see the same lease lapse over one duration, so that
-// the first one's claim is read before the others would write theirs.
-func (t *Table) stagger(up ident.Upstream) time.Duration {
+// claimDelay returns a delay of up to one lease duration that depends on the daemon and the
+// upstream. Daemons that see the same lease expire claim it one after the other, and read
+// the first claim before they would append theirs.
+func (t *Table) claimDelay(up ident.Upstream) time.Duration {
 	h := fnv.New64a()
 	h.Write([]byte(t.opts.Self))
 	h.Write([]byte{0})
@@ -85,32 +90,33 @@
 	return time.Duration(h.Sum64() % uint64(t.opts.Duration))
 }
 
-// add completes a record and notes the moment before its append.
-func (t *Table) add(records []Record, r Record, now time.Time) []Record {
+// addRecord completes a record, notes the time before its append, and adds it to records
+// unless it names no upstream.
+func (t *Table) addRecord(records []Record, r Record, now time.Time) []Record {
 	if len(r.Upstreams) == 0 {
 		return records
 	}
 	slices.Sort(r.Upstreams)
 	if len(r.Upstreams) > MaxUpstreams {
-		r.Upstreams = r.Upstreams[:MaxUpstreams] // the rest follows with the next plan
+		r.Upstreams = r.Upstreams[:MaxUpstreams] // the rest is in the next plan
 	}
 	t.seq++
 	r.Holder, r.Nonce, r.Seq, r.Duration = t.opts.Self, t.opts.Nonce, t.seq, t.opts.Duration
 	if !r.Release {
-		t.started[r.Seq] = now
+		t.appendStarts[r.Seq] = now
 		for _, up := range r.Upstreams {
-			t.asked[up] = now
+			t.lastAppends[up] = now
 		}
 	}
-	t.forgetStarts(now)
+	t.dropOldStarts(now)
 	return append(records, r)
 }
 
-// forgetStarts drops the starts of records so old that they grant nothing.
-func (t *Table) forgetStarts(now time.Time) {
-	for seq, start := range t.started {
+// dropOldStarts drops the append times of records whose leases would have expired already.
+func (t *Table) dropOldStarts(now time.Time) {
+	for seq, start := range t.appendStarts {
 		if now.Sub(start) > t.opts.Duration {
-			delete(t.started, seq)
+			delete(t.appendStarts, seq)
 		}
 	}
 }
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -1,39 +1,40 @@
-// Package lease decides which daemon may give orders to which upstream. It is
-// pure: records of one of the log's streams of leases and monotonic time go in, records to
-// append and permits come out.
+// Package lease decides which daemon may send orders to which upstream. It is pure: the
+// records of a lease stream of the log and monotonic time go in, records to append and
+// permits come out.
 //
 // # Who holds a lease
 //
-// The log's order decides: the newest record that counts names the holder, and
-// its offset is the fencing number. A claim always takes over; a renewal counts
-// only while its nonce still holds; a release counts only from the holder.
+// The order of the log decides: the newest valid record names the holder, and its offset is
+// the fencing token. A claim always takes the lease over. A renewal is valid only while its
+// nonce still holds the lease, and a release only if it comes from the holder.
 //
-// # Upstreams that check the fencing number
+// # Upstreams that check the fencing token
 //
-// They refuse orders of a former holder themselves. A new holder orders at once.
-// While the log is down, the holder of the highest number known goes on after
-// its lease has run out: if another took over, the upstream refuses.
+// These upstreams reject orders of a former holder themselves, so a new holder sends orders
+// at once. While the log is down, the holder with the highest known token keeps sending
+// orders after its lease has expired: if another daemon took over, the upstream rejects
+// them.
 //
-// # Upstreams that ignore it
+// # Upstreams that ignore the fencing token
 //
-// The holder's lease counts from before the append of its newest record that it
-// read back, and it is checked just before each order. An order that the
-// upstream hasn't begun OrderDeadline after its arrival is dropped there. A new
-// holder sends nothing until Duration + OrderDeadline + Margin after it read the
-// former holder's newest record. While the log is down such upstreams get no
-// orders once the lease has run out; they go on serving what they serve.
+// The holder's lease counts from before the append of the newest record that it has read
+// back, and is checked just before each order. The upstream drops an order that it hasn't
+// begun within OrderStartTimeout of the order's arrival. A new holder sends no order until
+// Duration + OrderStartTimeout + TransitMargin after it read the former holder's newest
+// record. While the log is down, these upstreams get no orders once the lease has expired,
+// and keep serving what they serve.
 //
-// With X the former and Y the new holder, t the start of the append of X's newest
-// record that counts, and r >= t the moment at which Y read it: X's last check is
-// before t+Duration, its order is begun before t+Duration+OrderDeadline+p, where p
-// is the time from X's check to the order's arrival. Y's first order is sent
-// after r+Duration+OrderDeadline+Margin. So they overlap only if p > Margin:
-// a process frozen, or a packet delayed, for longer than Margin between the check
-// and the arrival. That is the window left.
+// Let X be the former and Y the new holder, t the start of the append of X's newest valid
+// record, and r >= t the time at which Y read it. X's last check is before t+Duration. Its
+// order is begun before t+Duration+OrderStartTimeout+p, where p is the time from X's check
+// to the order's arrival. Y's first order is sent after
+// r+Duration+OrderStartTimeout+TransitMargin. So the orders overlap only if
+// p > TransitMargin: if a process is frozen, or a packet delayed, for longer than
+// TransitMargin between the check and the arrival. This window remains.
 //
-// The stream's retention must be longer than Duration+OrderDeadline+Margin, and
-// the monotonic clock must go on while a process is stopped (it does under
-// SIGSTOP; it doesn't while a whole VM is suspended, which therefore widens p).
+// The retention of the stream must be longer than Duration+OrderStartTimeout+TransitMargin.
+// The monotonic clock must keep running while a process is stopped. It does under SIGSTOP.
+// It doesn't while a whole VM is suspended, which therefore adds to p.
 package lease
 
 import (
@@ -43,163 +44,169 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// reclaimDurations is how many durations a daemon that lost a lease leaves it
-// alone: the new holder of an upstream that ignores fencing needs more than
-// one before its first order.
-const reclaimDurations = 3
+// reclaimDelayDurations is how long a daemon that lost a lease doesn't claim it again, in
+// lease durations. The new holder of an upstream that ignores fencing tokens has to wait for
+// more than one duration before its first order.
+const reclaimDelayDurations = 3
 
 // Options of a Table. All fields are required.
 type Options struct {
-	Self          ident.VM
-	Nonce         string        // random, one a process
-	Duration      time.Duration // of a lease
-	OrderDeadline time.Duration // within which an upstream begins an order or drops it
-	Margin        time.Duration // for the way from the check to the upstream
+	Self              ident.VM      // this daemon's VM
+	Nonce             string        // random, identifies this process
+	Duration          time.Duration // of a lease
+	OrderStartTimeout time.Duration // time after an order's arrival within which an upstream begins it or drops it
+	TransitMargin     time.Duration // longest time assumed between the check of a lease and the order's arrival
 }
 
-// slot is what is known of one upstream's lease.
-type slot struct {
+// leaseState is the known state of one upstream's lease.
+type leaseState struct {
 	holder   ident.VM
-	nonce    string // "" when nobody holds the lease
+	nonce    string // of the holder, "" if nobody holds the lease
 	fence    ident.Offset
-	readAt   time.Time     // when the newest record that counts was read
-	duration time.Duration // that it names
-	// ownUntil ends our own lease; it counts from before the append.
-	ownUntil time.Time
-	// holderQuiet and formerQuiet are when the last order of the present holder (if it
-	// isn't us) and of all earlier ones has been begun or dropped, for upstreams
-	// that ignore the fencing number. They are apart because a release shortens
-	// only what its own holder may still send.
-	holderQuiet time.Time
-	formerQuiet time.Time
-	// claimAfter keeps two daemons that both think they own the upstream from
-	// taking it from each other without end.
-	claimAfter time.Time
+	readAt   time.Time     // when the newest valid record was read
+	duration time.Duration // of the lease, from that record
+	// ownExpiry is the end of the lease if this process holds it, counted from before the
+	// append.
+	ownExpiry time.Time
+	// holderOrdersEnd is the time by which the last order of the current holder, if that is
+	// another process, has been begun or dropped by an upstream that ignores fencing tokens.
+	// formerOrdersEnd is the same for all earlier holders. They are separate because a release
+	// shortens only the time of its own holder.
+	holderOrdersEnd time.Time
+	formerOrdersEnd time.Time
+	// claimNotBefore is the earliest time of the next claim. It keeps two daemons that both
+	// take themselves for the upstream's owner from taking the lease from each other forever.
+	claimNotBefore time.Time
 }
 
-func (s *slot) quietUntil() time.Time { return later(s.holderQuiet, s.formerQuiet) }
+// otherOrdersEnd returns the time by which the last order of other processes has been begun
+// or dropped.
+func (s *leaseState) otherOrdersEnd() time.Time { return later(s.holderOrdersEnd, s.formerOrdersEnd) }
 
-// Table is one daemon's view of all leases. Not safe for concurrent use.
+// Table holds one daemon's view of all leases in a lease stream. It is not safe for
+// concurrent use.
 type Table struct {
-	opts  Options
-	slots map[ident.Upstream]*slot
-	seq   int64
-	// started holds, by Seq, the moment before the append of our records that weren't
-	// read back yet.
-	started map[int64]time.Time
-	asked   map[ident.Upstream]time.Time // newest own append that names the upstream
+	opts   Options
+	leases map[ident.Upstream]*leaseState
+	seq    int64
+	// appendStarts holds the time just before the append of each own record that wasn't read
+	// back yet, by Seq.
+	appendStarts map[int64]time.Time
+	lastAppends  map[ident.Upstream]time.Time // time of the newest own append that names the upstream
 }
 
-// NewTable returns a table that knows of no lease.
+// NewTable returns a table without leases.
 func NewTable(opts Options) *Table {
 	return &Table{
-		opts:    opts,
-		slots:   map[ident.Upstream]*slot{},
-		started: map[int64]time.Time{},
-		asked:   map[ident.Upstream]time.Time{},
+		opts:         opts,
+		leases:       map[ident.Upstream]*leaseState{},
+		appendStarts: map[int64]time.Time{},
+		lastAppends:  map[ident.Upstream]time.Time{},
 	}
 }
 
-// Read folds in the record at an offset, in the log's order. now is the
-// monotonic time after the read returned.
-func (t *Table) Read(offset ident.Offset, r Record, now time.Time) {
+// Apply applies the record at an offset. Records must be applied in log order. now is the
+// monotonic time after the read of the record returned.
+func (t *Table) Apply(offset ident.Offset, r Record, now time.Time) {
 	for _, up := range r.Upstreams {
-		s := t.slot(up)
+		s := t.leaseFor(up)
 		switch {
 		case r.Release:
-			t.readRelease(s, r, now)
+			t.applyRelease(s, r, now)
 		case r.Renew && s.fence != 0 && s.nonce != r.Nonce:
-			// taken over or released before this renewal arrived
+			// another process took the lease over, or it was released, before this renewal
 		default:
-			t.readClaim(s, offset, r, now)
+			t.applyClaim(s, offset, r, now)
 		}
 	}
 	if r.Nonce == t.opts.Nonce {
-		delete(t.started, r.Seq)
+		delete(t.appendStarts, r.Seq)
 	}
 }
 
-func (t *Table) readClaim(s *slot, offset ident.Offset, r Record, now time.Time) {
+// applyClaim applies a claim or a valid renewal.
+func (t *Table) applyClaim(s *leaseState, offset ident.Offset, r Record, now time.Time) {
 	own := r.Nonce == t.opts.Nonce
 	if !own && s.nonce == t.opts.Nonce {
-		s.claimAfter = now.Add(reclaimDurations * t.opts.Duration) // taken from us
+		s.claimNotBefore = now.Add(reclaimDelayDurations * t.opts.Duration) // taken from this process
 	}
 	if s.nonce != r.Nonce {
-		s.formerQuiet = s.quietUntil()
-		s.holderQuiet = time.Time{}
+		s.formerOrdersEnd = s.otherOrdersEnd()
+		s.holderOrdersEnd = time.Time{}
 	}
 	s.holder, s.nonce, s.fence = r.Holder, r.Nonce, offset
 	s.readAt, s.duration = now, r.Duration
 	if !own {
-		s.ownUntil = time.Time{}
-		s.holderQuiet = now.Add(r.Duration + t.opts.OrderDeadline + t.opts.Margin)
+		s.ownExpiry = time.Time{}
+		s.holderOrdersEnd = now.Add(r.Duration + t.opts.OrderStartTimeout + t.opts.TransitMargin)
 		return
 	}
-	if start, ok := t.started[r.Seq]; ok {
-		s.ownUntil = later(s.ownUntil, start.Add(r.Duration))
+	if start, ok := t.appendStarts[r.Seq]; ok {
+		s.ownExpiry = later(s.ownExpiry, start.Add(r.Duration))
 	}
 }
 
-// readRelease frees the lease. Its holder has promised to send nothing more, so
-// only orders on their way are waited for.
-func (t *Table) readRelease(s *slot, r Record, now time.Time) {
+// applyRelease frees the lease. Its holder sends no more orders, so the next one has to wait
+// only for orders in transit.
+func (t *Table) applyRelease(s *leaseState, r Record, now time.Time) {
 	if s.nonce != r.Nonce {
 		return
 	}
 	s.nonce = ""
-	s.ownUntil = time.Time{}
+	s.ownExpiry = time.Time{}
 	if r.Nonce != t.opts.Nonce {
-		s.holderQuiet = now.Add(t.opts.OrderDeadline + t.opts.Margin)
+		s.holderOrdersEnd = now.Add(t.opts.OrderStartTimeout + t.opts.TransitMargin)
 	}
 }
 
-// Refusal says why no order may be sent. The zero value permits.
+// Refusal is the reason why no order may be sent. The zero value means that one may be sent.
 type Refusal int
 
 // The refusals.
 const (
 	Permitted Refusal = iota
-	NotHolder         // another daemon holds the lease, or nobody
-	Lapsed            // our lease ran out and the upstream ignores fencing
-	Waiting           // a former holder's orders may still arrive
+	NotHolder         // another process holds the lease, or none
+	Lapsed            // this process's lease has expired and the upstream ignores fencing tokens
+	Waiting           // orders of a former holder may still arrive, and the upstream ignores fencing tokens
 )
 
 var refusalNames = [...]string{"permitted", "not holder", "lapsed", "waiting for the former holder"}
 
-// String returns the refusal in words.
+// String returns a description of the refusal.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// Permit is the answer to whether an order may be sent now.
+// Permit says whether an order may be sent now.
 type Permit struct {
 	Refusal Refusal
-	Fence   ident.Offset // to send with the order
-	Until   time.Time    // Waiting: when to ask again
+	Fence   ident.Offset // fencing token to send with the order
+	RetryAt time.Time    // when to ask again, if the refusal is Waiting
 }
 
 // OK reports whether the order may be sent.
 func (p Permit) OK() bool { return p.Refusal == Permitted }
 
-// Permit says whether an order to the upstream may be sent at this moment. Ask
-// just before each order: time that passes between the answer and the order is
-// the window that Margin has to cover.
+// Permit returns whether an order to the upstream may be sent now. It must be called just
+// before each order, since TransitMargin has to cover the time between the check and the
+// order.
 func (t *Table) Permit(up ident.Upstream, checksFencing bool, now time.Time) Permit {
-	s, ok := t.slots[up]
+	s, ok := t.leases[up]
 	switch {
 	case !ok || s.nonce != t.opts.Nonce:
 		return Permit{Refusal: NotHolder}
 	case checksFencing:
 		return Permit{Fence: s.fence}
-	case !now.Before(s.ownUntil):
+	case !now.Before(s.ownExpiry):
 		return Permit{Refusal: Lapsed}
-	case now.Before(s.quietUntil()):
-		return Permit{Refusal: Waiting, Until: s.quietUntil()}
+	case now.Before(s.otherOrdersEnd()):
+		return Permit{Refusal: Waiting, RetryAt: s.otherOrdersEnd()}
 	}
 	return Permit{Fence: s.fence}
 }
 
-// Holder returns who holds the upstream's lease, as far as the log was read.
+// Holder returns the holder of the upstream's lease and the fencing token, according to the
+// records read so far. It returns false if nobody holds the lease.
 func (t *Table) Holder(up ident.Upstream) (vm ident.VM, fence ident.Offset, ok bool) {
-	s, found := t.slots[up]
+	s, found := t.leases[up]
 	if !found || s.nonce == "" {
 		return "", 0, false
 	}
@@ -209,7 +216,7 @@
 // Held returns the upstreams whose lease this process holds, sorted.
 func (t *Table) Held() []ident.Upstream {
 	var held []ident.Upstream
-	for up, s := range t.slots {
+	for up, s := range t.leases {
 		if s.nonce == t.opts.Nonce {
 			held = append(held, up)
 		}
@@ -218,11 +225,12 @@
 	return held
 }
 
-func (t *Table) slot(up ident.Upstream) *slot {
-	s, ok := t.slots[up]
+// leaseFor returns the state of an upstream's lease, which it creates if there is none.
+func (t *Table) leaseFor(up ident.Upstream) *leaseState {
+	s, ok := t.leases[up]
 	if !ok {
-		s = &slot{}
-		t.slots[up] = s
+		s = &leaseState{}
+		t.leases[up] = s
 	}
 	return s
 }
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -21,18 +21,19 @@
 
 func testOptions(vm string) Options {
 	return Options{Self: ident.VM(vm), Nonce: "nonce-" + vm, Duration: 9 * time.Second,
-		OrderDeadline: 2 * time.Second, Margin: time.Second}
+		OrderStartTimeout: 2 * time.Second, TransitMargin: time.Second}
 }
 
-func owned() []Want { return []Want{{engine, true}} }
+func ownedEngine() []Candidate { return []Candidate{{engine, true}} }
 
-// claim lets a table claim the engine and reads the record at an offset into all.
-func claim(t *Table, off ident.Offset, now time.Time, readers ...*Table) {
+// appendClaim plans a claim of the engine in a table and applies it at an offset to the
+// readers.
+func appendClaim(t *Table, off ident.Offset, now time.Time, readers ...*Table) {
 	GinkgoHelper()
-	records := t.Plan(owned(), now)
+	records := t.Plan(ownedEngine(), now)
 	Expect(records).To(HaveLen(1))
 	for _, r := range readers {
-		r.Read(off, records[0], now)
+		r.Apply(off, records[0], now)
 	}
 }
 
@@ -40,77 +41,77 @@
 	var a, b *Table
 	BeforeEach(func() { a, b = NewTable(testOptions("a")), NewTable(testOptions("b")) })
 
-	// An operator sees an engine fall back to old weights. Holder a is frozen, b takes
-	// the lease over and switches the engine, a wakes up and sends the order it had in
-	// hand. The engine checks fencing numbers and has seen b's.
-	It("gives a checking engine's new holder a higher number at once, which shuts the old one out", func() {
-		claim(a, 5, start, a, b)
-		claim(b, 9, start.Add(time.Second), b)
+	// Guards against an engine that goes back to old weights. Holder a freezes, b takes the
+	// lease over and switches the engine, then a continues and sends a pending order. The
+	// engine checks fencing tokens and has seen that of b.
+	It("gives the new holder of an engine that checks fencing tokens a higher token at once", func() {
+		appendClaim(a, 5, start, a, b)
+		appendClaim(b, 9, start.Add(time.Second), b)
 		fresh := b.Permit(engine, true, start.Add(time.Second))
-		woken := a.Permit(engine, true, start.Add(time.Minute)) // hasn't read on yet
+		woken := a.Permit(engine, true, start.Add(time.Minute)) // hasn't read b's claim yet
 		Expect(fresh.OK()).To(BeTrue())
-		Expect(fresh.Fence).To(BeNumerically(">", woken.Fence), "the engine refuses the lower one")
+		Expect(fresh.Fence).To(BeNumerically(">", woken.Fence), "the engine rejects the lower one")
 	})
 
-	// The same with an engine that ignores the number: a's own clock must stop it, and b
-	// must wait until whatever a sent has been begun or dropped.
-	It("makes the new holder of an engine that ignores fencing wait, and the old one stop", func() {
-		claim(a, 5, start, a, b)
+	// The same with an engine that ignores fencing tokens: a must stop by its own clock, and b
+	// must wait until the engine has begun or dropped every order of a.
+	It("makes the new holder of an engine that ignores fencing tokens wait, and the old one stop", func() {
+		appendClaim(a, 5, start, a, b)
 		taken := start.Add(time.Second)
-		claim(b, 9, taken, b)
+		appendClaim(b, 9, taken, b)
 		quiet := start.Add(9*time.Second + 2*time.Second + time.Second)
-		Expect(b.Permit(engine, false, taken)).To(Equal(Permit{Refusal: Waiting, Until: quiet}))
+		Expect(b.Permit(engine, false, taken)).To(Equal(Permit{Refusal: Waiting, RetryAt: quiet}))
 		Expect(a.Permit(engine, false, start.Add(9*time.Second-1)).OK()).To(BeTrue())
 		Expect(a.Permit(engine, false, start.Add(9*time.Second)).Refusal).To(Equal(Lapsed))
-		claim(b, 10, taken.Add(4*time.Second), b)
-		claim(b, 11, taken.Add(8*time.Second), b)
+		appendClaim(b, 10, taken.Add(4*time.Second), b)
+		appendClaim(b, 11, taken.Add(8*time.Second), b)
 		Expect(b.Permit(engine, false, quiet).OK()).To(BeTrue())
 	})
 
-	It("goes on with a checking engine while the log is down, and stops with others", func() {
-		claim(a, 5, start, a)
+	It("keeps permitting orders while the log is down only to an engine that checks fencing tokens", func() {
+		appendClaim(a, 5, start, a)
 		later := start.Add(time.Hour)
 		Expect(a.Permit(engine, true, later)).To(Equal(Permit{Fence: 5}))
 		Expect(a.Permit(engine, false, later).Refusal).To(Equal(Lapsed))
 	})
 
-	It("doesn't give the lease back to a renewal that arrives after a take-over", func() {
-		claim(a, 1, start, a, b)
-		renewal := a.Plan(owned(), start.Add(4*time.Second))[0]
-		claim(b, 2, start.Add(4*time.Second), a, b)
-		b.Read(3, renewal, start.Add(5*time.Second))
+	It("ignores a renewal that arrives after another daemon took the lease over", func() {
+		appendClaim(a, 1, start, a, b)
+		renewal := a.Plan(ownedEngine(), start.Add(4*time.Second))[0]
+		appendClaim(b, 2, start.Add(4*time.Second), a, b)
+		b.Apply(3, renewal, start.Add(5*time.Second))
 		Expect(b.Held()).To(ConsistOf(engine))
-		Expect(a.Plan(owned(), start.Add(9*time.Second))).To(BeEmpty(), "it was taken just now")
+		Expect(a.Plan(ownedEngine(), start.Add(9*time.Second))).To(BeEmpty(), "it has just lost the lease")
 	})
 
-	It("shortens the wait after a release, but not for a holder before that", func() {
+	It("shortens the wait after a release, but not the wait for an earlier holder", func() {
 		c := NewTable(testOptions("c"))
-		claim(a, 1, start, a, b, c)
-		claim(b, 2, start.Add(time.Second), b, c)
+		appendClaim(a, 1, start, a, b, c)
+		appendClaim(b, 2, start.Add(time.Second), b, c)
 		release, held := b.Release(start.Add(time.Second))
 		Expect(held).To(BeTrue())
 		Expect(b.Permit(engine, true, start.Add(time.Second)).Refusal).To(Equal(NotHolder))
-		c.Read(3, release, start.Add(time.Second))
-		claim(c, 4, start.Add(time.Second), c)
-		Expect(c.Permit(engine, false, start.Add(time.Second)).Until).To(Equal(start.Add(12 * time.Second)))
+		c.Apply(3, release, start.Add(time.Second))
+		appendClaim(c, 4, start.Add(time.Second), c)
+		Expect(c.Permit(engine, false, start.Add(time.Second)).RetryAt).To(Equal(start.Add(12 * time.Second)))
 	})
 
-	It("lets another daemon claim only once the lease has lapsed", func() {
-		claim(a, 1, start, a, b)
-		notMine := []Want{{engine, false}}
-		Expect(b.Plan(notMine, start.Add(18*time.Second-1))).To(BeEmpty())
-		Expect(b.Plan(notMine, start.Add(27*time.Second))).To(HaveLen(1))
+	It("lets a daemon that isn't the owner claim only after the lease has expired", func() {
+		appendClaim(a, 1, start, a, b)
+		notOwned := []Candidate{{engine, false}}
+		Expect(b.Plan(notOwned, start.Add(18*time.Second-1))).To(BeEmpty())
+		Expect(b.Plan(notOwned, start.Add(27*time.Second))).To(HaveLen(1))
 	})
 
-	It("agrees with a naive replay of the log on who holds", func() {
+	It("agrees with a replay of the whole log on the holder", func() {
 		for seed := range uint64(100) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			var log []Record
 			for off := ident.Offset(1); off <= 100; off++ {
 				r := randomRecord(rng)
 				log = append(log, r)
-				a.Read(off, r, start)
-				holder, fence := naiveHolder(log)
+				a.Apply(off, r, start)
+				holder, fence := referenceHolder(log)
 				vm, got, ok := a.Holder(engine)
 				Expect(ok).To(Equal(holder != ""))
 				if ok {
@@ -122,21 +123,21 @@
 		}
 	})
 
-	It("replays a recorded session to the byte", func() {
+	It("reproduces a recorded session exactly", func() {
 		rng := rand.New(rand.NewPCG(3, 3))
 		var out strings.Builder
 		for off := ident.Offset(1); off <= 60; off++ {
 			now := start.Add(time.Duration(off) * time.Second)
 			r := randomRecord(rng)
 			if rng.IntN(12) == 0 {
-				a.Read(off, r, now)
+				a.Apply(off, r, now)
 				fmt.Fprintf(&out, "%d read %s renew=%t release=%t\n", off, r.Holder, r.Renew, r.Release)
 			}
-			own := a.Plan(owned(), now)
+			own := a.Plan(ownedEngine(), now)
 			p := a.Permit(engine, off%2 == 0, now)
 			fmt.Fprintf(&out, "%d plan %d permit: %s fence %d\n", off, len(own), p.Refusal, p.Fence)
 			for _, o := range own {
-				a.Read(off, o, now)
+				a.Apply(off, o, now)
 			}
 		}
 		golden.Expect("session.golden", out.String())
@@ -149,8 +150,8 @@
 		Renew: rng.IntN(3) == 0, Release: rng.IntN(5) == 0}
 }
 
-// naiveHolder works the holder out from the whole log.
-func naiveHolder(log []Record) (holder ident.VM, fence ident.Offset) {
+// referenceHolder computes the holder and the fencing token from the whole log.
+func referenceHolder(log []Record) (holder ident.VM, fence ident.Offset) {
 	seen := false
 	for i, r := range log {
 		switch {
@@ -172,7 +173,7 @@
 			return
 		}
 		if _, err := Encode(r); err != nil {
-			t.Fatalf("decoded, but doesn't encode: %v", err)
+			t.Fatalf("decoded record doesn't encode again: %v", err)
 		}
 	})
 }
--- a/internal/lease/window_test.go
+++ b/internal/lease/window_test.go
@@ -11,86 +11,89 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// sentOrder is an order that an engine without a fencing check carried out.
+// sentOrder is an order that an engine carried out without checking its fencing token.
 type sentOrder struct {
 	holder ident.VM
 	fence  ident.Offset
 	begun  time.Time
 }
 
-// node is a daemon in the model: its table, how far it has read, and its freeze.
-type node struct {
-	table  *Table
-	vm     ident.VM
-	read   int
-	thaws  time.Time
-	permit func(*Table, time.Time) Permit
+// simulatedDaemon is one daemon of the simulation.
+type simulatedDaemon struct {
+	table       *Table
+	vm          ident.VM
+	recordsRead int // records of the log that it has read
+	frozenUntil time.Time
+	permit      func(*Table, time.Time) Permit // checks the lease
 }
 
-// landing is an append on its way to the log.
-type landing struct {
-	record Record
-	at     time.Time
+// pendingAppend is an append that is in flight.
+type pendingAppend struct {
+	record  Record
+	arrives time.Time
 }
 
-// model runs three daemons that all think they own one engine, with appends that
-// take up to 3 s or get lost, readers that lag, freezes of up to 30 s, and up to
-// transit between a lease check and the order's arrival at the engine.
-func model(seed uint64, transit time.Duration, permit func(*Table, time.Time) Permit) []sentOrder {
+// simulate runs three daemons that all take themselves for the owner of one engine. Appends
+// take up to 3 s or are lost, readers lag, daemons freeze for up to 30 s, and an order takes
+// up to transit from the lease check to its arrival at the engine. It returns the orders
+// that the engine carried out.
+func simulate(seed uint64, transit time.Duration, permit func(*Table, time.Time) Permit) []sentOrder {
 	rng := rand.New(rand.NewPCG(seed, 9))
-	var nodes []*node
+	var daemons []*simulatedDaemon
 	for _, vm := range []string{"a", "b", "c"} {
-		nodes = append(nodes, &node{table: NewTable(testOptions(vm)), vm: ident.VM(vm), permit: permit})
+		daemons = append(daemons, &simulatedDaemon{table: NewTable(testOptions(vm)), vm: ident.VM(vm), permit: permit})
 	}
 	var log []Record
-	var flying []landing
+	var pendingAppends []pendingAppend
 	var orders []sentOrder
 	for now := start; now.Before(start.Add(5 * time.Minute)); now = now.Add(100 * time.Millisecond) {
-		flying = slices.DeleteFunc(flying, func(l landing) bool {
-			if l.at.After(now) {
+		pendingAppends = slices.DeleteFunc(pendingAppends, func(p pendingAppend) bool {
+			if p.arrives.After(now) {
 				return false
 			}
-			log = append(log, l.record)
+			log = append(log, p.record)
 			return true
 		})
-		for _, n := range nodes {
-			if now.Before(n.thaws) {
+		for _, d := range daemons {
+			if now.Before(d.frozenUntil) {
 				continue
 			}
-			// A frozen daemon wakes in the middle of anything: it may order before it reads on.
-			orders = append(orders, n.order(rng, now, transit)...)
-			n.readSome(rng, log, now)
-			for _, r := range n.table.Plan(owned(), now) {
+			// A daemon that was frozen may send an order before it reads the log again.
+			orders = append(orders, d.sendOrder(rng, now, transit)...)
+			d.readLog(rng, log, now)
+			for _, r := range d.table.Plan(ownedEngine(), now) {
 				if rng.IntN(5) > 0 {
-					flying = append(flying, landing{r, now.Add(upTo(rng, 3*time.Second))})
+					pendingAppends = append(pendingAppends, pendingAppend{r, now.Add(randomBelow(rng, 3*time.Second))})
 				}
 			}
 			if rng.IntN(300) == 0 {
-				n.thaws = now.Add(upTo(rng, 30*time.Second))
+				d.frozenUntil = now.Add(randomBelow(rng, 30*time.Second))
 			}
 		}
 	}
 	return orders
 }
 
-func (n *node) readSome(rng *rand.Rand, log []Record, now time.Time) {
-	for n.read < len(log) && rng.IntN(3) > 0 {
-		n.read++
-		n.table.Read(ident.Offset(n.read), log[n.read-1], now)
+func (d *simulatedDaemon) readLog(rng *rand.Rand, log []Record, now time.Time) {
+	for d.recordsRead < len(log) && rng.IntN(3) > 0 {
+		d.recordsRead++
+		d.table.Apply(ident.Offset(d.recordsRead), log[d.recordsRead-1], now)
 	}
 }
 
-// order sends an order with a chance; it is begun up to its deadline after it arrived.
-func (n *node) order(rng *rand.Rand, now time.Time, transit time.Duration) []sentOrder {
-	if p := n.permit(n.table, now); p.OK() && rng.IntN(4) == 0 {
-		arrival := now.Add(upTo(rng, transit+1))
-		return []sentOrder{{n.vm, p.Fence, arrival.Add(upTo(rng, 2*time.Second+1))}}
+// sendOrder sends an order at random if the lease permits one. The engine begins it within
+// the order start timeout.
+func (d *simulatedDaemon) sendOrder(rng *rand.Rand, now time.Time, transit time.Duration) []sentOrder {
+	if p := d.permit(d.table, now); p.OK() && rng.IntN(4) == 0 {
+		arrival := now.Add(randomBelow(rng, transit+1))
+		return []sentOrder{{d.vm, p.Fence, arrival.Add(randomBelow(rng, 2*time.Second+1))}}
 	}
 	return nil
 }
 
-// overtaken counts orders begun after another holder's order with a higher number.
-func overtaken(orders []sentOrder) int {
+// countOvertaken counts the orders begun after an order of another holder with a higher
+// fencing token.
+func countOvertaken(orders []sentOrder) int {
 	slices.SortStableFunc(orders, func(a, b sentOrder) int { return a.begun.Compare(b.begun) })
 	count := 0
 	highest := map[ident.VM]ident.Offset{}
@@ -106,59 +109,64 @@
 	return count
 }
 
-func total(transit time.Duration, permit func(*Table, time.Time) Permit) (bad, all, holders int) {
+// simulateSeeds runs the simulation for 60 seeds. It returns how many orders were overtaken,
+// how many were sent, and how often the holder changed from one order to the next.
+func simulateSeeds(transit time.Duration, permit func(*Table, time.Time) Permit) (overtaken, total, holderChanges int) {
 	for seed := range uint64(60) {
-		orders := model(seed, transit, permit)
-		bad += overtaken(orders)
-		all += len(orders)
+		orders := simulate(seed, transit, permit)
+		overtaken += countOvertaken(orders)
+		total += len(orders)
 		for i := 1; i < len(orders); i++ {
 			if orders[i].holder != orders[i-1].holder {
-				holders++
+				holderChanges++
 			}
 		}
 	}
-	return bad, all, holders
+	return overtaken, total, holderChanges
 }
 
-// An engine that ignores fencing numbers gets a switch to the old version after
-// one to the new version, because a former holder's order was still on its way.
-var _ = Describe("Window of engines that ignore fencing", func() {
-	margin := testOptions("a").Margin
-	ours := func(t *Table, now time.Time) Permit { return t.Permit(engine, false, now) }
-
-	It("is closed as long as an order arrives within Margin of its check", func() {
-		bad, all, changes := total(margin, ours)
-		Expect(all).To(BeNumerically(">", 1000))
-		Expect(changes).To(BeNumerically(">", 50), "the lease has to change hands for this to mean anything")
-		Expect(bad).To(BeZero())
+// Guards against an engine that ignores fencing tokens and is switched to the old version
+// after the new one, since an order of a former holder was still in transit.
+var _ = Describe("Engines that ignore fencing tokens", func() {
+	margin := testOptions("a").TransitMargin
+	permitOrder := func(t *Table, now time.Time) Permit { return t.Permit(engine, false, now) }
+
+	It("get no overtaken order if each order arrives within TransitMargin of its lease check", func() {
+		overtaken, total, holderChanges := simulateSeeds(margin, permitOrder)
+		Expect(total).To(BeNumerically(">", 1000))
+		Expect(holderChanges).To(BeNumerically(">", 50), "the test needs changes of the holder")
+		Expect(overtaken).To(BeZero())
 	})
 
-	It("is found by the same check when the new holder doesn't wait", func() {
-		bad, _, _ := total(margin, func(t *Table, now time.Time) Permit {
+	It("get overtaken orders if the new holder doesn't wait", func() {
+		overtaken, _, _ := simulateSeeds(margin, func(t *Table, now time.Time) Permit {
 			p := t.Permit(engine, false, now)
 			if p.Refusal == Waiting {
-				return Permit{Fence: t.slots[engine].fence}
+				return Permit{Fence: t.leases[engine].fence}
 			}
 			return p
 		})
-		Expect(bad).To(BeNumerically(">", 0))
+		Expect(overtaken).To(BeNumerically(">", 0))
 	})
 
-	It("is found by the same check when the old holder doesn't look at its clock", func() {
-		bad, _, _ := total(margin, func(t *Table, now time.Time) Permit {
+	It("get overtaken orders if the old holder doesn't check its clock", func() {
+		overtaken, _, _ := simulateSeeds(margin, func(t *Table, now time.Time) Permit {
 			p := t.Permit(engine, false, now)
 			if p.Refusal == Lapsed {
-				return Permit{Fence: t.slots[engine].fence}
+				return Permit{Fence: t.leases[engine].fence}
 			}
 			return p
 		})
-		Expect(bad).To(BeNumerically(">", 0))
+		Expect(overtaken).To(BeNumerically(">", 0))
 	})
 
-	It("opens when a freeze between check and arrival outlasts Margin", func() {
-		bad, _, _ := total(20*time.Second, ours)
-		Expect(bad).To(BeNumerically(">", 0), "this is the window that is left, and package lease says so")
+	It("get overtaken orders if a freeze between check and arrival outlasts TransitMargin", func() {
+		overtaken, _, _ := simulateSeeds(20*time.Second, permitOrder)
+		Expect(overtaken).To(BeNumerically(">", 0), "this window remains, as the package comment says")
 	})
 })
 
-func upTo(rng *rand.Rand, d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
+// randomBelow returns a random duration from 0 up to, but not including, limit.
+func randomBelow(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
+}
--- a/internal/weights/turns.go
+++ b/internal/weights/turns.go
@@ -9,33 +9,33 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// loads returns loads of the newest version. Loads of older versions that weren't
-// begun are left out: a newer one overtakes them. An engine that holds what it is
-// time to switch to waits for its turn, since it carries out one order at a time:
-// with loads back to back it would never switch.
-func (p *Planner) loads(engines []Engine, in Input, now time.Time) []Order {
-	since := now.Sub(p.published[in.Newest])
-	running := p.running(Load)
-	due := p.ready != 0 && !now.Before(p.switchFrom(engines, in))
+// planLoads returns loads of the newest version. Older versions are no longer loaded, except
+// by loads in flight. An engine that holds a version that it is time to switch to gets no
+// load before its turn: it carries out one order at a time, and would never switch if one
+// load followed another.
+func (p *Planner) planLoads(engines []Engine, in Input, now time.Time) []Order {
+	since := now.Sub(p.publishedAt[in.Newest])
+	running := p.countInFlight(Load)
+	due := p.readyVersion != 0 && !now.Before(p.switchStart(engines, in))
 	var orders []Order
-	for _, e := range furthestBehind(engines) {
-		switchesFirst := due && p.switchesNext(e, now)
-		early := since < p.pace.begin(e.Name, in.Newest)
-		if e.holds(in.Newest) || switchesFirst || early || !p.free(Load, e, in.Newest, now) {
+	for _, e := range oldestFirst(engines) {
+		switchesFirst := due && p.nextIsSwitch(e, now)
+		early := since < p.pacer.loadDelay(e.Name, in.Newest)
+		if e.holds(in.Newest) || switchesFirst || early || !p.mayOrder(Load, e, in.Newest, now) {
 			continue
 		}
-		if !p.pace.allows(running, now) {
+		if !p.pacer.allowsLoad(running, now) {
 			break
 		}
 		running++
-		orders = append(orders, p.order(Load, e, in.Newest))
+		orders = append(orders, p.startOrder(Load, e, in.Newest))
 	}
 	return orders
 }
 
-// furthestBehind orders engines by the newest version that they could serve. Loads
-// that the store refuses would else leave out the same engines each time.
-func furthestBehind(engines []Engine) []*Engine {
+// oldestFirst returns the engines ordered by the newest version that they hold. In a fixed
+// order, loads that the weight store refuses would leave out the same engines each time.
+func oldestFirst(engines []Engine) []*Engine {
 	order := make([]*Engine, len(engines))
 	for i := range engines {
 		order[i] = &engines[i]
@@ -44,72 +44,75 @@
 	return order
 }
 
-// switchesNext reports whether an engine's next order is a switch, once it has its turn.
-func (p *Planner) switchesNext(e *Engine, now time.Time) bool {
-	a := p.attempt(e.Name)
-	v := e.target(p.ready)
-	return v != 0 && a.failures == 0 && !a.outdated(v, now)
+// nextIsSwitch reports whether the next order of an engine is a switch, once it has its turn.
+func (p *Planner) nextIsSwitch(e *Engine, now time.Time) bool {
+	state := p.orderStateOf(e.Name)
+	v := e.switchTarget(p.readyVersion)
+	return v != 0 && state.failures == 0 && !state.switchOutdated(v, now)
 }
 
-func (p *Planner) running(kind Kind) int {
+// countInFlight returns the number of orders of a kind in flight.
+func (p *Planner) countInFlight(kind Kind) int {
 	n := 0
-	for _, a := range p.attempts {
-		if a.flight != nil && a.flight.Kind == kind {
+	for _, state := range p.orderStates {
+		if state.inFlight != nil && state.inFlight.Kind == kind {
 			n++
 		}
 	}
 	return n
 }
 
-// findReady moves ready to the newest published version that enough usable
-// engines hold, or that has waited long enough for them.
-func (p *Planner) findReady(engines []Engine, in Input, now time.Time) {
-	best := p.ready
-	urgent := p.urgent(engines, in)
-	for v, seen := range p.published {
+// updateReadyVersion sets readyVersion to the newest published version that enough usable
+// engines hold, or that has waited for them long enough.
+func (p *Planner) updateReadyVersion(engines []Engine, in Input, now time.Time) {
+	best := p.readyVersion
+	urgent := p.switchesUrgent(engines, in)
+	for v, seen := range p.publishedAt {
 		overdue := urgent || now.Sub(seen) >= p.readyTimeout(in.Interval)
 		if v > best && p.isReady(engines, v, overdue) {
 			best = v
 		}
 	}
-	if best == p.ready {
+	if best == p.readyVersion {
 		return
 	}
-	if p.waitsSince.IsZero() || !p.behind(engines) {
-		p.waitsSince = now
+	if p.switchPendingSince.IsZero() || !p.switchPending(engines) {
+		p.switchPendingSince = now
 	}
-	p.ready = best
+	p.readyVersion = best
 	p.readyAt = now
 }
 
-// behind reports whether some usable engine that could serve the ready version
-// doesn't yet, other than one whose orders fail.
-func (p *Planner) behind(engines []Engine) bool {
+// switchPending reports whether some usable engine should still switch because of the ready
+// version, apart from engines whose orders fail.
+func (p *Planner) switchPending(engines []Engine) bool {
 	return slices.ContainsFunc(engines, func(e Engine) bool {
-		return e.usable() && e.target(p.ready) != 0 && p.attempt(e.Name).failures == 0
+		return e.usable() && e.switchTarget(p.readyVersion) != 0 && p.orderStateOf(e.Name).failures == 0
 	})
 }
 
-// urgent reports whether trainers wait for a switch: more engines than a ready
-// version may do without serve what no new sample may name. An engine or two whose
-// swaps fail don't make it so, or they would end the rolling of switches for all.
-func (p *Planner) urgent(engines []Engine, in Input) bool {
+// switchesUrgent reports whether trainers wait for switches: more engines than may lack a
+// ready version serve one that is too old for any new sample. One or two engines whose
+// switches fail don't make it urgent, since that would end the switching in turns for the
+// whole group.
+func (p *Planner) switchesUrgent(engines []Engine, in Input) bool {
 	usable, old := 0, 0
 	for i := range engines {
 		if !engines[i].usable() {
 			continue
 		}
 		usable++
-		if engines[i].Serving < in.Needed {
+		if engines[i].Serving < in.MinVersion {
 			old++
 		}
 	}
 	return float64(old) > (1-p.opts.ReadyShare)*float64(usable)
 }
 
-// readyTimeout is an interval at most: engines that hold a version don't fall a
-// whole version behind because others can't get it (the log is down and they
-// ignore fencing, or their loads fail).
+// readyTimeout returns the time from publication after which a version is ready even if few
+// engines hold it. It is at most the publication interval, so that these engines don't fall
+// a whole version behind because others can't load it: their loads fail, or the log is down
+// and they ignore fencing tokens.
 func (p *Planner) readyTimeout(interval time.Duration) time.Duration {
 	if interval <= 0 {
 		return p.opts.ReadyTimeout
@@ -117,6 +120,8 @@
 	return min(interval, p.opts.ReadyTimeout)
 }
 
+// isReady reports whether enough usable engines hold version v or a newer one. One engine is
+// enough if the version is overdue.
 func (p *Planner) isReady(engines []Engine, v ident.Version, overdue bool) bool {
 	usable, holding := 0, 0
 	for i := range engines {
@@ -134,37 +139,38 @@
 	return float64(holding) >= p.opts.ReadyShare*float64(usable) || overdue
 }
 
-// switches returns switches to the ready version for engines that have their turn.
-func (p *Planner) switches(engines []Engine, in Input, now time.Time) []Order {
-	if p.ready == 0 || now.Before(p.switchFrom(engines, in)) {
+// planSwitches returns switches to the ready version for the engines that have a turn.
+func (p *Planner) planSwitches(engines []Engine, in Input, now time.Time) []Order {
+	if p.readyVersion == 0 || now.Before(p.switchStart(engines, in)) {
 		return nil
 	}
 	var orders []Order
-	for _, e := range p.turns(engines, in, now) {
-		v := e.target(p.ready)
-		if !p.attempt(e.Name).outdated(v, now) && p.free(Switch, e, v, now) {
-			orders = append(orders, p.order(Switch, e, v))
+	for _, e := range p.enginesToSwitch(engines, in, now) {
+		v := e.switchTarget(p.readyVersion)
+		if !p.orderStateOf(e.Name).switchOutdated(v, now) && p.mayOrder(Switch, e, v, now) {
+			orders = append(orders, p.startOrder(Switch, e, v))
 		}
 	}
 	return orders
 }
 
-// switchFrom is when engines may begin to switch to the ready version. The delay
+// switchStart returns the time from which engines may switch to the ready version. Its delay
 // lets running steps finish on the version that they began with.
-func (p *Planner) switchFrom(engines []Engine, in Input) time.Time {
-	if p.urgent(engines, in) {
+func (p *Planner) switchStart(engines []Engine, in Input) time.Time {
+	if p.switchesUrgent(engines, in) {
 		return p.readyAt
 	}
-	return later(p.readyAt, p.waitsSince.Add(p.delay(in)))
+	return later(p.readyAt, p.switchPendingSince.Add(p.switchDelay(in)))
 }
 
-func (p *Planner) delay(in Input) time.Duration {
-	most := p.opts.MaxSwitchDelay
+// switchDelay returns how long switches are delayed for running steps.
+func (p *Planner) switchDelay(in Input) time.Duration {
+	maxDelay := p.opts.MaxSwitchDelay
 	if in.Interval > 0 {
-		most = min(most, in.Interval/2)
+		maxDelay = min(maxDelay, in.Interval/2)
 	}
-	w := min(max(in.StalenessWeight, 0), 1)
-	return time.Duration((1 - w) * float64(most))
+	weight := min(max(in.StalenessWeight, 0), 1)
+	return time.Duration((1 - weight) * float64(maxDelay))
 }
 
 func later(a, b time.Time) time.Time {
@@ -174,63 +180,65 @@
 	return b
 }
 
-// turns returns the engines that may switch now: those that were given their turn
-// and haven't switched, and then as many more as SwitchShare allows, the oldest
-// serving version first, or some would be overtaken each time. An
-// engine that leaves its turn unused for TurnTimeout (its holder is down, its
-// switch fails) no longer blocks the others; it keeps its own turn.
+// enginesToSwitch returns the engines that may switch now: those that have a turn and haven't
+// switched yet, and as many more as SwitchShare allows. The latter are those that serve the
+// oldest versions, since in a fixed order some engines would be overtaken each time. An engine
+// that doesn't use its turn within TurnTimeout, because the holder of its lease is down or
+// its switch fails, no longer keeps others from switching. It keeps its own turn.
 //
-// Daemons see reports at slightly different moments, so together they may exceed
-// the share by the engines whose reports are on the way.
-func (p *Planner) turns(engines []Engine, in Input, now time.Time) []*Engine {
-	limit := p.turnLimit(engines, in)
-	if !now.Before(p.switchFrom(engines, in).Add(p.opts.SwitchWithin)) {
+// Daemons see reports at slightly different times. Together they may exceed the share by the
+// engines whose reports are on the way.
+func (p *Planner) enginesToSwitch(engines []Engine, in Input, now time.Time) []*Engine {
+	limit := p.maxTurns(engines, in)
+	if !now.Before(p.switchStart(engines, in).Add(p.opts.SwitchAllAfter)) {
 		limit = len(engines)
 	}
-	taken := 0
-	var mayNow, waiting []*Engine
+	turnsInUse := 0
+	var withTurn, waiting []*Engine
 	for i := range engines {
 		e := &engines[i]
-		given := p.given[e.Name]
+		current := p.turns[e.Name]
 		switch {
-		case !e.usable() || e.target(p.ready) == 0:
-		case given.at.IsZero() || given.serving != e.Serving:
-			// An engine that loads can't use a turn, and would keep others from theirs.
-			if p.attempt(e.Name).flight == nil {
+		case !e.usable() || e.switchTarget(p.readyVersion) == 0:
+		case current.givenAt.IsZero() || current.servedThen != e.Serving:
+			// An engine with an order in flight can't use a turn, and would keep others from
+			// switching.
+			if p.orderStateOf(e.Name).inFlight == nil {
 				waiting = append(waiting, e)
 			}
 		default:
-			mayNow = append(mayNow, e)
-			if p.blocks(e, now) {
-				taken++
+			withTurn = append(withTurn, e)
+			if p.usesTurn(e, now) {
+				turnsInUse++
 			}
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *Engine) int { return cmp.Compare(a.Serving, b.Serving) })
-	for _, e := range waiting[:min(max(limit-taken, 0), len(waiting))] {
-		p.given[e.Name] = turn{now, e.Serving}
-		mayNow = append(mayNow, e)
+	for _, e := range waiting[:min(max(limit-turnsInUse, 0), len(waiting))] {
+		p.turns[e.Name] = turn{now, e.Serving}
+		withTurn = append(withTurn, e)
 	}
-	return mayNow
+	return withTurn
 }
 
-// turn is leave to switch. It lasts until the engine serves another version, also
-// when a newer one gets ready meanwhile.
+// turn is the permission of an engine to switch. It lasts until the engine serves another
+// version, even if a newer one becomes ready meanwhile.
 type turn struct {
-	at      time.Time
-	serving ident.Version // by the engine when it was given
+	givenAt    time.Time
+	servedThen ident.Version // version that the engine served when it got the turn
 }
 
-// blocks reports whether an engine that has its turn still counts as switching.
-func (p *Planner) blocks(e *Engine, now time.Time) bool {
-	return p.attempt(e.Name).flight != nil || now.Before(p.given[e.Name].at.Add(p.opts.TurnTimeout))
+// usesTurn reports whether an engine that has a turn still counts as switching.
+func (p *Planner) usesTurn(e *Engine, now time.Time) bool {
+	return p.orderStateOf(e.Name).inFlight != nil || now.Before(p.turns[e.Name].givenAt.Add(p.opts.TurnTimeout))
 }
 
-// turnLimit is at least one, or a small group would never switch.
-func (p *Planner) turnLimit(engines []Engine, in Input) int {
+// maxTurns returns how many engines may switch at a time. It is at least one, since a small
+// group would never switch otherwise.
+func (p *Planner) maxTurns(engines []Engine, in Input) int {
 	share := p.opts.SwitchShare
-	if p.urgent(engines, in) {
-		share = p.opts.UrgentShare
+	if p.switchesUrgent(engines, in) {
+		share = p.opts.UrgentSwitchShare
 	}
 	usable := 0
 	for i := range engines {
--- a/internal/weightsync/expect.go
+++ b/internal/weightsync/expect.go
@@ -7,23 +7,23 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// maxHints bounds the models that wait for a poll at once.
-const maxHints = 64
+// maxPendingPolls bounds the models queued for an immediate poll.
+const maxPendingPolls = 64
 
-// expectations are versions that trainers name and the store hasn't shown yet.
-type expectations struct {
-	newest map[ident.Model]ident.Version // under the syncer's lock
-	polls  chan ident.Model              // to be polled at once
+// expectedVersions holds the versions that trainers named and that the weight store didn't list
+// yet.
+type expectedVersions struct {
+	newest  map[ident.Model]ident.Version // newest version named; guarded by Syncer.mu
+	pollNow chan ident.Model              // models to poll at once
 }
 
-func newExpectations() expectations {
-	return expectations{newest: map[ident.Model]ident.Version{}, polls: make(chan ident.Model, maxHints)}
+func newExpectedVersions() expectedVersions {
+	return expectedVersions{newest: map[ident.Model]ident.Version{}, pollNow: make(chan ident.Model, maxPendingPolls)}
 }
 
-// Expect has the store asked for a model's versions at once, since a trainer names a
-// newer one than is known: its next step waits for engines to load it. It is asked
-// once for each version named, whatever trainers say; the rest is up to the
-// regular polls.
+// Expect polls the versions of a model at once if a trainer names a newer one than is known,
+// since the trainer's next step waits for engines to load it. There is one such poll for each
+// version named, however often trainers name it. Any further polls are the regular ones.
 func (s *Syncer) Expect(model ident.Model, v ident.Version) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,13 +32,13 @@
 	}
 	s.expected.newest[model] = v
 	select {
-	case s.expected.polls <- model:
-	default: // the regular polls will do
+	case s.expected.pollNow <- model:
+	default: // left to the regular polls
 	}
 }
 
-// pause waits for d and polls the models that trainers expect news of meanwhile.
-func (s *Syncer) pause(ctx context.Context, d time.Duration) {
+// waitAndPoll waits for d. Meanwhile it polls the models of which trainers expect new versions.
+func (s *Syncer) waitAndPoll(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for {
@@ -47,7 +47,7 @@
 			return
 		case <-ctx.Done():
 			return
-		case model := <-s.expected.polls:
+		case model := <-s.expected.pollNow:
 			s.poll(ctx, model)
 		}
 	}
--- a/internal/weightsync/leases.go
+++ b/internal/weightsync/leases.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	readLimit      = 256
-	readSlack      = time.Second // beyond PollWait, then the connection counts as silent
+	maxPageRecords = 256         // records in one read
+	readSlack      = time.Second // a read may take this long beyond PollWait; after that, the connection counts as silent
 	readBackoffMin = 100 * time.Millisecond
 	readBackoffMax = 2 * time.Second
 )
 
-// followLeases reads a leases stream from its oldest kept record on.
+// followLeases reads a lease stream from its oldest kept record on, until ctx ends.
 func (s *Syncer) followLeases(ctx context.Context, stream *leaseStream) error {
 	backoff := readBackoffMin
 	for ctx.Err() == nil {
@@ -37,66 +37,67 @@
 	return nil
 }
 
+// readLeases reads one page of a lease stream and applies it.
 func (s *Syncer) readLeases(ctx context.Context, stream *leaseStream) error {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.PollWait+readSlack)
 	defer cancel()
-	page, err := s.opts.Log.Read(ctx, infra.LeaseStream(stream.dataCentre), stream.next, readLimit, s.opts.PollWait)
-	if errors.Is(err, infra.ErrExpired) && page.First > stream.next {
-		stream.next = page.First // what expired is older than any lease
+	page, err := s.opts.Log.Read(ctx, infra.LeaseStream(stream.dataCentre), stream.nextOffset, maxPageRecords, s.opts.PollWait)
+	if errors.Is(err, infra.ErrExpired) && page.First > stream.nextOffset {
+		stream.nextOffset = page.First // expired records are older than any lease
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	s.foldLeases(stream, page)
+	s.applyPage(stream, page)
 	return nil
 }
 
-func (s *Syncer) foldLeases(stream *leaseStream, page infra.Page) {
+// applyPage applies the records of a page to the stream's lease table.
+func (s *Syncer) applyPage(stream *leaseStream, page infra.Page) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, rec := range page.Records {
-		if rec.Offset < stream.next {
+		if rec.Offset < stream.nextOffset {
 			continue
 		}
-		stream.next = rec.Offset + 1
+		stream.nextOffset = rec.Offset + 1
 		r, err := lease.Decode(rec.Data)
 		if err != nil {
 			metrics.Counter("lease_records_skipped").Add(1)
 			continue
 		}
-		stream.table.Read(rec.Offset, r, time.Now())
+		stream.table.Apply(rec.Offset, r, time.Now())
 	}
-	metrics.Gauge("leases_held").Set(int64(s.held()))
+	metrics.Gauge("leases_held").Set(int64(s.heldCountLocked()))
 }
 
-// batch is records to append to one stream.
-type batch struct {
+// leaseBatch is a batch of records to append to one stream.
+type leaseBatch struct {
 	stream  *leaseStream
 	records []lease.Record
 }
 
-// planLeases returns the records to append now, of streams without an append under
-// way.
-func (s *Syncer) planLeases(wants map[ident.DataCentre][]lease.Want) []batch {
+// planLeases returns the records to append now, for the streams without an append in flight.
+func (s *Syncer) planLeases(candidates map[ident.DataCentre][]lease.Candidate) []leaseBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var batches []batch
-	for _, stream := range s.sortedStreams() {
-		if stream.appending || s.closing {
+	var batches []leaseBatch
+	for _, stream := range s.sortedStreamsLocked() {
+		if stream.appending || s.stopped {
 			continue
 		}
-		if records := stream.table.Plan(wants[stream.dataCentre], time.Now()); len(records) > 0 {
+		if records := stream.table.Plan(candidates[stream.dataCentre], time.Now()); len(records) > 0 {
 			stream.appending = true
-			batches = append(batches, batch{stream, records})
+			batches = append(batches, leaseBatch{stream, records})
 		}
 	}
 	return batches
 }
 
-// appendLeases writes records. Its result decides nothing: a lease counts once
-// read back, and Plan asks again after a third of its duration.
-func (s *Syncer) appendLeases(ctx context.Context, b batch) {
+// appendLeases appends records. Its result isn't used: a lease counts once its record is read
+// back, and a record that isn't is planned again after a third of the lease's duration.
+func (s *Syncer) appendLeases(ctx context.Context, b leaseBatch) {
 	defer func() {
 		s.mu.Lock()
 		b.stream.appending = false
@@ -106,7 +107,7 @@
 	for _, r := range b.records {
 		encoded, err := lease.Encode(r)
 		if err != nil {
-			s.opts.Logger.Error().Err(err).Msg("lease record not written")
+			s.opts.Logger.Error().Err(err).Msg("failed to encode a lease record")
 			return
 		}
 		data = append(data, encoded)
@@ -118,44 +119,44 @@
 	}
 }
 
-// releaseLeases lets others order at once after a graceful stop. When the append
-// fails, they wait for the lease to run out.
+// releaseLeases releases the leases on a graceful stop, so that other daemons can send orders
+// at once. If an append fails, they wait until the leases have expired.
 func (s *Syncer) releaseLeases(ctx context.Context) {
 	var g errgroup.Group
-	for _, b := range s.releases() {
+	for _, b := range s.planReleases() {
 		g.Go(func() error { s.appendLeases(ctx, b); return nil })
 	}
 	_ = g.Wait() // the appends return no error
 }
 
-// releases gives up all leases; no order is sent any more.
-func (s *Syncer) releases() []batch {
+// planReleases returns the records that release all leases, and stops the sending of orders.
+func (s *Syncer) planReleases() []leaseBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing = true
-	var batches []batch
-	for _, stream := range s.sortedStreams() {
+	s.stopped = true
+	var batches []leaseBatch
+	for _, stream := range s.sortedStreamsLocked() {
 		if record, held := stream.table.Release(time.Now()); held {
-			batches = append(batches, batch{stream, []lease.Record{record}})
+			batches = append(batches, leaseBatch{stream, []lease.Record{record}})
 		}
 	}
 	return batches
 }
 
-// wants lists the engines of the targets by data centre, with those that this daemon
-// owns. Engines whose leases don't concern it are left out.
-func (s *Syncer) wants(groups map[string][]EngineState) map[ident.DataCentre][]lease.Want {
-	seen := map[ident.Upstream]bool{}
-	wants := map[ident.DataCentre][]lease.Want{}
+// leaseCandidates returns the engines of the groups as candidates for leases, by data centre.
+// It omits engines that are leaving, and data centres whose leases this daemon doesn't follow.
+func (s *Syncer) leaseCandidates(groups map[string][]EngineState) map[ident.DataCentre][]lease.Candidate {
+	listed := map[ident.Upstream]bool{}
+	candidates := map[ident.DataCentre][]lease.Candidate{}
 	for _, group := range sortedKeys(groups) {
 		for _, e := range groups[group] {
-			if seen[e.Name] || e.Leaving || !s.opts.Owners.Follows(e.DataCentre) {
+			if listed[e.Name] || e.Leaving || !s.opts.Owners.Follows(e.DataCentre) {
 				continue
 			}
-			seen[e.Name] = true
+			listed[e.Name] = true
 			owner := s.opts.Owners.Owns(e.Name, e.DataCentre)
-			wants[e.DataCentre] = append(wants[e.DataCentre], lease.Want{Upstream: e.Name, Owner: owner})
+			candidates[e.DataCentre] = append(candidates[e.DataCentre], lease.Candidate{Upstream: e.Name, Owner: owner})
 		}
 	}
-	return wants
+	return candidates
 }
--- a/internal/weightsync/options.go
+++ b/internal/weightsync/options.go
@@ -14,14 +14,14 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// EngineState is what dispatch knows of an engine.
+// EngineState is the state of one engine.
 type EngineState struct {
 	Name          ident.Upstream
 	Address       string // ip:port
 	DataCentre    ident.DataCentre
-	ChecksFencing bool
-	Serving       map[ident.Model]ident.Version
-	Loaded        map[ident.Model][]ident.Version
+	ChecksFencing bool                            // it rejects orders with an old fencing token
+	Serving       map[ident.Model]ident.Version   // version served, by model
+	Loaded        map[ident.Model][]ident.Version // versions held in memory, by model
 	Up            bool
 	Leaving       bool
 }
@@ -31,105 +31,110 @@
 	Engines(group string) []EngineState
 }
 
-// Orderer sends one order to an engine; *upstream.Client is one.
+// Orderer sends an order to an engine. *upstream.Client implements it.
 type Orderer interface {
 	Order(ctx context.Context, to upstream.Target, order wire.Order) (wire.OrderResult, error)
 }
 
-// Owners says which engines this daemon looks after: those of its own data centre
-// that fall to it, and those of data centres without daemons.
+// Owners decides which engines this daemon is responsible for: the engines of its own data
+// centre that are assigned to it, and those of data centres without daemons.
 type Owners interface {
+	// Owns reports whether this daemon is responsible for an engine.
 	Owns(engine ident.Upstream, dc ident.DataCentre) bool
-	// Follows says whether this daemon may come to own engines of a data centre, and
-	// has to follow their leases.
+	// Follows reports whether this daemon may become responsible for engines of a data centre,
+	// and so has to follow their leases.
 	Follows(dc ident.DataCentre) bool
 }
 
-// Target is a model of the configuration and the group that serves it.
+// Target is a configured model and the group that serves it.
 type Target struct {
 	Model           ident.Model
 	Group           string
-	StalenessWeight float64
-	// StalenessBound is the smallest bound, in versions, of the jobs that sample the
-	// model; nil: unknown, so that no switch counts as waited for.
+	StalenessWeight float64 // from 0, let running steps finish, to 1, switch at once
+	// StalenessBound is the smallest staleness bound, in versions, of the jobs that sample the
+	// model. If it is nil, the bound is unknown and no switch is urgent.
 	StalenessBound *int64
 }
 
-// needed is the oldest version that a sample begun now may name, 0 when unknown.
-func (t Target) needed(newest ident.Version) ident.Version {
+// minVersion returns the oldest version that a new sample may use, 0 if unknown. newest is the
+// newest published version.
+func (t Target) minVersion(newest ident.Version) ident.Version {
 	if t.StalenessBound == nil {
 		return 0
 	}
 	return max(newest-ident.Version(*t.StalenessBound), 0)
 }
 
-// Options configures a Syncer. The first block is required, zero values of the
-// rest take the defaults.
+// Options configures a Syncer. The fields of the first block are required. Zero values of the
+// others stand for the defaults.
 type Options struct {
-	Self    ident.VM
+	Self    ident.VM // this daemon's VM
 	Log     infra.Log
 	Store   infra.WeightStore
 	Engines Engines
 	Orderer Orderer
 	Owners  Owners
-	Targets func() []Target // from the newest configuration
-	// Configured says whether an upstream is in the configuration: in a large group
-	// Engines lists only some.
+	Targets func() []Target // returns the targets of the newest configuration
+	// Configured reports whether an upstream is in the configuration. In a large group, Engines
+	// lists only some.
 	Configured func(ident.Upstream) bool
 
-	// Applied hears of an engine that carried out an order, so that its load report
-	// can be asked for at once; default none.
+	// Applied is called when an engine has applied an order, so that its load report can be
+	// requested at once; default none.
 	Applied func(group string, engine ident.Upstream)
 	Logger  zerolog.Logger
-	// StartSpread spreads the first reads of daemons that start together; 0: none.
+	// StartSpread is the time over which daemons that start together spread their first reads
+	// of the log, 0 for none.
 	StartSpread time.Duration
-	// PollInterval between reads of one model's versions, default 1 s, jittered.
+	// PollInterval is the least time between two polls of a model's versions, default 1 s, with
+	// jitter.
 	PollInterval time.Duration
-	// PollBudget is what all daemons together read from the weight store, default 20 a second.
-	// With many daemons each polls less often and hears from its peers.
-	PollBudget float64
-	// Daemons returns how many daemons poll, default 1.
+	// MaxPollsPerSecond is the rate at which all daemons together poll the weight store, default
+	// 20. With many daemons, each polls less often and learns of versions from its peers.
+	MaxPollsPerSecond float64
+	// Daemons returns the number of daemons that poll, default 1.
 	Daemons func() int
-	// StepInterval between looks at the engines, default 200 ms.
-	StepInterval time.Duration
-	// LeaseDuration, default 15 s. OrderDeadline, default 2 s: an engine that hasn't begun
-	// an order by then drops it. Margin, default 1 s, see package lease.
-	LeaseDuration time.Duration
-	OrderDeadline time.Duration
-	Margin        time.Duration
-	// LoadTimeout and SwitchTimeout bound the wait for an order's answer,
-	// defaults 5 min and 30 s.
+	// ReconcileInterval is the time between two plans of leases and orders, default 200 ms.
+	ReconcileInterval time.Duration
+	// LeaseDuration defaults to 15 s. OrderStartTimeout, default 2 s, is the time after which an
+	// engine drops an order that it hasn't begun. TransitMargin defaults to 1 s; see package
+	// lease.
+	LeaseDuration     time.Duration
+	OrderStartTimeout time.Duration
+	TransitMargin     time.Duration
+	// LoadTimeout and SwitchTimeout bound the wait for the answer to an order, default 5 min and
+	// 30 s.
 	LoadTimeout   time.Duration
 	SwitchTimeout time.Duration
-	// CallTimeout bounds one call of the log or the store, default 2 s.
+	// CallTimeout bounds one call of the log or the weight store, default 2 s.
 	CallTimeout time.Duration
-	// PollWait is how long the log may hold a read open, default 5 s.
+	// PollWait is how long the log may wait for new records in a read, default 5 s.
 	PollWait time.Duration
-	// Planner's options.
+	// Planner configures the planners.
 	Planner weights.Options
 }
 
 // Defaults of Options.
 const (
-	defaultPollInterval  = time.Second
-	defaultPollBudget    = 20
-	defaultStepInterval  = 200 * time.Millisecond
-	defaultLeaseDuration = 15 * time.Second
-	defaultOrderDeadline = 2 * time.Second
-	defaultMargin        = time.Second
-	defaultLoadTimeout   = 5 * time.Minute
-	defaultSwitchTimeout = 30 * time.Second
-	defaultCallTimeout   = 2 * time.Second
-	defaultPollWait      = 5 * time.Second
+	defaultPollInterval      = time.Second
+	defaultMaxPollsPerSecond = 20
+	defaultReconcileInterval = 200 * time.Millisecond
+	defaultLeaseDuration     = 15 * time.Second
+	defaultOrderStartTimeout = 2 * time.Second
+	defaultTransitMargin     = time.Second
+	defaultLoadTimeout       = 5 * time.Minute
+	defaultSwitchTimeout     = 30 * time.Second
+	defaultCallTimeout       = 2 * time.Second
+	defaultPollWait          = 5 * time.Second
 )
 
 func (o Options) withDefaults() Options {
 	o.PollInterval = cmp.Or(o.PollInterval, defaultPollInterval)
-	o.PollBudget = cmp.Or(o.PollBudget, defaultPollBudget)
-	o.StepInterval = cmp.Or(o.StepInterval, defaultStepInterval)
+	o.MaxPollsPerSecond = cmp.Or(o.MaxPollsPerSecond, defaultMaxPollsPerSecond)
+	o.ReconcileInterval = cmp.Or(o.ReconcileInterval, defaultReconcileInterval)
 	o.LeaseDuration = cmp.Or(o.LeaseDuration, defaultLeaseDuration)
-	o.OrderDeadline = cmp.Or(o.OrderDeadline, defaultOrderDeadline)
-	o.Margin = cmp.Or(o.Margin, defaultMargin)
+	o.OrderStartTimeout = cmp.Or(o.OrderStartTimeout, defaultOrderStartTimeout)
+	o.TransitMargin = cmp.Or(o.TransitMargin, defaultTransitMargin)
 	o.LoadTimeout = cmp.Or(o.LoadTimeout, defaultLoadTimeout)
 	o.SwitchTimeout = cmp.Or(o.SwitchTimeout, defaultSwitchTimeout)
 	o.CallTimeout = cmp.Or(o.CallTimeout, defaultCallTimeout)
--- a/internal/weightsync/poll.go
+++ b/internal/weightsync/poll.go
@@ -10,28 +10,30 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/metrics"
 )
 
-// pollLoop asks the weight store for the versions of each model in turn.
+// pollLoop polls the weight store for the versions of all models, one after the other.
 func (s *Syncer) pollLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		models := s.models()
 		for _, model := range models {
 			s.poll(ctx, model)
 		}
-		s.pause(ctx, jitter(s.pollInterval(len(models))))
+		s.waitAndPoll(ctx, jitter(s.pollInterval(len(models))))
 	}
 	return nil
 }
 
-// pollInterval keeps all daemons together within PollBudget.
+// pollInterval returns the time between two rounds of polls, which keeps all daemons together
+// within MaxPollsPerSecond. models is the number of models polled in a round.
 func (s *Syncer) pollInterval(models int) time.Duration {
-	perSecond := float64(models*max(s.opts.Daemons(), 1)) / s.opts.PollBudget
-	return max(s.opts.PollInterval, time.Duration(perSecond*float64(time.Second)))
+	seconds := float64(models*max(s.opts.Daemons(), 1)) / s.opts.MaxPollsPerSecond
+	return max(s.opts.PollInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// jitter varies d by up to a quarter either way, so that daemons started together
-// don't poll together.
+// jitter varies d by up to a quarter in either direction, so that daemons that started
+// together don't poll together.
 func jitter(d time.Duration) time.Duration { return d*3/4 + rand.N(d/2+1) }
 
+// models returns the models of the targets.
 func (s *Syncer) models() []ident.Model {
 	var models []ident.Model
 	for _, t := range s.opts.Targets() {
@@ -42,6 +44,7 @@
 	return models
 }
 
+// poll asks the weight store for the versions of a model.
 func (s *Syncer) poll(ctx context.Context, model ident.Model) {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	defer cancel()
--- a/internal/weightsync/streams.go
+++ b/internal/weightsync/streams.go
@@ -15,52 +15,52 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// unneededFor is how long a stream is still followed after it stopped to concern
-// this daemon: membership may come and go.
-const unneededFor = time.Minute
+// streamLinger is how long a stream is followed after this daemon last needed it, since the
+// membership may change back.
+const streamLinger = time.Minute
 
-// leaseStream is the leases on one data centre's engines. An engine's leases all
-// stand in the stream of its data centre, so that its fencing numbers, which are
-// offsets there, only grow. The configuration refuses another data centre for an
-// upstream that it has; see package config.
+// leaseStream holds the leases on the engines of one data centre. All leases on an engine are
+// in the stream of its data centre. Its fencing tokens, which are offsets in that stream,
+// therefore only grow. The configuration doesn't allow an existing upstream to move to another
+// data centre; see package config.
 //
-// A stream that is followed anew, with a table that knows nothing, is safe: it is
-// read from its oldest kept record on, and a claim appended meanwhile counts only
-// when it is read back, behind all earlier holders' records.
+// It is safe to follow a stream anew with an empty table: the stream is read from the oldest
+// record that the log keeps, and a claim that is appended meanwhile counts only once it is
+// read back, after the records of all earlier holders.
 type leaseStream struct {
 	dataCentre ident.DataCentre
 	table      *lease.Table
-	next       ident.Offset // next record to read
-	appending  bool         // one append at a time
-	needed     time.Time    // last time it concerned this daemon
-	stop       context.CancelFunc
+	nextOffset ident.Offset       // of the next record to read
+	appending  bool               // an append is in flight; there is one at a time
+	lastNeeded time.Time          // when this daemon last needed the stream
+	stop       context.CancelFunc // stops following the stream
 }
 
-// followNeeded starts to follow the streams that concern this daemon, and leaves
-// those that haven't for a while.
-func (s *Syncer) followNeeded(ctx context.Context, g *errgroup.Group, groups map[string][]EngineState) {
+// updateStreams starts following the streams that this daemon needs, and stops following those
+// that it hasn't needed for some time.
+func (s *Syncer) updateStreams(ctx context.Context, g *errgroup.Group, groups map[string][]EngineState) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for dc := range centres(groups) {
+	for dc := range dataCentresOf(groups) {
 		if !s.opts.Owners.Follows(dc) {
 			continue
 		}
 		if s.streams[dc] == nil {
-			s.streams[dc] = s.follow(ctx, g, dc)
+			s.streams[dc] = s.startStream(ctx, g, dc)
 		}
-		s.streams[dc].needed = now
+		s.streams[dc].lastNeeded = now
 	}
 	for dc, stream := range s.streams {
-		if now.Sub(stream.needed) > unneededFor {
+		if now.Sub(stream.lastNeeded) > streamLinger {
 			stream.stop()
 			delete(s.streams, dc)
 		}
 	}
 }
 
-// centres returns the data centres of the engines.
-func centres(groups map[string][]EngineState) map[ident.DataCentre]bool {
+// dataCentresOf returns the data centres of the engines.
+func dataCentresOf(groups map[string][]EngineState) map[ident.DataCentre]bool {
 	all := map[ident.DataCentre]bool{}
 	for _, engines := range groups {
 		for _, e := range engines {
@@ -70,18 +70,19 @@
 	return all
 }
 
-func (s *Syncer) follow(ctx context.Context, g *errgroup.Group, dc ident.DataCentre) *leaseStream {
+// startStream starts following the stream of a data centre.
+func (s *Syncer) startStream(ctx context.Context, g *errgroup.Group, dc ident.DataCentre) *leaseStream {
 	ctx, stop := context.WithCancel(ctx)
 	stream := &leaseStream{
 		dataCentre: dc,
-		next:       1,
+		nextOffset: 1,
 		stop:       stop,
 		table: lease.NewTable(lease.Options{
-			Self:          s.opts.Self,
-			Nonce:         newNonce(),
-			Duration:      s.opts.LeaseDuration,
-			OrderDeadline: s.opts.OrderDeadline,
-			Margin:        s.opts.Margin,
+			Self:              s.opts.Self,
+			Nonce:             newNonce(),
+			Duration:          s.opts.LeaseDuration,
+			OrderStartTimeout: s.opts.OrderStartTimeout,
+			TransitMargin:     s.opts.TransitMargin,
 		}),
 	}
 	g.Go(func() error {
@@ -94,8 +95,8 @@
 	return stream
 }
 
-// sortedStreams returns the streams by data centre. Callers hold s.mu.
-func (s *Syncer) sortedStreams() []*leaseStream {
+// sortedStreamsLocked returns the streams, sorted by data centre. s.mu must be held.
+func (s *Syncer) sortedStreamsLocked() []*leaseStream {
 	var list []*leaseStream
 	for _, dc := range slices.Sorted(maps.Keys(s.streams)) {
 		list = append(list, s.streams[dc])
@@ -103,8 +104,8 @@
 	return list
 }
 
-// held counts the leases held. Callers hold s.mu.
-func (s *Syncer) held() (n int) {
+// heldCountLocked returns the number of leases held. s.mu must be held.
+func (s *Syncer) heldCountLocked() (n int) {
 	for _, stream := range s.streams {
 		n += len(stream.table.Held())
 	}
