--- a/internal/loads/claims.go
+++ b/internal/loads/claims.go
@@ -51,8 +51,8 @@
 	Holder  string `cbor:"2,keyasint"` // VM that appended the claim
 	// Seen is the offset after the last record that the VM had read.
 	Seen int64 `cbor:"3,keyasint"`
-	// Token is a nonce that is unique to this claim, so that its VM finds it in the log even
-	// if the append had no answer.
+	// Token is unique to this claim. It lets the VM find the claim in the log even if the
+	// append had no answer.
 	Token uint64 `cbor:"4,keyasint"`
 }
 
