--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -6,7 +6,8 @@
 //
 // The order of the log decides: the newest valid record names the holder, and its offset is
 // the fencing token. A claim always takes the lease over. A renewal is valid only while its
-// nonce still holds the lease, and a release only if it comes from the holder.
+// nonce still holds the lease, or if no record of the lease is known. A release is valid
+// only if it comes from the holder.
 //
 // # Upstreams that check the fencing token
 //
