--- a/internal/batch/blob.go
+++ b/internal/batch/blob.go
@@ -7,11 +7,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// overheadBytes covers the fields of an encoded item or request beside its strings.
+// overheadBytes is an upper bound of the size of an encoded item or request without its
+// strings.
 const overheadBytes = 96
 
-// PackRequests puts the requests of a batch into blobs of at most limit bytes and
-// returns how many are in each. A single request above the limit is an error.
+// PackRequests encodes the requests of a batch as blobs of at most limit bytes and returns
+// how many each blob holds. A single request above the limit is an error.
 func PackRequests(requests []Request, limit int) (blobs [][]byte, counts []int, err error) {
 	for len(requests) > 0 {
 		n, size := 0, overheadBytes
@@ -33,6 +34,7 @@
 	return blobs, counts, nil
 }
 
+// size returns an upper bound of the request's size when encoded, in bytes.
 func (r Request) size() int {
 	n := overheadBytes + len(r.Path) + len(r.Body)
 	for name, value := range r.Header {
@@ -44,7 +46,7 @@
 	return n
 }
 
-// UnpackRequests reads a blob of PackRequests. Error: ErrMalformed.
+// UnpackRequests decodes a blob of PackRequests. Error: ErrMalformed.
 func UnpackRequests(blob []byte) ([]Request, error) {
 	var out []Request
 	if err := cbor.Unmarshal(blob, &out); err != nil {
@@ -53,8 +55,8 @@
 	return out, nil
 }
 
-// RequestBlob returns the offset of the blob with an item's request, and the
-// request's place in it.
+// RequestBlob returns the offset of the blob that holds an item's request, and the index of
+// the request in it. If there is none, the offset is math.MaxInt64.
 func (h Head) RequestBlob(item int) (offset int64, index int) {
 	for i, n := range h.RequestCounts {
 		if item < n {
@@ -65,7 +67,7 @@
 	return math.MaxInt64, 0
 }
 
-// PackText puts the data of events into a blob.
+// PackText encodes the data of events as a blob.
 func PackText(events []Event) ([]byte, error) {
 	texts := make([]string, len(events))
 	for i, e := range events {
@@ -74,7 +76,7 @@
 	return cbor.Marshal(texts)
 }
 
-// UnpackText reads a blob of PackText. Error: ErrMalformed.
+// UnpackText decodes a blob of PackText. Error: ErrMalformed.
 func UnpackText(blob []byte) ([]string, error) {
 	var out []string
 	if err := cbor.Unmarshal(blob, &out); err != nil {
@@ -83,7 +85,7 @@
 	return out, nil
 }
 
-// VersionRuns shortens the versions of events.
+// VersionRuns returns the weights versions of the events, run-length encoded.
 func VersionRuns(events []Event) []VersionRun {
 	var out []VersionRun
 	for _, e := range events {
@@ -96,21 +98,20 @@
 	return out
 }
 
-// Split divides a batch into the records of its append, none of them above limit
-// bytes.
-func Split(id, copyID string, head Head, items []Item, limit int) []Accepted {
-	parts := []Accepted{{Batch: id, Copy: copyID, Head: &head}}
-	room := limit - len(head.Host) - len(head.Path) - len(head.Model) - 9*len(head.RequestCounts) - 2*overheadBytes
-	left := room
+// Split returns the records that accept a batch, each of at most limit bytes.
+func Split(id, submissionID string, head Head, items []Item, limit int) []Accepted {
+	parts := []Accepted{{Batch: id, Copy: submissionID, Head: &head}}
+	capacity := limit - len(head.Host) - len(head.Path) - len(head.Model) - 9*len(head.RequestCounts) - 2*overheadBytes
+	free := capacity
 	for _, item := range items {
 		size := overheadBytes + len(item.ID) + len(item.Group) + len(item.Reward)
-		if size > left {
-			parts = append(parts, Accepted{Batch: id, Copy: copyID})
-			left = room
+		if size > free {
+			parts = append(parts, Accepted{Batch: id, Copy: submissionID})
+			free = capacity
 		}
 		last := &parts[len(parts)-1]
 		last.Items = append(last.Items, item)
-		left -= size
+		free -= size
 	}
 	for i := range parts {
 		parts[i].Part = i
--- a/internal/batch/chains.go
+++ b/internal/batch/chains.go
@@ -2,59 +2,62 @@
 
 import "slices"
 
-// chains are the texts that a sample's owners wrote. Two owners run a sample for a moment
-// when one is cut off from the log and another takes over, or when the last pieces of an
-// owner that stops reach the log behind the first ones of the next. If only the first
-// text counted, the other owner would find at its end that it worked for nothing, and run
-// the sample anew, seconds late. So each piece is kept where it belongs.
-type chains struct{ ends map[chainEnd]*piece }
+// segmentChains holds all texts that owners wrote for a sample, as chains of segments that may
+// branch. Two owners may run a sample for a moment: one that is cut off from the log and the
+// one that takes over, or an owner that stops, whose last segments reach the log after the
+// first ones of the next owner. If only the text counted whose segment came first, the other
+// owner would find out at the end that its text doesn't count and run the sample again,
+// seconds late. So every segment that continues one of the chains is kept.
+type segmentChains struct{ ends map[textEnd]*chainNode }
 
-// chainEnd names a place in a text: behind so many events, the last one of this writer.
-type chainEnd struct {
+// textEnd is the end of a chain: the number of its events and the writer of the last segment.
+type textEnd struct {
 	writer string
 	events int
 }
 
-// piece is the last one of a text; the ones before hang on it.
-type piece struct {
-	before  *piece // nil: the text that the sample came with
-	first   Text   // of the first piece, the text that the sample came with
-	segment Segment
-	events  int
-	writer  string
+// chainNode is a segment of a chain. The first node of each chain has no segment and stands
+// for the text that the sample inherited from an earlier batch.
+type chainNode struct {
+	previous  *chainNode // nil for the first node
+	inherited Text       // only in the first node
+	segment   Segment
+	events    int    // number of events up to the end of the segment
+	writer    string // of the segment
 }
 
-// add takes a piece. It returns nil if the piece belongs nowhere, or came before. came is
-// the text that the sample came with, while nothing was added.
-func (c *chains) add(came Text, l Link, s Segment) *piece {
+// add adds a segment and returns its node. It returns nil if the segment continues none of the
+// chains or was added before. inherited is the text that the sample inherited from an earlier
+// batch; only the first call uses it.
+func (c *segmentChains) add(inherited Text, link Link, segment Segment) *chainNode {
 	if c.ends == nil {
-		c.ends = map[chainEnd]*piece{{came.Writer, came.Events}: {first: came, events: came.Events, writer: came.Writer}}
+		c.ends = map[textEnd]*chainNode{{inherited.Writer, inherited.Events}: {inherited: inherited, events: inherited.Events, writer: inherited.Writer}}
 	}
-	before := c.ends[chainEnd{l.Writer, l.From}]
-	if before == nil && l.From == l.Base {
-		before = c.ends[chainEnd{l.After, l.Base}]
+	previous := c.ends[textEnd{link.Writer, link.From}]
+	if previous == nil && link.From == link.Base {
+		previous = c.ends[textEnd{link.After, link.Base}]
 	}
-	if before == nil {
+	if previous == nil {
 		return nil
 	}
-	at := chainEnd{l.Writer, l.From + s.Events}
-	if known := c.ends[at]; known != nil && s.Events > 0 {
-		return nil // a second copy
+	end := textEnd{link.Writer, link.From + segment.Events}
+	if known := c.ends[end]; known != nil && segment.Events > 0 {
+		return nil // the record was read twice
 	}
-	end := &piece{before: before, segment: s, events: at.events, writer: l.Writer}
-	c.ends[at] = end
-	return end
+	node := &chainNode{previous: previous, segment: segment, events: end.events, writer: link.Writer}
+	c.ends[end] = node
+	return node
 }
 
-// text puts a text together from its pieces.
-func (p *piece) text() Text {
-	out := Text{Events: p.events, Writer: p.writer}
-	for ; p.before != nil; p = p.before {
-		if p.segment.Events > 0 {
-			out.Segments = append(out.Segments, p.segment)
+// text returns the text that ends with this node.
+func (n *chainNode) text() Text {
+	out := Text{Events: n.events, Writer: n.writer}
+	for ; n.previous != nil; n = n.previous {
+		if n.segment.Events > 0 {
+			out.Segments = append(out.Segments, n.segment)
 		}
 	}
 	slices.Reverse(out.Segments)
-	out.Segments = append(slices.Clip(p.first.Segments), out.Segments...)
+	out.Segments = append(slices.Clip(n.inherited.Segments), out.Segments...)
 	return out
 }
--- a/internal/batch/fold.go
+++ b/internal/batch/fold.go
@@ -5,83 +5,83 @@
 	"time"
 )
 
-// Fold is the state that the records of one partition make, in the log's order.
-// Every daemon that has read the same records has the same state, times aside.
-// Not safe for concurrent use.
+// Fold is the state that follows from the records of one partition, applied in the log's
+// order. Daemons that have read the same records have the same state, except for times, which
+// are on each daemon's own clock. Not safe for concurrent use.
+//
+// Each batch has a list of results. A sample is listed once it has one.
 //
 // Invariants:
-//   - a batch is accepted once: later copies change nothing;
-//   - a listed sample keeps its position and content;
-//   - a sample's kept text is one chain of pieces, each of which was asked for where
-//     the one before had ended; it is the longest one until a chain is whole, and then
-//     that one for good;
+//   - a batch is accepted once: later records of its acceptance change nothing;
+//   - a listed sample keeps its place in the list and its content;
+//   - the kept text of a sample is one chain of segments, each of which was generated as a
+//     continuation of the ones before; it is the longest chain until one is complete, and
+//     that one from then on;
 //   - a score belongs to the text that it is listed with: the reward call began
 //     after that text's last event.
 type Fold struct {
 	batches map[string]*Batch
-	order   []*Batch // in order of acceptance
-	pending map[string]*pending
-	// newest is the last batch in which a sample's ID came, for text that may be
-	// used again.
-	newest map[string]sampleRef
+	order   []*Batch                 // in order of acceptance
+	pending map[string]*pendingBatch // some parts were read, by the key of the batch
+	latest  map[string]sampleRef     // where a sample ID was last in a batch, for reuse of its text
 }
 
+// sampleRef names a sample of a batch.
 type sampleRef struct {
 	batch *Batch
 	index int
 }
 
-type pending struct {
-	copyID string
-	head   *Head
-	items  []Item
-	next   int
+// pendingBatch holds the parts of a batch whose last part wasn't read yet.
+type pendingBatch struct {
+	submissionID string
+	head         *Head
+	items        []Item
+	nextPart     int // number of the part that must come next
 }
 
 // Batch is one accepted batch.
 type Batch struct {
-	ID string
+	ID string // key of the batch
 	Head
 	Samples []Sample
-	Listed  []int // indices of the samples with a result, in the order of their positions
-	Ended   bool
-	// Seen is when this daemon read of the batch; the batch is older.
+	Listed  []int // indices of the samples with a result, in the order of the results
+	Ended   bool  // the trainer needs no further results
+	// Seen is when this daemon read that the batch is accepted, on its own clock.
 	Seen time.Duration
-	// Since is when it was accepted, as far as this daemon can tell: Seen, or earlier if
-	// the record was read long after. Samples are ordered by it, nothing is given up by it:
-	// VMs' clocks may differ.
+	// Since is this daemon's estimate of when the batch was accepted: when it read that, or
+	// earlier if the record was old by then. It is used to order samples but not to give any
+	// up, because the clocks of VMs may differ.
 	Since time.Duration
 }
 
-// Sample is an item and what is known of its run.
+// Sample is an item of a batch and the state of its run.
 type Sample struct {
 	Item
-	State    State
-	Text     Text // kept text; all of it once Completed
-	Whole    bool // Text is complete
-	Failures int  // answers of upstreams that it failed
-	// RewardFailures are answers of upstreams that its reward call failed.
-	RewardFailures int
-	// Score is that of the result, or one that the same reward call gave the same
-	// text in an earlier batch.
-	Score string
-	// attempts that failed, so that a second copy of a record counts once.
-	failedAttempts []string
-	chains         chains // until the sample is listed
+	State          State
+	Text           Text // the text kept so far
+	Whole          bool // Text is complete
+	Failures       int  // how many responses of upstreams say that the sample failed
+	RewardFailures int  // how many responses of upstreams say that its reward call failed
+	// Score is the score of the result, or one that the same reward call returned for the
+	// same text in an earlier batch.
+	Score          string
+	failedAttempts []string      // IDs of the counted failures, since a record may be read twice
+	chains         segmentChains // empty once the sample is listed
 }
 
-// Stage is what a sample needs next.
+// Stage is the step of its processing that a sample needs next.
 type Stage int
 
 // The stages of an open sample, in order.
 const (
-	Generating Stage = iota
-	Scoring          // its text is whole, its score is wanted
-	Ready            // only its result is to be written
+	Generating Stage = iota // its text isn't complete
+	Scoring                 // its text is complete, its score is missing
+	Ready                   // its result can be written
 )
 
-// Stage returns what the sample needs next by what the log holds. It has no
-// meaning for a listed sample.
+// Stage returns the sample's stage according to the log. It has no meaning for a listed
+// sample.
 func (s *Sample) Stage() Stage {
 	switch {
 	case !s.Whole:
@@ -92,18 +92,18 @@
 	return Ready
 }
 
-// Text is where a sample's text lies.
+// Text is a sample's text in the form of the segments that hold it.
 type Text struct {
 	Segments []Segment
-	Events   int
-	Writer   string // of the last segment, "" for none of this batch
+	Events   int    // number of events in all segments
+	Writer   string // of the last segment, "" if that comes from an earlier batch or there is none
 }
 
-// Closing reports whether the trainer's step is about to end: too few groups are
-// complete, and enough would be once the samples whose text is whole have their scores.
+// Closing reports whether the batch waits only for scores: too few groups are complete for
+// the trainer, and enough would be if the samples with complete text had their scores.
 func (b *Batch) Closing() bool {
-	open := map[string]bool{}       // groups with a sample that isn't listed
-	unfinished := map[string]bool{} // groups with a sample whose text isn't whole
+	awaitingResult := map[string]bool{} // groups with a sample that isn't listed
+	generating := map[string]bool{}     // groups with a sample whose text isn't complete
 	groups := map[string]bool{}
 	for i := range b.Samples {
 		s := &b.Samples[i]
@@ -111,30 +111,32 @@
 		if s.State != Open {
 			continue
 		}
-		open[s.Group] = true
+		awaitingResult[s.Group] = true
 		if s.Stage() == Generating {
-			unfinished[s.Group] = true
+			generating[s.Group] = true
 		}
 	}
-	complete, near := len(groups)-len(open), len(groups)-len(unfinished)
-	return complete < b.WantedGroups && near >= b.WantedGroups
+	complete, scorable := len(groups)-len(awaitingResult), len(groups)-len(generating)
+	return complete < b.WantedGroups && scorable >= b.WantedGroups
 }
 
-// Clip returns the text without room for others to append in place.
+// Clip returns the text without spare capacity for segments, so that appending to the result
+// doesn't change the original's array.
 func (t Text) Clip() Text {
 	t.Segments = slices.Clip(t.Segments)
 	return t
 }
 
-// Fits reports whether the text may be part of a result of the batch.
-func (t Text) Fits(h Head) bool {
+// VersionsAllowed reports whether a result of the batch may contain text by the weights
+// versions that generated this one.
+func (t Text) VersionsAllowed(head Head) bool {
 	first := int64(0)
-	for _, s := range t.Segments {
-		for _, run := range s.Versions {
+	for _, segment := range t.Segments {
+		for _, run := range segment.Versions {
 			if first == 0 {
 				first = run.Version
 			}
-			if run.Version < h.MinVersion || h.SingleVersion && run.Version != first {
+			if run.Version < head.MinVersion || head.SingleVersion && run.Version != first {
 				return false
 			}
 		}
@@ -144,69 +146,71 @@
 
 // NewFold returns the state before the first record.
 func NewFold() *Fold {
-	return &Fold{batches: map[string]*Batch{}, pending: map[string]*pending{}, newest: map[string]sampleRef{}}
+	return &Fold{batches: map[string]*Batch{}, pending: map[string]*pendingBatch{}, latest: map[string]sampleRef{}}
 }
 
-// Apply takes the next record. It returns the batch that changed, nil if none did.
+// Apply applies the next record. now is the time on the daemon's clock. Apply returns the
+// batch that changed, nil if none did.
 func (f *Fold) Apply(record any, now time.Duration) *Batch {
 	switch r := record.(type) {
 	case Accepted:
-		return f.accepted(r, now)
+		return f.applyAccepted(r, now)
 	case Progress:
-		return f.progress(r)
+		return f.applyProgress(r)
 	case Result:
-		return f.result(r)
+		return f.applyResult(r)
 	case Failed:
-		return f.failed(r)
+		return f.applyFailed(r)
 	case Ended:
-		return f.ended(r)
+		return f.applyEnded(r)
 	}
 	return nil
 }
 
-func (f *Fold) accepted(r Accepted, now time.Duration) *Batch {
+func (f *Fold) applyAccepted(r Accepted, now time.Duration) *Batch {
 	if _, known := f.batches[r.Batch]; known {
 		return nil
 	}
 	p := f.pending[r.Batch]
 	if r.Part == 0 && r.Head != nil {
-		p = &pending{copyID: r.Copy, head: r.Head}
+		p = &pendingBatch{submissionID: r.Copy, head: r.Head}
 		f.pending[r.Batch] = p
 	}
-	if p == nil || p.copyID != r.Copy || p.next != r.Part {
+	if p == nil || p.submissionID != r.Copy || p.nextPart != r.Part {
 		return nil
 	}
 	p.items = append(p.items, r.Items...)
-	p.next++
-	if p.next < r.Parts {
+	p.nextPart++
+	if p.nextPart < r.Parts {
 		return nil
 	}
 	delete(f.pending, r.Batch)
-	return f.accept(r.Batch, p, now)
+	return f.addBatch(r.Batch, p, now)
 }
 
-func (f *Fold) accept(id string, p *pending, now time.Duration) *Batch {
+func (f *Fold) addBatch(id string, p *pendingBatch, now time.Duration) *Batch {
 	b := &Batch{ID: id, Head: *p.head, Samples: make([]Sample, len(p.items)), Seen: now, Since: now}
 	for i, item := range p.items {
 		b.Samples[i] = Sample{Item: item}
-		f.reuse(b, &b.Samples[i])
-		f.newest[item.ID] = sampleRef{b, i}
+		f.reuseText(b, &b.Samples[i])
+		f.latest[item.ID] = sampleRef{b, i}
 	}
 	f.batches[id] = b
 	f.order = append(f.order, b)
 	return b
 }
 
-// reuse takes over the text of the same sample in an earlier batch of its customer if its
-// weights are new enough for this one. A score is taken over only with the whole text that it was
-// given to, and if this batch asks for the same reward call.
-func (f *Fold) reuse(b *Batch, s *Sample) {
-	ref, ok := f.newest[s.ID]
+// reuseText copies to s the text that the sample with the same ID has in the latest earlier
+// batch, if that batch has the same customer and model and b allows the text's weights
+// versions. The score is copied only together with the complete text that it was returned for,
+// and only if both batches ask for the same reward call.
+func (f *Fold) reuseText(b *Batch, s *Sample) {
+	ref, ok := f.latest[s.ID]
 	if !ok || ref.batch.Model != b.Model || ref.batch.Customer != b.Customer {
 		return
 	}
 	earlier := &ref.batch.Samples[ref.index]
-	if !earlier.Text.Fits(b.Head) {
+	if !earlier.Text.VersionsAllowed(b.Head) {
 		return
 	}
 	s.Text = earlier.Text.Clip()
@@ -217,6 +221,7 @@
 	}
 }
 
+// sample returns a sample and its batch, nil if there is no such sample.
 func (f *Fold) sample(batch string, index int) (*Batch, *Sample) {
 	b := f.batches[batch]
 	if b == nil || index < 0 || index >= len(b.Samples) {
@@ -225,64 +230,65 @@
 	return b, &b.Samples[index]
 }
 
-func (f *Fold) progress(r Progress) *Batch {
+func (f *Fold) applyProgress(r Progress) *Batch {
 	b, s := f.sample(r.Batch, r.Item)
 	if s == nil || s.State != Open || s.Whole {
 		return nil
 	}
-	end := s.chains.add(s.Text, r.Link, r.Segment)
-	if end == nil {
+	node := s.chains.add(s.Text, r.Link, r.Segment)
+	if node == nil {
 		return nil
 	}
-	if r.Whole || end.events > s.Text.Events {
-		s.Text = end.text()
+	if r.Whole || node.events > s.Text.Events {
+		s.Text = node.text()
 	}
 	s.Whole = r.Whole
 	return b
 }
 
-func (f *Fold) result(r Result) *Batch {
+func (f *Fold) applyResult(r Result) *Batch {
 	b, s := f.sample(r.Batch, r.Item)
 	if s == nil || s.State != Open || r.State == Open {
 		return nil
 	}
-	if r.State == Completed && !s.complete(r) {
+	if r.State == Completed && !s.applyCompletion(r) {
 		return nil
 	}
 	s.State = r.State
-	s.chains = chains{}
+	s.chains = segmentChains{}
 	b.Listed = append(b.Listed, r.Item)
 	return b
 }
 
-// complete takes the text's last piece, or the score of a whole text. It reports
-// false if the result belongs to another text than the kept one.
-func (s *Sample) complete(r Result) bool {
+// applyCompletion adds the text's last segment, or sets the score of a complete text. It
+// returns false, and changes nothing, if the result doesn't belong to the kept text.
+func (s *Sample) applyCompletion(r Result) bool {
 	switch {
 	case s.Reward != "":
-		// Two owners may have generated two texts. A score given to the one that the
-		// log didn't keep was asked for before the kept one ended.
+		// Two owners may have generated two texts. The score of the one that wasn't kept
+		// doesn't belong to the kept text: its call may have begun before that one was
+		// complete.
 		if !s.Whole || r.Score == "" || !s.Text.endsWith(r.Link) {
 			return false
 		}
 		s.Score = r.Score
 	case !s.Whole:
-		end := s.chains.add(s.Text, r.Link, r.Segment)
-		if end == nil {
+		node := s.chains.add(s.Text, r.Link, r.Segment)
+		if node == nil {
 			return false
 		}
-		s.Text = end.text()
+		s.Text = node.text()
 	}
 	return true
 }
 
-// endsWith reports whether a link names the end of the text: its writer's, or that of an
-// owner who read the text from the log.
-func (t Text) endsWith(l Link) bool {
-	return l.From == t.Events && (l.Writer == t.Writer || l.After == t.Writer && l.Base == l.From)
+// endsWith reports whether a position is the end of this text: as its writer names it, or as
+// an owner names it that resumed the text from the log.
+func (t Text) endsWith(link Link) bool {
+	return link.From == t.Events && (link.Writer == t.Writer || link.After == t.Writer && link.Base == link.From)
 }
 
-func (f *Fold) failed(r Failed) *Batch {
+func (f *Fold) applyFailed(r Failed) *Batch {
 	b, s := f.sample(r.Batch, r.Item)
 	if s == nil || s.State != Open || slices.Contains(s.failedAttempts, r.Attempt) {
 		return nil
@@ -296,7 +302,7 @@
 	return b
 }
 
-func (f *Fold) ended(r Ended) *Batch {
+func (f *Fold) applyEnded(r Ended) *Batch {
 	b := f.batches[r.Batch]
 	if b == nil || b.Ended {
 		return nil
@@ -305,13 +311,13 @@
 	return b
 }
 
-// Get returns a batch, nil if none of that ID was accepted.
+// Get returns a batch by its key, nil if no such batch was accepted.
 func (f *Fold) Get(id string) *Batch { return f.batches[id] }
 
-// Backdate notes that a batch was accepted some time before it was read.
+// Backdate sets the time of acceptance to that long before the batch was read.
 func (b *Batch) Backdate(age time.Duration) { b.Since = b.Seen - age }
 
-// Open returns the batches that still want samples, in order of acceptance.
+// Open returns the batches that need further results, in order of acceptance.
 func (f *Fold) Open() []*Batch {
 	var out []*Batch
 	for _, b := range f.order {
@@ -322,11 +328,12 @@
 	return out
 }
 
-// All returns every batch that is kept, in order of acceptance.
+// All returns every batch that isn't forgotten, in order of acceptance. The caller must not
+// change the slice.
 func (f *Fold) All() []*Batch { return f.order }
 
-// Forget drops batches that this daemon read of before the time and that need no
-// more work.
+// Forget removes the batches that this daemon read before the given time and that need no
+// further results.
 func (f *Fold) Forget(before time.Duration) {
 	kept := f.order[:0]
 	for _, b := range f.order {
@@ -336,8 +343,8 @@
 		}
 		delete(f.batches, b.ID)
 		for i := range b.Samples {
-			if ref := f.newest[b.Samples[i].ID]; ref.batch == b {
-				delete(f.newest, b.Samples[i].ID)
+			if ref := f.latest[b.Samples[i].ID]; ref.batch == b {
+				delete(f.latest, b.Samples[i].ID)
 			}
 		}
 	}
--- a/internal/batch/fold_test.go
+++ b/internal/batch/fold_test.go
@@ -11,11 +11,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// naiveFold answers questions about a batch from the whole list of records each
-// time, in the plainest way.
-type naiveFold struct{ records []any }
+// referenceFold computes the state of a batch from the list of all records each time, in the
+// simplest way.
+type referenceFold struct{ records []any }
 
-func (n *naiveFold) accepted(id string) (items []Item, at int) {
+// accepted returns the items of a batch and the index of the record that completed its
+// acceptance, -1 if it isn't accepted.
+func (n *referenceFold) accepted(id string) (items []Item, at int) {
 	copies := map[string][]Item{}
 	next := map[string]int{}
 	for i, r := range n.records {
@@ -24,7 +26,7 @@
 			continue
 		}
 		if a.Part == 0 {
-			clear(copies) // a copy that begins before the other is whole replaces it
+			clear(copies) // a submission replaces an earlier one that isn't complete
 			clear(next)
 			copies[a.Copy] = nil
 			next[a.Copy] = 0
@@ -41,8 +43,8 @@
 	return nil, -1
 }
 
-// naiveSample is what the plainest reading of the records makes of a sample.
-type naiveSample struct {
+// referenceSample is the state of a sample.
+type referenceSample struct {
 	Events int
 	Writer string
 	State  State
@@ -50,22 +52,22 @@
 	Score  string
 }
 
-// sample tells a sample's kept text, state and score. A piece belongs to the text if the
-// place that it names was reached by the pieces before it.
-func (n *naiveFold) sample(id string, item int) (out naiveSample) {
+// sample returns a sample's kept text, state and score. A segment counts if its position is the
+// end of a segment before.
+func (n *referenceFold) sample(id string, item int) (out referenceSample) {
 	items, from := n.accepted(id)
 	if from < 0 {
 		return out
 	}
 	scored := items[item].Reward != ""
-	type place struct {
+	type textEnd struct {
 		writer string
 		events int
 	}
-	reached := []place{{"", 0}}
-	take := func(l Link, s Segment) bool {
-		to := place{l.Writer, l.From + s.Events}
-		known := slices.Contains(reached, place{l.Writer, l.From}) || l.From == l.Base && slices.Contains(reached, place{l.After, l.Base})
+	reached := []textEnd{{"", 0}}
+	extend := func(l Link, s Segment) bool {
+		to := textEnd{l.Writer, l.From + s.Events}
+		known := slices.Contains(reached, textEnd{l.Writer, l.From}) || l.From == l.Base && slices.Contains(reached, textEnd{l.After, l.Base})
 		if !known || s.Events > 0 && slices.Contains(reached, to) {
 			return false
 		}
@@ -75,7 +77,7 @@
 	for _, r := range n.records[from+1:] {
 		switch r := r.(type) {
 		case Progress:
-			if r.Batch != id || r.Item != item || out.Whole || !take(r.Link, r.Segment) {
+			if r.Batch != id || r.Item != item || out.Whole || !extend(r.Link, r.Segment) {
 				continue
 			}
 			if events := r.Link.From + r.Segment.Events; r.Whole || events > out.Events {
@@ -95,7 +97,7 @@
 			case !scored && out.Whole:
 				out.State = Completed
 				return out
-			case !scored && take(r.Link, r.Segment):
+			case !scored && extend(r.Link, r.Segment):
 				out.Events, out.Writer, out.State = r.Link.From+r.Segment.Events, r.Link.Writer, Completed
 				return out
 			}
@@ -104,8 +106,9 @@
 	return out
 }
 
-// session makes a random session of copies, crashes and two owners.
-func session(random *rand.Rand) []any {
+// randomRecords returns records of batches that are submitted more than once and partly lost,
+// and whose samples are run by two owners.
+func randomRecords(random *rand.Rand) []any {
 	var out []any
 	writers := []string{"a", "b"}
 	kept := map[string]int{}
@@ -123,7 +126,7 @@
 		segment := Segment{At: int64(len(out)), Events: random.IntN(3), Versions: []VersionRun{{Version: 1, Events: 1}}}
 		switch random.IntN(9) {
 		case 0, 1:
-			out = append(out, acceptance(random, id)...)
+			out = append(out, randomAccepted(random, id)...)
 		case 2, 3, 4, 5:
 			kept[id] += segment.Events
 			out = append(out, Progress{Batch: id, Item: item, Link: link, Segment: segment, Whole: random.IntN(8) == 0})
@@ -140,9 +143,9 @@
 	return out
 }
 
-// acceptance is the append of a batch in two parts, at times broken off as if its
-// log had lost the rest.
-func acceptance(random *rand.Rand, id string) []any {
+// randomAccepted returns the acceptance of a batch in two parts. At random the second part is
+// missing, as if the log had lost it.
+func randomAccepted(random *rand.Rand, id string) []any {
 	copyID := fmt.Sprint(random.IntN(1000))
 	head := Head{Model: "m", MaxAttempts: 3}
 	items := make([]Item, 4)
@@ -159,26 +162,26 @@
 	return parts[:1+random.IntN(2)]
 }
 
-// Two daemons run one batch for a while, records come twice, appends stop half way:
-// a trainer must find the same results wherever it asks, so the fold has to make of
-// every session what the plainest reading of the rules makes of it.
-func TestFoldAgainstNaive(t *testing.T) {
+// Two daemons run one batch for a while, records are duplicated and appends are incomplete. A
+// trainer must get the same results from every daemon, so for any records Fold must have the
+// state of the reference implementation.
+func TestFoldAgainstReference(t *testing.T) {
 	for seed := range uint64(200) {
 		g := NewWithT(t)
-		naive := &naiveFold{}
+		reference := &referenceFold{}
 		fold := NewFold()
-		for _, r := range session(rand.New(rand.NewPCG(seed, 0))) {
-			naive.records = append(naive.records, r)
+		for _, r := range randomRecords(rand.New(rand.NewPCG(seed, 0))) {
+			reference.records = append(reference.records, r)
 			fold.Apply(r, 0)
 		}
 		for _, id := range []string{"b0", "b1", "b2"} {
-			items, _ := naive.accepted(id)
+			items, _ := reference.accepted(id)
 			b := fold.Get(id)
 			g.Expect(b != nil).To(Equal(items != nil), "seed %d batch %s", seed, id)
 			for i := range items {
-				want := naive.sample(id, i)
+				want := reference.sample(id, i)
 				s := b.Samples[i]
-				got := naiveSample{s.Text.Events, s.Text.Writer, s.State, s.Whole, s.Score}
+				got := referenceSample{s.Text.Events, s.Text.Writer, s.State, s.Whole, s.Score}
 				g.Expect(got).To(Equal(want), "seed %d %s item %d", seed, id, i)
 				g.Expect(slices.Contains(b.Listed, i)).To(Equal(want.State != Open))
 			}
@@ -186,7 +189,7 @@
 	}
 }
 
-func accept(f *Fold, id string, h Head, ids ...string) *Batch {
+func acceptBatch(f *Fold, id string, h Head, ids ...string) *Batch {
 	var items []Item
 	for _, i := range ids {
 		items = append(items, Item{ID: i})
@@ -202,31 +205,32 @@
 		Segment: Segment{At: int64(from), Events: events, Versions: []VersionRun{{Version: version, Events: events}}}}
 }
 
-// Samples left behind by one step come again in the next: text whose weights have
-// become too old there would be a stale sample.
-func TestReusedTextFitsTheLaterBatch(t *testing.T) {
+// Samples that a step left unfinished are submitted again with the next step. Text by weights
+// that are too old for the next step must not be reused, or the sample would be stale.
+func TestReusedTextHasAllowedVersions(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	accept(f, "one", Head{Model: "m", MinVersion: 1}, "fresh", "old", "done")
+	acceptBatch(f, "one", Head{Model: "m", MinVersion: 1}, "fresh", "old", "done")
 	f.Apply(progress("one", 0, 0, 2, 2), 0)
 	f.Apply(progress("one", 1, 0, 2, 1), 0)
 	f.Apply(Result{Batch: "one", Item: 2, State: Completed, Link: Link{Writer: "w"}, Segment: Segment{At: 9, Events: 3, Versions: []VersionRun{{Version: 2, Events: 3}}}}, 0)
-	b := accept(f, "two", Head{Model: "m", MinVersion: 2}, "fresh", "old", "done")
+	b := acceptBatch(f, "two", Head{Model: "m", MinVersion: 2}, "fresh", "old", "done")
 	g.Expect(b.Samples[0].Text.Events).To(Equal(2))
 	g.Expect(b.Samples[1].Text.Events).To(BeZero())
 	g.Expect(b.Samples[2].Whole).To(BeTrue())
 	f.Apply(progress("one", 0, 2, 1, 2), 0)
-	g.Expect(b.Samples[0].Text.Events).To(Equal(2), "the earlier batch's text grows on its own")
-	other := accept(f, "three", Head{Model: "other"}, "fresh")
+	g.Expect(b.Samples[0].Text.Events).To(Equal(2), "progress in the earlier batch doesn't change the later one")
+	other := acceptBatch(f, "three", Head{Model: "other"}, "fresh")
 	g.Expect(other.Samples[0].Text.Events).To(BeZero())
 }
 
-// An engine fails a sample once, and the record of it stands twice in the log, since
-// the first append's answer was lost. Counted twice, the sample would be given up early.
-func TestFailureRecordCountsOnce(t *testing.T) {
+// A sample fails once on an engine, and the record of the failure is in the log twice, because
+// the response to the first append was lost. If both counted, the sample would be given up too
+// early.
+func TestDuplicateFailureRecordCountsOnce(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	b := accept(f, "b", Head{MaxAttempts: 2}, "s")
+	b := acceptBatch(f, "b", Head{MaxAttempts: 2}, "s")
 	f.Apply(Failed{Batch: "b", Item: 0, Attempt: "x"}, 0)
 	f.Apply(Failed{Batch: "b", Item: 0, Attempt: "x"}, 0)
 	g.Expect(b.Samples[0].Failures).To(Equal(1))
@@ -237,8 +241,8 @@
 func TestForgetKeepsOpenBatches(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	accept(f, "open", Head{}, "s1")
-	accept(f, "over", Head{}, "s2")
+	acceptBatch(f, "open", Head{}, "s1")
+	acceptBatch(f, "over", Head{}, "s2")
 	f.Apply(Ended{Batch: "over"}, 0)
 	f.Forget(time.Second)
 	g.Expect(f.Get("open")).NotTo(BeNil())
@@ -246,7 +250,7 @@
 	g.Expect(f.All()).To(HaveLen(1))
 }
 
-func TestRecordsKeepTheirContent(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	for _, r := range []any{
 		Accepted{Batch: "b", Copy: "c", Parts: 1, Head: &Head{Host: "h", Model: "m", RequestCounts: []int{1}}, Items: []Item{{ID: "i", Group: "g", Expected: 3, Reward: "r"}}},
 		progress("b", 1, 2, 3, 4),
@@ -268,7 +272,7 @@
 	g.Expect(err).To(MatchError(ErrMalformed))
 	_, err = Decode([]byte{99})
 	g.Expect(err).To(MatchError(ErrMalformed))
-	_, err = Encode("no record")
+	_, err = Encode("not a record type")
 	g.Expect(err).To(HaveOccurred())
 }
 
@@ -284,12 +288,12 @@
 			return
 		}
 		fold := NewFold()
-		accept(fold, "b", Head{}, "s")
-		fold.Apply(record, 0) // any record that can be read can be applied
+		acceptBatch(fold, "b", Head{}, "s")
+		fold.Apply(record, 0) // every record that can be decoded can be applied
 	})
 }
 
-func TestPackRequestsSplitsAndFindsThem(t *testing.T) {
+func TestPackRequests(t *testing.T) {
 	g := NewWithT(t)
 	var requests []Request
 	for n := range 20 {
@@ -310,15 +314,15 @@
 	g.Expect(err).To(HaveOccurred())
 }
 
-func whole(batch string, item, events int, writer string) Progress {
+func completeText(batch string, item, events int, writer string) Progress {
 	return Progress{Batch: batch, Item: item, Link: Link{Writer: writer}, Whole: true,
 		Segment: Segment{Events: events, Versions: []VersionRun{{Version: 1, Events: events}}}}
 }
 
-// A trainer reads a completed sample and finds no score, or the score of a call that
-// was made while its text was still being generated. Two owners generated two texts
-// for a moment; the first one's reward call was answered before the second one's text,
-// which the log kept, had ended. Only a score that names the kept text may count.
+// A trainer would read a completed sample without a score, or with the score of a call that
+// was made while its text was still being generated. This happens when two owners generate a
+// text for a moment and the reward call of the first one returns before the second one's text,
+// which is kept, is complete. Only a score for the kept text may count.
 func TestScoreBelongsToTheKeptText(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
@@ -333,7 +337,7 @@
 	link := Link{From: 3, Writer: "mine"}
 	f.Apply(Result{Batch: "b", State: Completed, Link: link, Score: "early"}, 0)
 	g.Expect(s.State).To(Equal(Open), "no text is kept yet")
-	f.Apply(whole("b", 0, 3, "other"), 0)
+	f.Apply(completeText("b", 0, 3, "other"), 0)
 	g.Expect(s.Stage()).To(Equal(Scoring))
 	f.Apply(Result{Batch: "b", State: Completed, Link: link, Score: "of another text"}, 0)
 	g.Expect(s.State).To(Equal(Open))
@@ -344,33 +348,33 @@
 	g.Expect(s.Score).To(Equal("right"))
 }
 
-// A sample that a step left behind comes again. Its whole text serves the later batch
-// too; its score does only if that batch asks for the same reward call, since another
-// call's signature would be wrong.
-func TestScoreIsReusedWithItsCall(t *testing.T) {
+// A sample that a step left unfinished is submitted again. Its complete text is reused. Its
+// score is reused only if the later batch asks for the same reward call, since the signature of
+// another call would be wrong.
+func TestScoreIsReusedForTheSameRewardCall(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	again := func(id, reward string) *Sample {
+	acceptWithReward := func(id, reward string) *Sample {
 		for _, part := range Split(id, "c", Head{Model: "m"}, []Item{{ID: "s", Reward: reward}}, 4096) {
 			f.Apply(part, 0)
 		}
 		return &f.Get(id).Samples[0]
 	}
-	again("b1", "r1")
-	f.Apply(whole("b1", 0, 2, "w"), 0)
-	g.Expect(again("b2", "r1").Stage()).To(Equal(Scoring), "the text is reused, it has no score yet")
+	acceptWithReward("b1", "r1")
+	f.Apply(completeText("b1", 0, 2, "w"), 0)
+	g.Expect(acceptWithReward("b2", "r1").Stage()).To(Equal(Scoring), "the text is reused, it has no score yet")
 	f.Apply(Result{Batch: "b2", State: Completed, Link: Link{From: 2, Writer: "v", Base: 2}, Score: "x"}, 0)
 	g.Expect(f.Get("b2").Samples[0].State).To(Equal(Completed))
-	third := again("b3", "r1")
+	third := acceptWithReward("b3", "r1")
 	g.Expect(third.Stage()).To(Equal(Ready))
 	g.Expect(third.Score).To(Equal("x"))
-	g.Expect(again("b4", "r2").Stage()).To(Equal(Scoring))
-	g.Expect(again("b5", "").Stage()).To(Equal(Ready))
+	g.Expect(acceptWithReward("b4", "r2").Stage()).To(Equal(Scoring))
+	g.Expect(acceptWithReward("b5", "").Stage()).To(Equal(Ready))
 }
 
-// A daemon of the version before writes records without a word on rewards. They mean
-// what they meant: samples that are listed with their last piece of text.
-func TestRecordsWithoutRewardsDecode(t *testing.T) {
+// Daemons of the version before rewards write records without their fields. Such a result must
+// still mean that the sample is listed with its last segment of text.
+func TestRecordsOfOlderDaemonsWithoutRewards(t *testing.T) {
 	g := NewWithT(t)
 	type oldResult struct {
 		Batch string `cbor:"1,keyasint"`
@@ -382,29 +386,29 @@
 	record, err := Decode(append([]byte{byte(kindResult)}, data...))
 	g.Expect(err).NotTo(HaveOccurred())
 	f := NewFold()
-	b := accept(f, "b", Head{Model: "m"}, "s")
+	b := acceptBatch(f, "b", Head{Model: "m"}, "s")
 	f.Apply(record, 0)
 	g.Expect(b.Samples[0].State).To(Equal(Completed))
 }
 
-// An owner stops while the store is away; its last text reaches the log just behind the
-// first piece of the next owner, who began anew. Both texts are true, and the first one
-// that is whole has to count: if the next owner's whole text counted for nothing since the
-// log had the other's piece first, the sample would run a third time.
-func TestFirstWholeTextCounts(t *testing.T) {
+// An owner stops during an outage of the store. Its last text reaches the log just after the
+// first segment of the next owner, which started the sample from the beginning. Both texts are
+// valid, and the first one that is complete must count. If the next owner's complete text were
+// ignored because the log has segments of the other owner, the sample would run a third time.
+func TestFirstCompleteTextCounts(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	b := accept(f, "b", Head{Model: "m"}, "s")
+	b := acceptBatch(f, "b", Head{Model: "m"}, "s")
 	s := &b.Samples[0]
-	piece := func(writer string, from, events int) Progress {
+	segment := func(writer string, from, events int) Progress {
 		return Progress{Batch: "b", Link: Link{From: from, Writer: writer},
 			Segment: Segment{At: int64(100*from + len(writer)), Events: events, Versions: []VersionRun{{Version: 1, Events: events}}}}
 	}
-	f.Apply(piece("next", 0, 3), 0)
-	f.Apply(piece("last-owner", 0, 8), 0)
-	g.Expect(s.Text.Writer).To(Equal("last-owner"), "an owner goes on behind the longer text")
-	f.Apply(piece("next", 3, 4), 0)
-	g.Expect(f.Apply(piece("next", 3, 4), 0)).To(BeNil(), "a second copy")
+	f.Apply(segment("next", 0, 3), 0)
+	f.Apply(segment("last-owner", 0, 8), 0)
+	g.Expect(s.Text.Writer).To(Equal("last-owner"), "an owner resumes from the longer text")
+	f.Apply(segment("next", 3, 4), 0)
+	g.Expect(f.Apply(segment("next", 3, 4), 0)).To(BeNil(), "a duplicate record")
 	g.Expect(s.Text.Events).To(Equal(8))
 	f.Apply(Progress{Batch: "b", Link: Link{From: 8, Writer: "third", After: "last-owner", Base: 8}, Segment: Segment{At: 1, Events: 1}}, 0)
 	g.Expect(s.Text.Events).To(Equal(9))
@@ -415,8 +419,8 @@
 	g.Expect([]int64{s.Text.Segments[0].At, s.Text.Segments[1].At, s.Text.Segments[2].At}).To(Equal([]int64{4, 304, 2}))
 }
 
-// Two customers name a sample alike. The text of the one's must not show up in the
-// other's batch.
+// Two customers use the same sample ID. The text of one customer's sample must not appear in
+// the other customer's batch.
 func TestTextIsNotReusedAcrossCustomers(t *testing.T) {
 	for _, c := range []struct {
 		customer string
--- a/internal/batch/plan.go
+++ b/internal/batch/plan.go
@@ -6,74 +6,75 @@
 	"time"
 )
 
-// Engine is what the plan knows of one engine.
+// Engine is the state of an engine that a plan depends on.
 type Engine struct {
 	ID      string
-	Version int64 // weights that it serves, 0 unknown
-	Running int   // samples of this daemon there
-	Slots   int   // samples it may run at once
-	// Pace is its token time beside that of its peers at equal load, 0 unknown. 1.3 is
-	// an engine on slower hardware.
+	Version int64 // weights version that it serves, 0 if unknown
+	Running int   // number of samples of this daemon that it runs
+	Slots   int   // number of samples that it may run at once
+	// Pace is its gap between events relative to the median engine's at equal load, 0 if
+	// unknown. An engine on slower hardware has 1.3, for example.
 	Pace float64
 }
 
-// crowding is how much longer a token takes for each further sample that an engine
-// runs, as a part of the token time of one: measured on the deployments' engines,
-// 0.0149 ms of 0.632 ms.
-const crowding = 0.024
+// gapIncreasePerSample is by how much the gap between a sample's events grows with each
+// further sample that the engine runs, relative to the gap of a sample that runs alone. It was
+// measured on the engines of the deployments: a token takes 0.632 ms, and 0.0149 ms longer for
+// each further sample.
+const gapIncreasePerSample = 0.024
 
-// GapAlone is the gap that an engine would have with one sample, from its gap with
-// running ones: what compares engines under different loads.
+// GapAlone converts the gap between a sample's events on an engine that runs so many samples
+// to the gap that it would have alone. This makes engines under different loads comparable.
 func GapAlone(gap time.Duration, running int) time.Duration {
-	return time.Duration(float64(gap) / (1 + crowding*float64(max(0, running-1))))
+	return time.Duration(float64(gap) / (1 + gapIncreasePerSample*float64(max(0, running-1))))
 }
 
-// tokenTime is an engine's token time with one more sample, in units of an empty
-// usual engine's.
-func (e Engine) tokenTime() float64 {
-	pace := e.Pace
-	if pace == 0 {
-		pace = 1
+// nextSampleGap returns the gap between events that the engine would have with one more
+// sample, relative to the gap of a median engine that runs one sample.
+func (e Engine) nextSampleGap() float64 {
+	relativeGap := e.Pace
+	if relativeGap == 0 {
+		relativeGap = 1
 	}
-	return pace * (1 + crowding*float64(e.Running))
+	return relativeGap * (1 + gapIncreasePerSample*float64(e.Running))
 }
 
-// Waiting is a sample that could start.
+// Waiting is a sample that waits for a slot on an engine. Its times are on the caller's
+// clock.
 type Waiting struct {
-	Batch      string
-	Index      int
+	Batch      string // key of the batch
+	Index      int    // of the sample in the batch
 	Group      string
-	MinVersion int64
-	Remaining  time.Duration // run time expected still
-	Due        time.Duration // of its batch
-	NotBefore  time.Duration // after a failed run
-	Avoid      string        // engine that failed it last
-	Had        int           // events had already
+	MinVersion int64         // oldest weights version that may run it
+	Remaining  time.Duration // estimated run time that is left
+	Due        time.Duration // when its batch should be complete
+	NotBefore  time.Duration // earliest start after a failed run
+	Avoid      string        // ID of the engine on which it failed last, "" if none
+	Had        int           // number of events that are generated already
 }
 
-// Start puts a sample on an engine.
+// Start assigns a waiting sample to an engine.
 type Start struct {
 	Waiting Waiting
-	Engine  string
+	Engine  string // ID
 }
 
-// latestStart is when the sample has to start to be whole when its batch is due.
+// latestStart returns when the sample must start to be complete when its batch is due.
 func (w Waiting) latestStart() time.Duration { return w.Due - w.Remaining }
 
-// Planner chooses which samples start where. Its fields switch mechanisms off.
+// Planner chooses which samples start on which engines. Each field switches a mechanism off.
 type Planner struct {
-	Arrival    bool // samples start in the order in which they came
-	AnyVersion bool // samples take fresh weights also when they don't need them
-	AnySpeed   bool // the engines' hardware doesn't count
+	Arrival    bool // samples start in the order of arrival, not by their latest start
+	AnyVersion bool // engines with scarce weights aren't reserved for the samples that need them
+	AnySpeed   bool // the speed of the engines' hardware is ignored
 }
 
-// Plan chooses which samples start now: those first that have to start soonest to be
-// whole when their batch is due. Within one batch these are the longest: a step ends
-// with its longest sample, and one that begins late ends late, while short ones fill
-// what is left. Of two steps of a trainer that are open at once, the later one's long
-// samples go before the earlier one's short ones. Each goes to the engine that will make
-// its tokens fastest, so the longest ones don't land on slow hardware. waiting is
-// reordered.
+// Plan chooses the samples that start now. Those with the earliest latest start go first.
+// Within a batch these are the longest ones: a step ends with its longest sample, which must
+// not start late, while short samples fill the slots that are left. If two steps of a trainer
+// are open at once, the long samples of the later step go before the short ones of the
+// earlier step. Each sample goes to the engine that will generate its tokens fastest, so the
+// longest samples avoid slow hardware. Plan reorders waiting.
 func (p Planner) Plan(waiting []Waiting, engines []Engine, now time.Duration) []Start {
 	if !p.Arrival {
 		slices.SortStableFunc(waiting, func(a, b Waiting) int {
@@ -81,7 +82,7 @@
 		})
 	}
 	free := slices.Clone(engines)
-	scarce := p.scarce(waiting)
+	scarceVersion := p.findScarceVersion(waiting)
 	if p.AnySpeed {
 		for i := range free {
 			free[i].Pace = 0
@@ -92,21 +93,22 @@
 		if w.NotBefore > now {
 			continue
 		}
-		at := fastest(free, w, scarce)
-		if at < 0 {
+		chosen := fastestEngine(free, w, scarceVersion)
+		if chosen < 0 {
 			continue
 		}
-		free[at].Running++
-		starts = append(starts, Start{Waiting: w, Engine: free[at].ID})
+		free[chosen].Running++
+		starts = append(starts, Start{Waiting: w, Engine: free[chosen].ID})
 	}
 	return starts
 }
 
-// scarce is the oldest version that some waiting samples need and others don't, 0 if all
-// need the same. When two steps are open and a version has just been named, one engine
-// of three has it; filled with samples of the earlier step, it leaves the later step
-// without a place for seconds while older engines have room.
-func (p Planner) scarce(waiting []Waiting) int64 {
+// findScarceVersion returns the newest weights version that a waiting sample needs, 0 if all
+// need the same one. While two steps are open and the later one's version has just been
+// published, perhaps one engine of three has loaded it. If samples of the earlier step filled
+// that engine, the later step would wait for seconds while engines with older weights have
+// free slots.
+func (p Planner) findScarceVersion(waiting []Waiting) int64 {
 	if p.AnyVersion || len(waiting) == 0 {
 		return 0
 	}
@@ -118,35 +120,37 @@
 	return newest
 }
 
-// fastest returns the index of the engine with the shortest token time among those
-// with room and new enough weights, -1 if there is none. The engine that failed the
-// sample last is taken only when no other has room, and weights that are scarce only
-// by samples that need them, unless nothing else has room.
-func fastest(engines []Engine, w Waiting, scarce int64) int {
+// fastestEngine returns the index of the fastest engine that has a free slot and weights new
+// enough for the sample, -1 if there is none. The engine on which the sample failed last is
+// chosen only if no other has a free slot. So is, for samples that don't need it, an engine
+// that serves the scarce version or a newer one.
+func fastestEngine(engines []Engine, w Waiting, scarceVersion int64) int {
 	best := -1
 	for i, e := range engines {
 		if e.Running >= e.Slots || e.Version < w.MinVersion || e.Slots == 0 {
 			continue
 		}
-		if best < 0 || better(e, engines[best], w, scarce) {
+		if best < 0 || preferred(e, engines[best], w, scarceVersion) {
 			best = i
 		}
 	}
 	return best
 }
 
-func better(a, b Engine, w Waiting, scarce int64) bool {
+// preferred reports whether engine a is a better choice for the sample than engine b.
+func preferred(a, b Engine, w Waiting, scarceVersion int64) bool {
 	if (a.ID == w.Avoid) != (b.ID == w.Avoid) {
 		return b.ID == w.Avoid
 	}
-	if fresh := a.Version >= scarce; w.MinVersion < scarce && fresh != (b.Version >= scarce) {
-		return !fresh
+	if scarceOnA := a.Version >= scarceVersion; w.MinVersion < scarceVersion && scarceOnA != (b.Version >= scarceVersion) {
+		return !scarceOnA
 	}
-	return a.tokenTime() < b.tokenTime()
+	return a.nextSampleGap() < b.nextSampleGap()
 }
 
-// PlanInTurn starts samples in the order in which they came, each on the next engine
-// in turn that has room and new enough weights. It is the baseline for Plan.
+// PlanInTurn starts samples in the order of arrival, each on the next engine in round-robin
+// order that has a free slot and new enough weights. It is the baseline that Plan is compared
+// with.
 func PlanInTurn(waiting []Waiting, engines []Engine, now time.Duration) []Start {
 	free := slices.Clone(engines)
 	var starts []Start
--- a/internal/batch/record.go
+++ b/internal/batch/record.go
@@ -1,11 +1,14 @@
-// Package batch decides what becomes of trainers' batches of samples: which
-// records describe them, what the log's order makes of these records, and which
-// sample runs next on which engine. It is pure: records, views and time go in,
-// state and starts come out.
+// Package batch holds the rules for trainers' batches of samples: the log records that
+// describe a batch, the state that follows from the order of these records, and the choice
+// of which sample starts next on which engine. It does no I/O, and the caller passes in the
+// time.
 //
-// Two kinds of data lie in the log. Records are small and say what holds; every
-// daemon reads all of them. Blobs hold requests and generated text; records name
-// them by their offset, and a daemon reads the few that it needs.
+// The log holds two kinds of data. Records are small and describe the state; every daemon
+// reads all of them. Blobs hold requests and generated text; records refer to them by their
+// offset, and a daemon reads only those that it needs.
+//
+// A daemon that runs a batch's samples is an owner. There may be two of them for a moment,
+// when a partition passes from one daemon to another.
 package batch
 
 import (
@@ -16,7 +19,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed says that a record or blob can't be read. Every daemon skips it alike.
+// ErrMalformed says that a record or blob can't be decoded. Every daemon skips such a record.
 var ErrMalformed = errors.New("batch: malformed record")
 
 type recordKind byte
@@ -30,44 +33,47 @@
 	kindLoaded
 )
 
-// Accepted is a part of an accepted batch. The parts of one batch are appended
-// together, all or none; the batch counts from its last part on.
+// Accepted is one part of the record of an accepted batch, which is split to keep records
+// small. The parts are appended together, all or none. The batch is accepted at its last
+// part.
 type Accepted struct {
 	Batch string `cbor:"1,keyasint"` // Key of the batch, as in all records
-	// Copy tells the parts of one append from those of a second copy.
+	// Copy is a unique ID of the submission. It keeps the parts of a batch that is submitted
+	// twice apart.
 	Copy  string `cbor:"2,keyasint"`
-	Part  int    `cbor:"3,keyasint"`
-	Parts int    `cbor:"4,keyasint"`
-	Head  *Head  `cbor:"5,keyasint,omitempty"` // in part 0
+	Part  int    `cbor:"3,keyasint"`           // number of this part, from 0
+	Parts int    `cbor:"4,keyasint"`           // how many parts the batch has
+	Head  *Head  `cbor:"5,keyasint,omitempty"` // only in part 0
 	Items []Item `cbor:"6,keyasint"`
 }
 
-// Head is what a batch's samples share.
+// Head holds what all samples of a batch have in common.
 type Head struct {
-	Host       string `cbor:"1,keyasint"`
-	Path       string `cbor:"2,keyasint"` // submitted to
+	Host       string `cbor:"1,keyasint"` // that the batch was submitted to
+	Path       string `cbor:"2,keyasint"` // that the batch was submitted to
 	Model      string `cbor:"3,keyasint"`
-	Step       int64  `cbor:"4,keyasint"`
-	MinVersion int64  `cbor:"5,keyasint"` // oldest weights that may generate a token
+	Step       int64  `cbor:"4,keyasint"` // number of the training step
+	MinVersion int64  `cbor:"5,keyasint"` // oldest weights version that may generate a token
 	// WantedGroups is how many complete groups the trainer waits for.
 	WantedGroups  int   `cbor:"6,keyasint"`
-	SingleVersion bool  `cbor:"7,keyasint,omitempty"`
-	MaxAttempts   int   `cbor:"8,keyasint"`
-	RetentionMS   int64 `cbor:"9,keyasint"` // a sample may be given up this long after acceptance
-	TargetMS      int64 `cbor:"10,keyasint"`
-	// Requests lie in blobs from this offset on, so many items in each.
-	RequestsAt    int64 `cbor:"11,keyasint"`
+	SingleVersion bool  `cbor:"7,keyasint,omitempty"` // one version generates a sample's whole text
+	MaxAttempts   int   `cbor:"8,keyasint"`           // failed attempts after which a sample is given up
+	RetentionMS   int64 `cbor:"9,keyasint"`           // a sample may be given up this long after acceptance
+	TargetMS      int64 `cbor:"10,keyasint"`          // the batch should be complete this long after acceptance
+	// RequestsAt is the offset of the first of the consecutive blobs with the requests.
+	RequestsAt int64 `cbor:"11,keyasint"`
+	// RequestCounts holds the number of requests in each of these blobs.
 	RequestCounts []int `cbor:"12,keyasint"`
-	// Customer that the batch belongs to, "" where callers have none.
+	// Customer is the customer that the batch belongs to, "" if callers have none.
 	Customer string `cbor:"14,keyasint,omitempty"`
-	// AcceptedMS is when the batch was taken in, in Unix ms by the clock of that VM.
+	// AcceptedMS is when the batch was accepted, in Unix ms by the clock of the accepting VM.
 	AcceptedMS int64 `cbor:"13,keyasint,omitempty"`
 }
 
-// Key names a batch among those of all customers. A customer reaches its own batches only:
-// whatever ID another one asks for, it asks for a batch of its own, and the same ID from
-// another customer is another batch. The customer stands in front, escaped, so that no two
-// pairs have one key. Where callers have no customers, the ID alone is the key.
+// Key returns the key of a batch, which is unique among the batches of all customers. The
+// customer is part of the key, so a customer reaches only its own batches: the same ID from
+// another customer names another batch. The customer is escaped, so no two pairs of customer
+// and ID have the same key. Without a customer the ID alone is the key.
 func Key(customer, id string) string {
 	if customer == "" {
 		return id
@@ -75,20 +81,20 @@
 	return url.QueryEscape(customer) + keySeparator + id
 }
 
-// keySeparator stands in no escaped name.
+// keySeparator never occurs in an escaped customer.
 const keySeparator = ":"
 
 // Item is one sample to generate.
 type Item struct {
 	ID    string `cbor:"1,keyasint"`
-	Group string `cbor:"2,keyasint"`
-	// Expected is the caller's estimate of the tokens that will be generated, 0 unknown.
+	Group string `cbor:"2,keyasint"` // ID of its group, which is complete once all its samples have a result
+	// Expected is the caller's estimate of how many tokens will be generated, 0 if unknown.
 	Expected int `cbor:"3,keyasint,omitempty"`
 	// Reward is the ID of the call that scores the text, "" for a sample without a score.
 	Reward string `cbor:"4,keyasint,omitempty"`
 }
 
-// Request is what an engine is asked for a sample.
+// Request is the request to an engine that generates a sample.
 type Request struct {
 	Path   string            `cbor:"1,keyasint"`
 	Header map[string]string `cbor:"2,keyasint"`
@@ -97,8 +103,8 @@
 	Reward *RewardCall `cbor:"4,keyasint,omitempty"`
 }
 
-// RewardCall is made when a sample's text is whole. The signature of its answer is
-// the sample's score. It may run more than once.
+// RewardCall is the call that scores a sample. It is made when the sample's text is
+// complete. The signature of its response is the sample's score. It may run more than once.
 type RewardCall struct {
 	ID   string `cbor:"1,keyasint"`
 	Host string `cbor:"2,keyasint"`
@@ -106,99 +112,101 @@
 	Body []byte `cbor:"4,keyasint"`
 }
 
-// Event is one event of a sample's stream.
+// Event is one event of the stream in which an engine sends a sample's text.
 type Event struct {
 	Data    string
-	Version int64 // of the weights that made it
+	Version int64 // of the weights that generated it
 }
 
-// Segment is a piece of a sample's text in a blob.
+// Segment is a run of consecutive events of a sample's text, stored in one blob.
 type Segment struct {
-	At     int64 `cbor:"1,keyasint"` // offset of the blob, -1 if it holds no event
-	Events int   `cbor:"2,keyasint"`
-	// Versions of the weights that made the events, each for so many in a row.
+	At     int64 `cbor:"1,keyasint"` // offset of the blob, -1 if the segment has no events
+	Events int   `cbor:"2,keyasint"` // number of events
+	// Versions are the weights versions that generated the events, in order.
 	Versions []VersionRun `cbor:"3,keyasint"`
 }
 
-// VersionRun is a number of events in a row that one version made.
+// VersionRun is a number of consecutive events that one weights version generated.
 type VersionRun struct {
 	Version int64 `cbor:"1,keyasint"`
-	Events  int   `cbor:"2,keyasint"`
+	Events  int   `cbor:"2,keyasint"` // number of events
 }
 
-// Link is where a piece of text belongs. It counts only if it begins where the
-// kept text ends, and comes from the writer of that text or from one that went on
-// from just there: the runs of two daemons for one sample have different texts of
-// equal length.
+// Link is the position in a sample's text at which a segment continues it. The number of
+// events alone doesn't identify it, since two owners that run the same sample generate
+// different texts, so it also names the writer: one owner's work on the sample. A segment
+// counts only if the text before the position is in the log, by the same writer or, for a
+// writer's first segment, by the one whose text it resumed.
 type Link struct {
-	From   int    `cbor:"1,keyasint"` // events kept before these
-	Writer string `cbor:"2,keyasint"` // unique to one owner's work on the sample
-	// After is the writer of the text that Writer began with, and Base how many
-	// events that had.
+	From   int    `cbor:"1,keyasint"` // number of events before the position
+	Writer string `cbor:"2,keyasint"` // unique ID of one owner's work on the sample
+	// After is the writer of the text that Writer resumed.
 	After string `cbor:"3,keyasint,omitempty"`
-	Base  int    `cbor:"4,keyasint,omitempty"`
+	// Base is the number of events of the text that Writer resumed.
+	Base int `cbor:"4,keyasint,omitempty"`
 }
 
-// Progress adds to a sample's unfinished text, so that another daemon can go on
-// behind it.
+// Progress appends a segment to a sample's unfinished text, so that another owner can
+// resume from its end.
 type Progress struct {
 	Batch   string  `cbor:"1,keyasint"`
-	Item    int     `cbor:"2,keyasint"`
+	Item    int     `cbor:"2,keyasint"` // index of the sample in the batch
 	Link    Link    `cbor:"3,keyasint"`
 	Segment Segment `cbor:"4,keyasint"`
-	// Whole: the text ends with this piece. It is written for samples that are scored
-	// next, so that the owner after this one doesn't generate the text again.
+	// Whole says that the text is complete with this segment. It is set for samples that are
+	// scored next, so that the next owner doesn't generate the text again.
 	Whole bool `cbor:"5,keyasint,omitempty"`
 }
 
-// State is what became of a sample.
+// State says whether a sample has a result, and which.
 type State int
 
 // The states of a sample.
 const (
-	Open State = iota
-	Completed
-	Dead // given up
+	Open      State = iota // no result yet
+	Completed              // its text, and its score if it has a reward call, are complete
+	Dead                   // given up
 )
 
-// Result ends a sample. The first one in the log's order counts. Segment is the
-// last piece of a completed text. A scored sample's text is whole before, and Link
-// names the text that was scored.
+// Result is the result of a sample. The first one in the log's order counts. For a sample
+// without a score, it holds the last segment of the text. The text of a sample with a score is
+// complete before, and the result names the end of the text that was scored.
 type Result struct {
 	Batch   string  `cbor:"1,keyasint"`
-	Item    int     `cbor:"2,keyasint"`
-	State   State   `cbor:"3,keyasint"`
+	Item    int     `cbor:"2,keyasint"` // index of the sample in the batch
+	State   State   `cbor:"3,keyasint"` // not Open
 	Link    Link    `cbor:"4,keyasint,omitempty"`
 	Segment Segment `cbor:"5,keyasint,omitempty"`
 	Score   string  `cbor:"6,keyasint,omitempty"`
 }
 
-// Failed counts an upstream's answer that the sample, or its reward call, failed there.
+// Failed records that an upstream answered that a sample, or its reward call, failed.
 type Failed struct {
 	Batch string `cbor:"1,keyasint"`
-	Item  int    `cbor:"2,keyasint"`
-	// Attempt is unique, so that a record appended twice counts once.
+	Item  int    `cbor:"2,keyasint"` // index of the sample in the batch
+	// Attempt is a unique ID of the attempt, so that a record that was appended twice counts
+	// once.
 	Attempt string `cbor:"3,keyasint"`
-	Reward  bool   `cbor:"4,keyasint,omitempty"` // it was the reward call
+	Reward  bool   `cbor:"4,keyasint,omitempty"` // the reward call failed, not the sample
 }
 
-// Ended says that the trainer wants nothing more of the batch.
+// Ended says that the trainer needs no further results of the batch.
 type Ended struct {
 	Batch string `cbor:"1,keyasint"`
 }
 
-// Loaded says that an engine serves a version of the partition's model, ahead of the
-// engine's own next entry.
+// Loaded says that an engine serves a weights version of the partition's model. It tells
+// daemons before the engine's next entry in the registry does.
 type Loaded struct {
-	Engine  string `cbor:"1,keyasint"` // ID
+	Engine  string `cbor:"1,keyasint"` // ID of the upstream
 	Model   string `cbor:"2,keyasint"`
 	Version int64  `cbor:"3,keyasint"`
-	// Started is the start of the engine that loaded it, 0 unknown: one that has started
-	// again since may not serve it.
+	// Started is the start time of the engine's process in Unix ms, 0 if unknown. After a
+	// restart the engine may not serve the version any more.
 	Started int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Encode turns one of the record types of this package into log data.
+// Encode encodes one of the record types of this package for the log.
 func Encode(record any) ([]byte, error) {
 	kind, err := kindOf(record)
 	if err != nil {
@@ -226,10 +234,10 @@
 	case Loaded:
 		return kindLoaded, nil
 	}
-	return 0, fmt.Errorf("batch: no record type: %T", record)
+	return 0, fmt.Errorf("batch: %T is not a record type", record)
 }
 
-// Decode reads log data. Error: ErrMalformed.
+// Decode decodes a record of the log. Error: ErrMalformed.
 func Decode(data []byte) (any, error) {
 	if len(data) == 0 {
 		return nil, ErrMalformed
--- a/internal/batch/slow.go
+++ b/internal/batch/slow.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// Pace is an engine's mean gap between the events of its samples.
+// Pace is the mean gap between two events of a sample on one engine.
 type Pace struct {
-	Engine string
-	Gap    time.Duration // 0: not known now
+	Engine string        // ID
+	Gap    time.Duration // 0 if not known at present
 }
 
-// slowFactor: an engine whose gap exceeds the median of its peers by this factor
-// holds its samples up. A full engine is 1.4 times slower than an empty one, a
-// disturbed one three times and more.
+// slowFactor is the ratio of an engine's gap to the median gap above which the engine counts
+// as slow. A full engine is 1.4 times slower than an empty one, a disturbed one three times
+// and more.
 const slowFactor = 2.0
 
-// Slow returns the engines that are much slower than the others. With fewer than
-// two known gaps nothing can be compared.
-func Slow(paces []Pace) []string {
-	usual := median(paces)
+// Slow returns the IDs of the engines that are much slower than the median. With fewer than
+// two known gaps there are none.
+func Slow(gaps []Pace) []string {
+	median := medianGap(gaps)
 	var out []string
-	for _, p := range paces {
-		if float64(p.Gap) > slowFactor*float64(usual) {
-			out = append(out, p.Engine)
+	for _, g := range gaps {
+		if float64(g.Gap) > slowFactor*float64(median) {
+			out = append(out, g.Engine)
 		}
 	}
 	return out
 }
 
-// Relative returns each engine's pace beside the median of the known ones, 0 for an
-// unknown one. The gaps are those at equal load.
-func Relative(paces []Pace) map[string]float64 {
+// Relative returns each engine's gap relative to the median, by engine ID, so that
+// a lookup gives 0 for an engine whose gap isn't known. The gaps must be those at equal load.
+func Relative(gaps []Pace) map[string]float64 {
 	out := map[string]float64{}
-	usual := median(paces)
-	for _, p := range paces {
-		if p.Gap > 0 && usual > 0 {
-			out[p.Engine] = float64(p.Gap) / float64(usual)
+	median := medianGap(gaps)
+	for _, p := range gaps {
+		if p.Gap > 0 && median > 0 {
+			out[p.Engine] = float64(p.Gap) / float64(median)
 		}
 	}
 	return out
 }
 
-// median is the lower median of the known gaps, 0 if none is known.
-func median(paces []Pace) time.Duration {
-	var gaps []time.Duration
-	for _, p := range paces {
+// medianGap returns the lower median of the known gaps, 0 if none is known.
+func medianGap(gaps []Pace) time.Duration {
+	var known []time.Duration
+	for _, p := range gaps {
 		if p.Gap > 0 {
-			gaps = append(gaps, p.Gap)
+			known = append(known, p.Gap)
 		}
 	}
-	if len(gaps) == 0 {
+	if len(known) == 0 {
 		return 0
 	}
-	slices.Sort(gaps)
-	return gaps[(len(gaps)-1)/2]
+	slices.Sort(known)
+	return known[(len(known)-1)/2]
 }
