--- a/internal/keyed/do.go
+++ b/internal/keyed/do.go
@@ -10,7 +10,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// What clients are told to wait.
+// How long clients are told to wait before a retry.
 const (
 	retryAfterInProgress = time.Second
 	retryAfterLog        = 2 * time.Second
@@ -18,40 +18,41 @@
 	retryAfterStop       = time.Second
 )
 
-// RunFunc dispatches the request once.
+// RunFunc runs the request once.
 type RunFunc func(ctx context.Context) (*upstream.ServiceResponse, error)
 
-// Do runs the request of an idempotency key unless some attempt within the log's
-// retention may have run it. scope names the team and the route, bodyHash the
-// request's content. replayed says that the answer is an earlier attempt's.
-// Errors: *Error, or run's own.
-func (s *Service) Do(ctx context.Context, scope, key string, bodyHash uint64, run RunFunc) (answer *upstream.ServiceResponse, replayed bool, err error) {
+// Do runs the request of an idempotency key unless an attempt within the log's
+// retention may have run it. scope identifies the team and the route, bodyHash the
+// request's content. replayed says that the response is that of an earlier attempt.
+// The error is an *Error or one of run.
+func (s *Service) Do(ctx context.Context, scope, key string, bodyHash uint64, run RunFunc) (response *upstream.ServiceResponse, replayed bool, err error) {
 	if err := claims.CheckKey(scope, key); err != nil {
 		return nil, false, notRun(InvalidKey, 0, err)
 	}
 	if ctx.Err() != nil {
 		return nil, false, notRun(Cancelled, 0, context.Cause(ctx))
 	}
-	w, status, refused := s.begin(scope, key, bodyHash)
-	if refused != nil {
-		return nil, false, refused
+	w, status, refusal := s.queueClaim(scope, key, bodyHash)
+	if refusal != nil {
+		return nil, false, refusal
 	}
 	if w == nil {
-		return settle(status, bodyHash)
+		return replayOrRefuse(status, bodyHash)
 	}
-	d := s.await(ctx, w)
-	if d.refused != nil {
-		return nil, false, d.refused
+	d := s.awaitDecision(ctx, w)
+	if d.refusal != nil {
+		return nil, false, d.refusal
 	}
 	if !d.verdict.Won {
-		return settle(d.verdict.Status, bodyHash)
+		return replayOrRefuse(d.verdict.Status, bodyHash)
 	}
-	answer, err = s.dispatch(ctx, w, run)
-	return answer, false, err
+	response, err = s.dispatch(ctx, w, run)
+	return response, false, err
 }
 
-// begin queues a claim, unless the key's known state already decides.
-func (s *Service) begin(scope, key string, bodyHash uint64) (*waiter, claims.Status, *Error) {
+// queueClaim queues a claim and returns its waiter. It returns no waiter if the key isn't free,
+// but the key's status, or a refusal.
+func (s *Service) queueClaim(scope, key string, bodyHash uint64) (*waiter, claims.Status, *Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if status := s.fold.Status(scope, key); status.State != claims.Free {
@@ -64,7 +65,7 @@
 		return nil, claims.Status{}, notRun(Overloaded, retryAfterOverload, nil)
 	}
 	now := time.Now()
-	w := &waiter{record: s.newClaim(scope, key, bodyHash), since: now, result: make(chan decision, 1)}
+	w := &waiter{record: s.newClaim(scope, key, bodyHash), queuedAt: now, result: make(chan decision, 1)}
 	if err := s.batcher.AddClaim(w.record, now); err != nil {
 		return nil, claims.Status{}, notRun(Overloaded, retryAfterOverload, err)
 	}
@@ -80,75 +81,78 @@
 	}
 }
 
-// await waits for the claim's decision, the caller's end or the claim's age.
-func (s *Service) await(ctx context.Context, w *waiter) decision {
+// awaitDecision waits until the claim is decided. It withdraws the claim when the caller's
+// context ends or the claim reaches its maximum age.
+func (s *Service) awaitDecision(ctx context.Context, w *waiter) decision {
 	timer := time.NewTimer(s.opts.MaxClaimAge)
 	defer timer.Stop()
 	select {
 	case d := <-w.result:
 		return d
 	case <-ctx.Done():
-		return s.abandon(w, notRun(Cancelled, retryAfterLog, context.Cause(ctx)))
+		return s.withdraw(w, notRun(Cancelled, retryAfterLog, context.Cause(ctx)))
 	case <-timer.C:
-		return s.abandon(w, notRun(LogUnavailable, retryAfterLog, nil))
+		return s.withdraw(w, notRun(LogUnavailable, retryAfterLog, nil))
 	}
 }
 
-// abandon gives the claim up. If a copy of it shows up in the log later, the
-// follower finds no waiter and releases it.
-func (s *Service) abandon(w *waiter, refused *Error) decision {
+// withdraw gives the claim up. If the claim is read from the log later, there is no waiter for
+// it and it is released.
+func (s *Service) withdraw(w *waiter, refusal *Error) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, undecided := s.waiting[w.record.Nonce]; undecided {
 		delete(s.waiting, w.record.Nonce)
 		s.batcher.Remove(w.record.Nonce)
-		return decision{refused: refused}
+		return decision{refusal: refusal}
 	}
-	d := <-w.result // decided at the same moment
-	if d.refused == nil && d.verdict.Won {
-		s.report(releaseOf(w.record))
-		d.refused = refused
+	d := <-w.result // decided just now
+	if d.refusal == nil && d.verdict.Won {
+		s.queueReportLocked(releaseRecord(w.record))
+		d.refusal = refusal
 	}
 	return d
 }
 
-// dispatch runs a request whose claim was read back as the first of its key.
+// dispatch runs a request whose claim was read back as the first one of its key.
 func (s *Service) dispatch(ctx context.Context, w *waiter, run RunFunc) (*upstream.ServiceResponse, error) {
-	// The process may have been frozen since the append (SIGSTOP, a paused VM). Its
-	// caller has gone by then and the log may soon forget the claim, after which
-	// another daemon may run the request. The age on the monotonic clock shows it.
-	if age := time.Since(w.since); age > s.opts.MaxClaimAge {
+	// The process may have been suspended since the append (SIGSTOP, a paused VM). By now its
+	// caller is gone, and the log may soon drop the claim, after which another daemon may run
+	// the request. The claim's age on the monotonic clock shows this.
+	if age := time.Since(w.queuedAt); age > s.opts.MaxClaimAge {
 		metrics.Counter("keyed_claims_too_old").Add(1)
-		s.settleClaim(releaseOf(w.record))
+		s.queueReport(releaseRecord(w.record))
 		return nil, notRun(ClaimTooOld, retryAfterInProgress, nil)
 	}
 	if ctx.Err() != nil {
-		s.settleClaim(releaseOf(w.record))
+		s.queueReport(releaseRecord(w.record))
 		return nil, notRun(Cancelled, retryAfterInProgress, context.Cause(ctx))
 	}
-	answer, err := run(ctx)
+	response, err := run(ctx)
 	switch {
 	case err == nil:
-		s.settleClaim(doneOf(w.record, answer))
-		return answer, nil
+		s.queueReport(doneRecord(w.record, response))
+		return response, nil
 	case s.opts.OutcomeOf(err) == outcome.NotRun:
-		s.settleClaim(releaseOf(w.record))
+		s.queueReport(releaseRecord(w.record))
 	case s.opts.OutcomeOf(err) == outcome.Ran:
-		s.settleClaim(doneOf(w.record, nil))
+		s.queueReport(doneRecord(w.record, nil))
 	default:
-		metrics.Counter("keyed_outcome_unknown").Add(1) // the key stays held
+		metrics.Counter("keyed_outcome_unknown").Add(1) // the claim isn't released
 	}
 	return nil, err
 }
 
-func (s *Service) settleClaim(r claims.Record) {
+// queueReport queues a release or done record to be appended.
+func (s *Service) queueReport(r claims.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.report(r)
+	s.queueReportLocked(r)
 }
 
-// settle answers a caller from the state that another attempt left.
-func settle(status claims.Status, bodyHash uint64) (*upstream.ServiceResponse, bool, error) {
+// replayOrRefuse returns the result of a request whose key isn't free: the response of an
+// earlier attempt, or an error.
+func replayOrRefuse(status claims.Status, bodyHash uint64) (*upstream.ServiceResponse, bool, error) {
 	if status.BodyHash != bodyHash {
 		return nil, false, notRun(Conflict, 0, nil)
 	}
--- a/internal/keyed/fakes_test.go
+++ b/internal/keyed/fakes_test.go
@@ -16,15 +16,15 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// fakeLog is one stream in memory whose calls take a moment each way.
+// fakeLog is an in-memory log with one stream. Each call takes logDelay.
 type fakeLog struct {
 	mu      sync.Mutex
-	first   ident.Offset
+	first   ident.Offset // oldest offset that a read may ask for
 	records []infra.Record
-	changed chan struct{}
-	// fault decides on an append: whether it acts, and its error.
-	fault func() (acts bool, err error)
-	down  bool
+	changed chan struct{} // closed and replaced by each append
+	// fault returns the result of an append: whether the records are appended, and the error.
+	fault func() (appended bool, err error)
+	down  bool // every call fails
 }
 
 const logDelay = 2 * time.Millisecond
@@ -41,14 +41,14 @@
 	time.Sleep(logDelay)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	acts, err := !l.down, error(nil)
+	appended, err := !l.down, error(nil)
 	if l.down {
 		err = infra.ErrUnavailable
 	} else if l.fault != nil {
-		acts, err = l.fault()
+		appended, err = l.fault()
 	}
 	offset := ident.Offset(len(l.records) + 1)
-	if acts {
+	if appended {
 		for _, d := range data {
 			l.records = append(l.records, infra.Record{Offset: ident.Offset(len(l.records) + 1), Data: d})
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-// slowReads holds every answer to a read back for a while.
+// slowReads delays the response to every read.
 type slowReads struct {
 	*fakeLog
 	delay time.Duration
@@ -99,24 +99,25 @@
 	return page, err
 }
 
-// service stands for the upstream: it counts what ran.
-type service struct {
+// fakeUpstream counts the requests that ran.
+type fakeUpstream struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func newUpstream() *service { return &service{runs: map[string]int{}} }
+func newFakeUpstream() *fakeUpstream { return &fakeUpstream{runs: map[string]int{}} }
 
-func (s *service) count(key string) int {
+func (s *fakeUpstream) count(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-var errCut = errors.New("connection cut")
+var errConnectionLost = errors.New("connection lost")
 
-// run returns a RunFunc that counts, takes a while and ends with err.
-func (s *service) run(key string, err error) RunFunc {
+// run returns a RunFunc that counts a run of the key unless err is errNotRun, takes 10 ms and
+// returns err or a response.
+func (s *fakeUpstream) run(key string, err error) RunFunc {
 	return func(context.Context) (*upstream.ServiceResponse, error) {
 		var e *upstream.Error
 		if !errors.As(err, &e) || e.Outcome != outcome.NotRun {
@@ -134,14 +135,14 @@
 
 var errNotRun = &upstream.Error{Fault: upstream.Refused, Outcome: outcome.NotRun}
 
-// daemon is a Service with its Run; kill returns when Run has.
+// daemon is a Service whose Run is running. kill stops it and waits until Run has returned.
 type daemon struct {
 	*Service
 	kill func()
 }
 
-// inBubble runs a scenario on fake time with n daemons on one log.
-func inBubble(t *testing.T, n int, scenario func(t *testing.T, log *fakeLog, up *service, daemons []daemon)) {
+// runScenario runs a scenario on synthetic time with n daemons that share a log.
+func runScenario(t *testing.T, n int, scenario func(t *testing.T, log *fakeLog, up *fakeUpstream, daemons []daemon)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -154,7 +155,7 @@
 				d.kill()
 			}
 		}()
-		scenario(t, log, newUpstream(), daemons)
+		scenario(t, log, newFakeUpstream(), daemons)
 	})
 }
 
@@ -169,6 +170,7 @@
 	return daemon{s, func() { cancel(); <-ended }}
 }
 
+// refusal returns the *Error in an error of Do, nil if there is none.
 func refusal(err error) *Error {
 	var e *Error
 	errors.As(err, &e)
--- a/internal/keyed/logloops.go
+++ b/internal/keyed/logloops.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	readLimit = 256 // log records a read
-	// readSlack is what a read may take beyond PollWait before its connection is
-	// taken for silent.
-	readSlack      = time.Second
-	readBackoffMin = 50 * time.Millisecond
-	readBackoffMax = 2 * time.Second
+	readLimit = 256 // log records per read
+	// readTimeoutMargin is how much longer than PollWait a read may take before its connection
+	// is taken for dead.
+	readTimeoutMargin = time.Second
+	readBackoffMin    = 50 * time.Millisecond // first delay after a failed read
+	readBackoffMax    = 2 * time.Second       // longest delay after a failed read
 )
 
+// isUnavailable reports whether an append certainly had no effect.
 func isUnavailable(err error) bool { return errors.Is(err, infra.ErrUnavailable) }
 
-// appendLoop writes batches, one at a time.
+// appendLoop appends batches of records, one batch at a time, until the context ends.
 func (s *Service) appendLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -34,13 +35,13 @@
 			s.appendBatch(ctx, batch)
 			continue
 		}
-		s.sleepOrWake(ctx, wait)
+		s.waitForRecords(ctx, wait)
 	}
 	return nil
 }
 
-// sleepOrWake waits for new records, and no longer than wait if that isn't 0.
-func (s *Service) sleepOrWake(ctx context.Context, wait time.Duration) {
+// waitForRecords waits until a record is queued, for at most wait unless that is 0.
+func (s *Service) waitForRecords(ctx context.Context, wait time.Duration) {
 	var timeout <-chan time.Time
 	if wait > 0 {
 		timer := time.NewTimer(wait)
@@ -54,18 +55,20 @@
 	}
 }
 
+// appendBatch appends a batch and refuses the claims that are given up because it failed.
 func (s *Service) appendBatch(ctx context.Context, batch []claims.Record) {
-	result, err := s.write(ctx, batch)
+	result, err := s.appendRecords(ctx, batch)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, nonce := range s.batcher.Finished(result, time.Now()) {
-		s.refuse(nonce, notRun(LogUnavailable, retryAfterLog, err))
+		s.refuseLocked(nonce, notRun(LogUnavailable, retryAfterLog, err))
 	}
-	close(s.progress)
-	s.progress = make(chan struct{})
+	close(s.appendDone)
+	s.appendDone = make(chan struct{})
 }
 
-func (s *Service) write(ctx context.Context, batch []claims.Record) (claims.AppendResult, error) {
+// appendRecords appends a batch as one log record.
+func (s *Service) appendRecords(ctx context.Context, batch []claims.Record) (claims.AppendResult, error) {
 	data, err := claims.EncodeBatch(batch)
 	if err != nil {
 		return claims.Unavailable, err // certainly not in the log
@@ -79,16 +82,17 @@
 	return appendResult(err), err
 }
 
-func (s *Service) refuse(nonce string, refused *Error) {
+// refuseLocked ends the wait of a caller with an error.
+func (s *Service) refuseLocked(nonce string, refusal *Error) {
 	w, ok := s.waiting[nonce]
 	if !ok {
 		return
 	}
 	delete(s.waiting, nonce)
-	w.result <- decision{refused: refused}
+	w.result <- decision{refusal: refusal}
 }
 
-// followLoop reads the claims stream from its oldest kept record on.
+// followLoop reads the claims stream from its oldest kept record on, until the context ends.
 func (s *Service) followLoop(ctx context.Context) error {
 	if s.opts.StartSpread > 0 {
 		pause.For(ctx, rand.N(s.opts.StartSpread))
@@ -98,57 +102,59 @@
 	for ctx.Err() == nil {
 		err := s.readPage(ctx)
 		if err == nil {
-			s.logChange(&down, false, nil)
+			s.logAvailability(&down, false, nil)
 			backoff = readBackoffMin
 			continue
 		}
-		s.logChange(&down, true, err)
+		s.logAvailability(&down, true, err)
 		pause.For(ctx, backoff/2+rand.N(backoff/2))
 		backoff = min(2*backoff, readBackoffMax)
 	}
 	return nil
 }
 
-func (s *Service) logChange(down *bool, now bool, err error) {
-	if *down == now {
+// logAvailability logs when the claims stream becomes unreadable or readable again. loggedDown
+// points to the state that was logged last.
+func (s *Service) logAvailability(loggedDown *bool, down bool, err error) {
+	if *loggedDown == down {
 		return
 	}
-	*down = now
-	if now {
-		s.opts.Logger.Warn().Err(err).Msg("claims stream unreadable, keyed requests are refused")
+	*loggedDown = down
+	if down {
+		s.opts.Logger.Warn().Err(err).Msg("claims stream can't be read; requests with an idempotency key are refused")
 		return
 	}
-	s.opts.Logger.Info().Msg("claims stream readable again")
+	s.opts.Logger.Info().Msg("claims stream can be read again")
 }
 
+// readPage reads the next records of the claims stream and applies them.
 func (s *Service) readPage(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.opts.PollWait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.PollWait+readTimeoutMargin)
 	defer cancel()
 	page, err := s.opts.Log.Read(ctx, infra.StreamClaims, s.next, readLimit, s.opts.PollWait)
 	if errors.Is(err, infra.ErrExpired) && page.First > s.next {
-		s.skipTo(page)
+		s.skipExpired(page)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	s.foldPage(page)
+	s.applyPage(page)
 	return nil
 }
 
-// skipTo jumps over records that the log no longer keeps. What they said
-// concerned keys whose protection has ended with them, so nothing is lost that
-// still counts: claims, and the releases and done records behind those claims
-// that are kept are all read from First on.
-func (s *Service) skipTo(page infra.Page) {
+// skipExpired continues at the oldest record that the log keeps. The records before it
+// concern keys that are no longer protected. Every claim that still counts, and the releases
+// and done records after it, are read from there on.
+func (s *Service) skipExpired(page infra.Page) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next = page.First
 	s.fold.Trim(page.First)
 }
 
-// foldPage folds a page in. Trim comes first, see claims.Fold.Apply.
-func (s *Service) foldPage(page infra.Page) {
+// applyPage applies the records of a page. Trim must come first, see claims.Fold.Apply.
+func (s *Service) applyPage(page infra.Page) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fold.Trim(page.First)
@@ -163,25 +169,26 @@
 			continue
 		}
 		for _, v := range s.fold.Apply(rec.Offset, records) {
-			s.decide(v)
+			s.deliverVerdictLocked(v)
 		}
 	}
 	metrics.Gauge("keyed_keys").Set(int64(s.fold.Len()))
 }
 
-// decide hands a verdict to the caller that waits for it. A claim of ours that
-// nobody waits for, or that lost, will never be dispatched: it is released.
-func (s *Service) decide(v claims.Verdict) {
+// deliverVerdictLocked passes the verdict on a claim to the caller that waits for it. A claim
+// of this process that lost, or that no caller waits for, is released, because its request will
+// never be dispatched.
+func (s *Service) deliverVerdictLocked(v claims.Verdict) {
 	if !s.isOwn(v.Nonce) {
 		return
 	}
-	w, waits := s.waiting[v.Nonce]
-	if waits {
+	w, isWaiting := s.waiting[v.Nonce]
+	if isWaiting {
 		delete(s.waiting, v.Nonce)
 		s.batcher.Remove(v.Nonce)
 		w.result <- decision{verdict: v}
 	}
-	if !waits || !v.Won {
-		s.report(claims.Record{Kind: claims.KindRelease, Scope: v.Scope, Key: v.Key, Nonce: v.Nonce, VM: s.opts.VM})
+	if !isWaiting || !v.Won {
+		s.queueReportLocked(claims.Record{Kind: claims.KindRelease, Scope: v.Scope, Key: v.Key, Nonce: v.Nonce, VM: s.opts.VM})
 	}
 }
--- a/internal/keyed/options.go
+++ b/internal/keyed/options.go
@@ -13,37 +13,40 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream"
 )
 
-// Options configures a Service. Log and VM are required, zero values of the
-// others take the defaults.
+// Options configures a Service. Log and VM are required. The zero values of the
+// other fields stand for their defaults.
 type Options struct {
 	Log    infra.Log
-	VM     ident.VM
+	VM     ident.VM // of this daemon
 	Logger zerolog.Logger
 
-	// BatchInterval is how long a claim waits for neighbours, default 5 ms.
+	// BatchInterval is how long a claim waits for others to be appended with it, by default
+	// 5 ms.
 	BatchInterval time.Duration
-	// AppendBudget is what all daemons together append, default 200 a second.
+	// AppendBudget is the number of appends per second of all daemons together, by default
+	// 200.
 	AppendBudget float64
-	// Daemons returns how many daemons append claims, default 1.
+	// Daemons returns the number of daemons that share AppendBudget, by default 1.
 	Daemons func() int
-	// MaxClaimAge bounds the time between a claim's first append and its dispatch,
+	// MaxClaimAge limits the time from queueing a claim to the dispatch of its request, by
 	// default 10 s. It must be far below the retention of the claims stream.
 	MaxClaimAge time.Duration
-	// AppendTimeout bounds one append, default 2 s.
+	// AppendTimeout is the timeout of one append, by default 2 s.
 	AppendTimeout time.Duration
-	// PollWait is how long the log may hold a read open, default 2 s.
+	// PollWait is how long the log may hold a read until there are records, by default 2 s.
 	PollWait time.Duration
-	// MaxKeys bounds the keys held in memory, default 200,000. Beyond it new keys are
-	// refused as not run, never old ones forgotten.
+	// MaxKeys limits the keys held in memory, by default 200,000. Above the limit requests
+	// with new keys are refused with the outcome NotRun. Keys are never evicted.
 	MaxKeys int
-	// MaxAnswerBytes bounds the answers held for replay, default 64 MiB.
+	// MaxAnswerBytes limits the responses held in memory for replay, by default 64 MiB.
 	MaxAnswerBytes int
-	// MaxPending bounds the claims that wait for the log, default 10,000.
+	// MaxPending limits the claims that wait to be appended, by default 10,000.
 	MaxPending int
-	// StartSpread spreads the first reads of daemons that start together; 0: none.
+	// StartSpread is the longest random delay before the first read, so that daemons that
+	// start together don't read at once. 0: no delay.
 	StartSpread time.Duration
-	// OutcomeOf says what an error of a run means. The default knows
-	// *upstream.Error and takes everything else as Unknown.
+	// OutcomeOf returns the outcome that an error of RunFunc stands for. The default knows
+	// *upstream.Error and returns outcome.Unknown for any other error.
 	OutcomeOf func(error) outcome.Outcome
 }
 
@@ -77,6 +80,7 @@
 	return o
 }
 
+// upstreamOutcome is the default of Options.OutcomeOf.
 func upstreamOutcome(err error) outcome.Outcome {
 	var e *upstream.Error
 	if errors.As(err, &e) {
