--- a/internal/infra/http.go
+++ b/internal/infra/http.go
@@ -13,36 +13,38 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// Defaults of Options.
+// The defaults of Options.
 const (
 	DefaultTimeout      = 2 * time.Second
 	DefaultMaxBodyBytes = 8 << 20
 )
 
-// Options are the limits of an adapter. Zero values take the defaults.
+// Options configures an adapter. Zero values stand for the defaults.
 type Options struct {
-	// Timeout bounds a whole call, so that a silent connection is found. A read that
-	// may wait for records gets it on top of the wait.
+	// Timeout is the timeout of a whole call, by which a dead connection is detected. For a
+	// read that may wait for records it is added to that wait.
 	Timeout time.Duration
-	// MaxBodyBytes bounds an answer.
+	// MaxBodyBytes limits the size of a response body.
 	MaxBodyBytes int64
-	// Dial replaces TCP, for tests.
+	// Dial replaces TCP in tests, nil: TCP.
 	Dial exchange.DialFunc
 }
 
-// idleTimeout is no longer than a call's time-out: when one connection is found to
-// be silent, those that fell silent beside it are closed already.
+// idleTimeout is not longer than the default timeout of a call. When a call detects that a
+// connection is dead, others that died at the same time have been closed already.
 const idleTimeout = DefaultTimeout
 
-var errTimeout = errors.New("no answer within the time-out")
+var errTimeout = errors.New("no response within the timeout")
 
-// client does the calls that the three adapters share.
+// client makes the HTTP calls of the adapters.
 type client struct {
-	base    string
+	base    string // URL without a trailing slash
 	options Options
 	sender  *exchange.Sender
 }
 
+// newClient returns a client of a base URL.
+
 func newClient(baseURL string, o Options) (*client, error) {
 	u, err := url.Parse(baseURL)
 	if err != nil {
@@ -64,6 +66,7 @@
 	}, nil
 }
 
+// trimSlash removes trailing slashes.
 func trimSlash(path string) string {
 	for len(path) > 0 && path[len(path)-1] == '/' {
 		path = path[:len(path)-1]
@@ -71,46 +74,47 @@
 	return path
 }
 
-// answer is a whole answer of the platform.
-type answer struct {
+// response is a complete HTTP response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// get asks for something that changes nothing; wait is how long the platform may
-// hold the answer back. Every failure is ErrUnavailable.
-func (c *client) get(ctx context.Context, path string, wait time.Duration) (answer, error) {
+// get makes a GET call, which has no effect on the server. wait is how long the server may
+// delay the response. Every error is an ErrUnavailable.
+func (c *client) get(ctx context.Context, path string, wait time.Duration) (response, error) {
 	r := exchange.Request{Method: http.MethodGet, URL: c.base + path}
 	plan := exchange.Plan{}
 	if wait == 0 {
-		plan.FirstByteReused = c.options.Timeout / reusedPart
+		plan.FirstByteReused = c.options.Timeout / reusedFirstByteDivisor
 	}
-	a, err := c.do(ctx, r, wait, plan)
+	resp, err := c.do(ctx, r, wait, plan)
 	if isSilent(err) {
-		a, err = c.do(ctx, r, wait, exchange.Plan{Fresh: true})
+		resp, err = c.do(ctx, r, wait, exchange.Plan{Fresh: true})
 	}
 	if err != nil {
-		return answer{}, fmt.Errorf("%w: GET %s: %w", ErrUnavailable, path, err)
+		return response{}, fmt.Errorf("%w: GET %s: %w", ErrUnavailable, path, err)
 	}
-	return a, nil
+	return resp, nil
 }
 
-// reusedPart is the part of a call's time that a reused connection gets to begin
-// its answer. It may have fallen silent; what changes nothing is then asked again on
-// a new one, so that the caller isn't refused for a dead connection's sake.
-const reusedPart = 4
+// reusedFirstByteDivisor divides the timeout of a call, to give the time within which a
+// response must begin on a reused connection. The connection may be dead. A GET is then sent
+// again on a new connection, so that the call doesn't fail because of the dead one.
+const reusedFirstByteDivisor = 4
 
+// isSilent reports whether a connection gave no response in time.
 func isSilent(err error) bool {
 	var f *exchange.Failure
 	return errors.As(err, &f) && f.Kind == exchange.Silent
 }
 
-// post asks for a change on a connection of its own, once.
-func (c *client) post(ctx context.Context, path string, body any) (answer, error) {
+// post makes a POST call once, on a new connection. body is encoded as JSON.
+func (c *client) post(ctx context.Context, path string, body any) (response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return answer{}, fmt.Errorf("%w: POST %s: %w", ErrUnavailable, path, err)
+		return response{}, fmt.Errorf("%w: POST %s: %w", ErrUnavailable, path, err)
 	}
 	r := exchange.Request{
 		Method: http.MethodPost,
@@ -118,15 +122,16 @@
 		Header: http.Header{"Content-Type": {"application/json"}},
 		Body:   data,
 	}
-	a, err := c.do(ctx, r, 0, exchange.Plan{Fresh: true})
+	resp, err := c.do(ctx, r, 0, exchange.Plan{Fresh: true})
 	if err != nil {
-		return answer{}, fmt.Errorf("%w: POST %s: %w", outcomeOf(err), path, err)
+		return response{}, fmt.Errorf("%w: POST %s: %w", outcomeError(err), path, err)
 	}
-	return a, nil
+	return resp, nil
 }
 
-// outcomeOf: only what was certainly never written has certainly not happened.
-func outcomeOf(err error) error {
+// outcomeError returns ErrUnavailable for a failed call if certainly no byte of the request
+// was sent, else ErrUnknown.
+func outcomeError(err error) error {
 	var f *exchange.Failure
 	if errors.As(err, &f) && !f.Sent {
 		return ErrUnavailable
@@ -134,51 +139,51 @@
 	return ErrUnknown
 }
 
-// do bounds the whole call. What it gives up on is closed, never used again.
-func (c *client) do(ctx context.Context, r exchange.Request, wait time.Duration, plan exchange.Plan) (answer, error) {
+// do makes one call with a timeout. The connection of a call that failed is closed.
+func (c *client) do(ctx context.Context, r exchange.Request, wait time.Duration, plan exchange.Plan) (response, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, wait+c.options.Timeout, errTimeout)
 	defer cancel()
-	got, err := c.sender.Send(ctx, r, plan)
+	resp, err := c.sender.Send(ctx, r, plan)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	defer got.Close()
-	body, err := got.Whole(c.options.MaxBodyBytes)
+	defer resp.Close()
+	body, err := resp.Whole(c.options.MaxBodyBytes)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return answer{status: got.Status, header: got.Header, body: body}, nil
+	return response{status: resp.Status, header: resp.Header, body: body}, nil
 }
 
-// statusError is an answer that isn't the one asked for.
-func (a answer) statusError() error {
+// statusError returns an error with the status and the beginning of the body.
+func (r response) statusError() error {
 	const maxText = 200
-	return fmt.Errorf("status %d: %.*q", a.status, maxText, a.body)
+	return fmt.Errorf("status %d: %.*q", r.status, maxText, r.body)
 }
 
-// didNothing: the platform says that it refused. Other 5xx answers may come from
-// something between us and it that lost the real answer.
-func (a answer) didNothing() bool {
+// refused reports whether the response certainly means that the platform refused the call and
+// nothing happened. Other 5xx responses may come from a proxy that lost the platform's response.
+func (r response) refused() bool {
 	switch {
-	case a.header.Get(wire.HeaderNotRun) == "true":
+	case r.header.Get(wire.HeaderNotRun) == "true":
 		return true
-	case a.status == http.StatusServiceUnavailable:
+	case r.status == http.StatusServiceUnavailable:
 		return true
 	default:
-		return a.status >= 400 && a.status < 500 && a.status != http.StatusRequestTimeout
+		return r.status >= 400 && r.status < 500 && r.status != http.StatusRequestTimeout
 	}
 }
 
-// getJSON is get with a 200 decoded into result.
+// getJSON makes a GET call and decodes the body of a response with status 200 into result.
 func (c *client) getJSON(ctx context.Context, path string, result any) error {
-	a, err := c.get(ctx, path, 0)
+	resp, err := c.get(ctx, path, 0)
 	if err != nil {
 		return err
 	}
-	if a.status != http.StatusOK {
-		return fmt.Errorf("%w: GET %s: %w", ErrUnavailable, path, a.statusError())
+	if resp.status != http.StatusOK {
+		return fmt.Errorf("%w: GET %s: %w", ErrUnavailable, path, resp.statusError())
 	}
-	if err := json.Unmarshal(a.body, result); err != nil {
+	if err := json.Unmarshal(resp.body, result); err != nil {
 		return fmt.Errorf("%w: GET %s: %w", ErrUnavailable, path, err)
 	}
 	return nil
--- a/internal/infra/http_test.go
+++ b/internal/infra/http_test.go
@@ -26,22 +26,24 @@
 	RunSpecs(t, "infra")
 }
 
-var patient = Options{Timeout: time.Minute, MaxBodyBytes: 4 << 10}
+var testOptions = Options{Timeout: time.Minute, MaxBodyBytes: 4 << 10}
 
-func serve(handle http.HandlerFunc) string {
+// startServer starts an HTTP server for the duration of the spec and returns its URL.
+func startServer(handle http.HandlerFunc) string {
 	server := httptest.NewServer(handle)
 	DeferCleanup(server.Close)
 	return server.URL
 }
 
-// log returns a log that is answered by handle.
-func log(handle http.HandlerFunc) *HTTPLog {
-	l, err := NewHTTPLog(serve(handle)+"/base/", patient)
+// newTestLog returns a log whose calls are handled by handle.
+func newTestLog(handle http.HandlerFunc) *HTTPLog {
+	l, err := NewHTTPLog(startServer(handle)+"/base/", testOptions)
 	Expect(err).NotTo(HaveOccurred())
 	return l
 }
 
-func says(status int, body string) http.HandlerFunc {
+// respond returns a handler that always returns the given response.
+func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(status)
@@ -49,40 +51,40 @@
 	}
 }
 
-// story: The log appends a claim and its answer is lost. The daemon believes that
-// nothing happened and appends again, or, the other way round, holds a claim that
-// the log refused. Cause: a failed call was taken for a call that didn't happen.
+// The log appends a claim and the response is lost. If the daemon takes every failed call for
+// one without effect, it appends the claim again. If it takes none for one without effect, it
+// holds a claim that the log refused.
 var _ = Describe("Append", func() {
-	one := [][]byte{[]byte("x")}
+	oneRecord := [][]byte{[]byte("x")}
 
 	It("sends all records in one call and returns the first offset", func(ctx SpecContext) {
-		arrived := make(chan string, 1)
-		l := log(func(w http.ResponseWriter, r *http.Request) {
+		received := make(chan string, 1)
+		l := newTestLog(func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
-			arrived <- r.URL.Path + " " + string(body)
+			received <- r.URL.Path + " " + string(body)
 			_, _ = io.WriteString(w, `{"offset":5}`)
 		})
 		Expect(l.Append(ctx, "claims", [][]byte{{0, 255}, {}})).To(BeEquivalentTo(5))
-		Expect(<-arrived).To(Equal(`/base/v1/streams/claims/records {"records":["AP8=",""]}`))
+		Expect(<-received).To(Equal(`/base/v1/streams/claims/records {"records":["AP8=",""]}`))
 	})
 
-	DescribeTable("tells what is known", func(ctx SpecContext, handle http.HandlerFunc, want error) {
+	DescribeTable("distinguishes a refusal from an unknown outcome", func(ctx SpecContext, handle http.HandlerFunc, want error) {
 		var calls atomic.Int32
-		l := log(func(w http.ResponseWriter, r *http.Request) {
+		l := newTestLog(func(w http.ResponseWriter, r *http.Request) {
 			calls.Add(1)
 			handle(w, r)
 		})
-		_, err := l.Append(ctx, "claims", one)
+		_, err := l.Append(ctx, "claims", oneRecord)
 		Expect(err).To(MatchError(want))
-		Expect(calls.Load()).To(BeEquivalentTo(1), "never sent again")
+		Expect(calls.Load()).To(BeEquivalentTo(1), "calls, no retry")
 	},
-		Entry("refused", says(503, ""), ErrUnavailable),
-		Entry("too many calls", says(429, ""), ErrUnavailable),
-		Entry("failed somewhere", says(500, ""), ErrUnknown),
-		Entry("lost behind a gateway", says(504, ""), ErrUnknown),
-		Entry("not readable", says(200, "{"), ErrUnknown),
-		Entry("no offset", says(200, "{}"), ErrUnknown),
-		Entry("answer lost", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		Entry("refused", respond(503, ""), ErrUnavailable),
+		Entry("status 429", respond(429, ""), ErrUnavailable),
+		Entry("status 500", respond(500, ""), ErrUnknown),
+		Entry("status 504 from a proxy", respond(504, ""), ErrUnknown),
+		Entry("malformed JSON", respond(200, "{"), ErrUnknown),
+		Entry("response without an offset", respond(200, "{}"), ErrUnknown),
+		Entry("connection closed before the response", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			panic(http.ErrAbortHandler)
 		}), ErrUnknown),
@@ -92,10 +94,10 @@
 		}), ErrUnknown),
 	)
 
-	It("is unavailable when nobody listens, or without records", func(ctx SpecContext) {
-		l, err := NewHTTPLog("http://127.0.0.1:1", patient)
+	It("returns ErrUnavailable if the connection is refused or there are no records", func(ctx SpecContext) {
+		l, err := NewHTTPLog("http://127.0.0.1:1", testOptions)
 		Expect(err).NotTo(HaveOccurred())
-		for _, records := range [][][]byte{one, nil} {
+		for _, records := range [][][]byte{oneRecord, nil} {
 			_, err = l.Append(ctx, "claims", records)
 			Expect(err).To(MatchError(ErrUnavailable))
 		}
@@ -104,7 +106,7 @@
 
 var _ = Describe("Read", func() {
 	read := func(ctx context.Context, handle http.HandlerFunc) (Page, error) {
-		return log(handle).Read(ctx, "config", 3, 10, time.Second)
+		return newTestLog(handle).Read(ctx, "config", 3, 10, time.Second)
 	}
 
 	It("returns a page", func(ctx SpecContext) {
@@ -120,24 +122,24 @@
 		}}))
 	})
 
-	It("says from where on records are kept", func(ctx SpecContext) {
-		page, err := read(ctx, says(410, `{"first":9,"next":12}`))
+	It("returns the oldest offset that is kept if the requested one is past the retention", func(ctx SpecContext) {
+		page, err := read(ctx, respond(410, `{"first":9,"next":12}`))
 		Expect(err).To(MatchError(ErrExpired))
 		Expect(page.First).To(BeEquivalentTo(9))
 	})
 
-	DescribeTable("refuses", func(ctx SpecContext, status int, body string) {
-		_, err := read(ctx, says(status, body))
+	DescribeTable("returns ErrUnavailable for", func(ctx SpecContext, status int, body string) {
+		_, err := read(ctx, respond(status, body))
 		Expect(err).To(MatchError(ErrUnavailable))
 	},
-		Entry("an error", 500, ""),
-		Entry("410 for what is kept", 410, `{"first":3,"next":12}`),
-		Entry("a gap", 200, `{"first":1,"next":9,"records":[{"offset":3},{"offset":5}]}`),
-		Entry("a start elsewhere", 200, `{"first":1,"next":9,"records":[{"offset":4}]}`),
-		Entry("a record past the end", 200, `{"first":1,"next":3,"records":[{"offset":3}]}`),
+		Entry("status 500", 500, ""),
+		Entry("status 410 for an offset that is kept", 410, `{"first":3,"next":12}`),
+		Entry("a gap between records", 200, `{"first":1,"next":9,"records":[{"offset":3},{"offset":5}]}`),
+		Entry("a first record with another offset", 200, `{"first":1,"next":9,"records":[{"offset":4}]}`),
+		Entry("a record past the end of the stream", 200, `{"first":1,"next":3,"records":[{"offset":3}]}`),
 	)
 
-	It("asks for less when the page is too large", func(ctx SpecContext) {
+	It("asks for fewer records if the page is too large", func(ctx SpecContext) {
 		page, err := read(ctx, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Get("max") != "2" {
 				_, _ = io.WriteString(w, strings.Repeat(" ", 5<<10))
@@ -149,9 +151,9 @@
 	})
 })
 
-var _ = Describe("the lists", func() {
-	DescribeTable("of versions", func(ctx SpecContext, status int, body string, want []ident.Version, fails bool) {
-		s, err := NewHTTPWeightStore(serve(says(status, body)), patient)
+var _ = Describe("HTTPWeightStore and HTTPVMLister", func() {
+	DescribeTable("the list of versions", func(ctx SpecContext, status int, body string, want []ident.Version, fails bool) {
+		s, err := NewHTTPWeightStore(startServer(respond(status, body)), testOptions)
 		Expect(err).NotTo(HaveOccurred())
 		got, err := s.Versions(ctx, "m/1")
 		Expect(got).To(Equal(want))
@@ -160,29 +162,29 @@
 		Entry("whole", 200, `{"versions":[1,4]}`, []ident.Version{1, 4}, false),
 		Entry("out of order", 200, `{"versions":[4,1]}`, nil, true),
 		Entry("refused", 429, ``, nil, true),
-		Entry("too long", 200, strings.Repeat(" ", 5<<10), nil, true),
+		Entry("body too large", 200, strings.Repeat(" ", 5<<10), nil, true),
 	)
 
-	It("of VMs skips roles that it doesn't know", func(ctx SpecContext) {
-		l, err := NewHTTPVMLister(serve(says(200, `{"vms":[{"name":"a","role":"entry","data_centre":"d","peer_address":"10.0.0.1:1"},{"name":"b","role":"upstream","leaving":true},{"name":"c","role":"new"}]}`)), patient)
+	It("omits VMs with unknown roles", func(ctx SpecContext) {
+		l, err := NewHTTPVMLister(startServer(respond(200, `{"vms":[{"name":"a","role":"entry","data_centre":"d","peer_address":"10.0.0.1:1"},{"name":"b","role":"upstream","leaving":true},{"name":"c","role":"new"}]}`)), testOptions)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.List(ctx)).To(Equal([]VMEntry{
 			{Name: "a", Entry: true, DataCentre: "d", PeerAddress: "10.0.0.1:1"}, {Name: "b", Leaving: true},
 		}))
 	})
 
-	It("need a base URL of the right form", func() {
+	It("require an absolute HTTP base URL without a query", func() {
 		for _, base := range []string{"", "10.0.0.1:7000", "https://a", "http://", "http://a?b"} {
-			_, err := NewHTTPVMLister(base, patient)
+			_, err := NewHTTPVMLister(base, testOptions)
 			Expect(err).To(HaveOccurred(), base)
 		}
 	})
 })
 
-// story: The connection to the log goes silent while new ones work. The reader
-// waits for ever and the daemon acts on old configuration. Cause: a long poll
-// that nobody bounds can't be told from a dead connection. (synctest's clock.)
-func TestSilentLog(t *testing.T) {
+// The connection to the log dies silently while new connections work. A long poll without a
+// timeout can't be told from a dead connection, so the reader would wait forever and the daemon
+// would act on old configuration. The test runs on synctest's clock.
+func TestDeadLogConnectionTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		var dials atomic.Int32
@@ -197,25 +199,25 @@
 			_, err := l.Read(t.Context(), "config", 1, 10, 9*time.Second)
 			return err
 		}
-		var both sync.WaitGroup
+		var readers sync.WaitGroup
 		for range 2 {
-			both.Go(func() { g.Expect(read()).To(Succeed()) })
+			readers.Go(func() { g.Expect(read()).To(Succeed()) })
 		}
-		both.Wait()
+		readers.Wait()
 		start := time.Now()
 		g.Expect(read()).To(MatchError(ErrUnavailable))
 		g.Expect(time.Since(start)).To(Equal(9*time.Second + DefaultTimeout))
-		g.Expect(dials.Load()).To(BeEquivalentTo(2), "it was a reused connection")
-		g.Expect(read()).To(Succeed(), "it didn't meet the other one")
+		g.Expect(dials.Load()).To(BeEquivalentTo(2), "dials, since the read reused a connection")
+		g.Expect(read()).To(Succeed(), "the other dead connection isn't used")
 
 		_, err = l.Append(t.Context(), "config", [][]byte{{1}})
-		g.Expect(err).To(MatchError(ErrUnknown), "its answer isn't one to an append")
+		g.Expect(err).To(MatchError(ErrUnknown), "the response isn't one to an append")
 		g.Expect(dials.Load()).To(BeEquivalentTo(4))
 		l.client.sender.CloseIdle()
 	})
 }
 
-// answerOnce answers a connection's first request after a second and is silent from then on.
+// answerOnce responds to the first request on a connection after one second, and to no other.
 func answerOnce(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	req, err := http.ReadRequest(in)
@@ -236,19 +238,19 @@
 	f.Add(503, int64(1), `down`)
 	f.Fuzz(func(t *testing.T, status int, from int64, body string) {
 		const limit = 8
-		page, err := readPage(answer{status: status, body: []byte(body)}, ident.Offset(from), limit)
+		page, err := readPage(response{status: status, body: []byte(body)}, ident.Offset(from), limit)
 		if errors.Is(err, ErrExpired) && int64(page.First) <= from {
-			t.Fatalf("expired, yet %+v from %d", page, from)
+			t.Fatalf("ErrExpired with page %+v for offset %d", page, from)
 		}
 		if err != nil && (page.Records != nil || !errors.Is(err, ErrExpired) && !errors.Is(err, ErrUnavailable)) {
-			t.Fatalf("%v with %+v", err, page)
+			t.Fatalf("error %v with page %+v", err, page)
 		}
 		if len(page.Records) > limit {
-			t.Fatalf("%d records", len(page.Records))
+			t.Fatalf("%d records are more than the limit", len(page.Records))
 		}
 		for i, r := range page.Records {
 			if int64(r.Offset) != max(from, 1)+int64(i) || r.Offset >= page.Next {
-				t.Fatalf("record %d is %d", i, r.Offset)
+				t.Fatalf("record %d has offset %d", i, r.Offset)
 			}
 		}
 	})
--- a/internal/infra/httplog.go
+++ b/internal/infra/httplog.go
@@ -14,14 +14,13 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// HTTPLog is the Log behind the platform's HTTP interface. It is safe for
-// concurrent use.
+// HTTPLog is a Log that calls the platform's HTTP API. It is safe for concurrent use.
 type HTTPLog struct{ client *client }
 
 var _ Log = (*HTTPLog)(nil)
 
-// NewHTTPLog returns a Log at a base URL such as http://10.0.0.1:7000. It
-// connects at the first call.
+// NewHTTPLog returns a Log for a base URL such as http://10.0.0.1:7000. It connects
+// at the first call.
 func NewHTTPLog(baseURL string, o Options) (*HTTPLog, error) {
 	c, err := newClient(baseURL, o)
 	if err != nil {
@@ -30,43 +29,45 @@
 	return &HTTPLog{c}, nil
 }
 
-// Append sends the records once. ErrUnknown covers everything after the first
-// byte but a refusal: an answer that was lost, cut off, late or not readable.
+// Append sends the records once. Once a byte was sent, every failure except a refusal is an
+// ErrUnknown: a response that is lost, truncated, late or malformed.
 func (l *HTTPLog) Append(ctx context.Context, stream string, records [][]byte) (ident.Offset, error) {
 	if len(records) == 0 {
 		return 0, fmt.Errorf("%w: append to %s: no records", ErrUnavailable, stream)
 	}
 	path := recordsPath(stream)
-	a, err := l.client.post(ctx, path, wire.AppendRequest{Records: records})
+	resp, err := l.client.post(ctx, path, wire.AppendRequest{Records: records})
 	if err != nil {
 		return 0, err
 	}
-	if a.status != http.StatusOK && a.status != http.StatusCreated {
-		return 0, appendRefused(path, a)
+	if resp.status != http.StatusOK && resp.status != http.StatusCreated {
+		return 0, appendError(path, resp)
 	}
-	return appendedAt(path, a)
+	return appendedOffset(path, resp)
 }
 
-func appendRefused(path string, a answer) error {
-	if a.didNothing() {
-		return fmt.Errorf("%w: POST %s: %w", ErrUnavailable, path, a.statusError())
+// appendError returns the error for a response whose status isn't a success.
+func appendError(path string, resp response) error {
+	if resp.refused() {
+		return fmt.Errorf("%w: POST %s: %w", ErrUnavailable, path, resp.statusError())
 	}
-	return fmt.Errorf("%w: POST %s: %w", ErrUnknown, path, a.statusError())
+	return fmt.Errorf("%w: POST %s: %w", ErrUnknown, path, resp.statusError())
 }
 
-func appendedAt(path string, a answer) (ident.Offset, error) {
-	var response wire.AppendResponse
-	if err := json.Unmarshal(a.body, &response); err != nil {
+// appendedOffset decodes the response to an append.
+func appendedOffset(path string, resp response) (ident.Offset, error) {
+	var decoded wire.AppendResponse
+	if err := json.Unmarshal(resp.body, &decoded); err != nil {
 		return 0, fmt.Errorf("%w: POST %s: %w", ErrUnknown, path, err)
 	}
-	if response.Offset < 1 {
-		return 0, fmt.Errorf("%w: POST %s: offset %d", ErrUnknown, path, response.Offset)
+	if decoded.Offset < 1 {
+		return 0, fmt.Errorf("%w: POST %s: offset %d", ErrUnknown, path, decoded.Offset)
 	}
-	return ident.Offset(response.Offset), nil
+	return ident.Offset(decoded.Offset), nil
 }
 
-// Read fetches a page. Where the page would exceed Options.MaxBodyBytes it asks
-// for fewer records.
+// Read fetches a page. If the page exceeds Options.MaxBodyBytes, it asks again for half as many
+// records.
 func (l *HTTPLog) Read(ctx context.Context, stream string, from ident.Offset, limit int, wait time.Duration) (Page, error) {
 	limit = max(limit, 1)
 	for {
@@ -80,67 +81,69 @@
 
 func (l *HTTPLog) read(ctx context.Context, stream string, from ident.Offset, limit int, wait time.Duration) (Page, error) {
 	path := fmt.Sprintf("%s?from=%d&max=%d&wait_ms=%d", recordsPath(stream), from, limit, wait.Milliseconds())
-	a, err := l.client.get(ctx, path, wait)
+	resp, err := l.client.get(ctx, path, wait)
 	if err != nil {
 		return Page{}, err
 	}
-	page, err := readPage(a, from, limit)
+	page, err := readPage(resp, from, limit)
 	if err != nil {
 		return page, fmt.Errorf("%w: GET %s", err, path)
 	}
 	return page, nil
 }
 
-// readPage checks an answer to a read.
-func readPage(a answer, from ident.Offset, limit int) (Page, error) {
-	if a.status != http.StatusOK && a.status != http.StatusGone {
-		return Page{}, fmt.Errorf("%w: %w", ErrUnavailable, a.statusError())
+// readPage decodes and checks the response to a read.
+func readPage(resp response, from ident.Offset, limit int) (Page, error) {
+	if resp.status != http.StatusOK && resp.status != http.StatusGone {
+		return Page{}, fmt.Errorf("%w: %w", ErrUnavailable, resp.statusError())
 	}
-	var response wire.ReadResponse
-	if err := json.Unmarshal(a.body, &response); err != nil {
+	var decoded wire.ReadResponse
+	if err := json.Unmarshal(resp.body, &decoded); err != nil {
 		return Page{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	if a.status == http.StatusGone {
-		return expired(response, from)
+	if resp.status == http.StatusGone {
+		return expiredPage(decoded, from)
 	}
-	if err := checkPage(response, from, limit); err != nil {
+	if err := checkPage(decoded, from, limit); err != nil {
 		return Page{}, fmt.Errorf("%w: page: %w", ErrUnavailable, err)
 	}
-	return pageOf(response), nil
+	return toPage(decoded), nil
 }
 
-func expired(response wire.ReadResponse, from ident.Offset) (Page, error) {
-	if ident.Offset(response.First) <= from {
-		return Page{}, fmt.Errorf("%w: 410, yet the oldest offset is %d", ErrUnavailable, response.First)
+// expiredPage returns the page for a response that says that offset from is past retention.
+func expiredPage(decoded wire.ReadResponse, from ident.Offset) (Page, error) {
+	if ident.Offset(decoded.First) <= from {
+		return Page{}, fmt.Errorf("%w: status 410, but the oldest offset is %d", ErrUnavailable, decoded.First)
 	}
-	return Page{First: ident.Offset(response.First), Next: ident.Offset(response.Next)}, ErrExpired
+	return Page{First: ident.Offset(decoded.First), Next: ident.Offset(decoded.Next)}, ErrExpired
 }
 
-// checkPage refuses pages that a fold over the log can't rest on: records out of
-// order, outside of what was asked, or with a gap where none may be.
-func checkPage(response wire.ReadResponse, from ident.Offset, limit int) error {
-	if response.First < 0 || response.Next < response.First {
-		return fmt.Errorf("first %d, next %d", response.First, response.Next)
-	}
-	if len(response.Records) > limit {
-		return fmt.Errorf("%d records, asked for %d", len(response.Records), limit)
-	}
-	want := max(int64(from), 1)
-	for _, r := range response.Records {
-		if r.Offset != want {
-			return fmt.Errorf("offset %d where %d was due", r.Offset, want)
+// checkPage returns an error if the records aren't consecutive from offset from on, are more
+// than limit, or reach past the end of the stream. State computed from such a page would be
+// wrong.
+func checkPage(decoded wire.ReadResponse, from ident.Offset, limit int) error {
+	if decoded.First < 0 || decoded.Next < decoded.First {
+		return fmt.Errorf("first %d, next %d", decoded.First, decoded.Next)
+	}
+	if len(decoded.Records) > limit {
+		return fmt.Errorf("%d records, the limit is %d", len(decoded.Records), limit)
+	}
+	expected := max(int64(from), 1)
+	for _, r := range decoded.Records {
+		if r.Offset != expected {
+			return fmt.Errorf("offset %d, expected %d", r.Offset, expected)
 		}
-		want++
+		expected++
 	}
-	if len(response.Records) > 0 && want > response.Next {
-		return fmt.Errorf("record %d, but next is %d", want-1, response.Next)
+	if len(decoded.Records) > 0 && expected > decoded.Next {
+		return fmt.Errorf("record %d, but next is %d", expected-1, decoded.Next)
 	}
 	return nil
 }
 
-func pageOf(response wire.ReadResponse) Page {
-	page := Page{First: ident.Offset(response.First), Next: ident.Offset(response.Next)}
-	for _, r := range response.Records {
+func toPage(decoded wire.ReadResponse) Page {
+	page := Page{First: ident.Offset(decoded.First), Next: ident.Offset(decoded.Next)}
+	for _, r := range decoded.Records {
 		page.Records = append(page.Records, Record{
 			Offset: ident.Offset(r.Offset),
 			Time:   time.UnixMilli(r.UnixMillis),
@@ -150,6 +153,7 @@
 	return page
 }
 
+// recordsPath returns the URL path of a stream's records.
 func recordsPath(stream string) string {
 	return "/v1/streams/" + url.PathEscape(stream) + "/records"
 }
--- a/internal/infra/httpvms_test.go
+++ b/internal/infra/httpvms_test.go
@@ -13,16 +13,16 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// story: The fleet grows to 12,000 VMs. Every daemon fetches the whole list every
-// two seconds, a megabyte each, and the list's server and the network choke.
-// Cause: the pace of the reads knew nothing of their size.
-var _ = Describe("the pace of the list of VMs", func() {
-	reads := func(ctx SpecContext, vms int) (count int, last []VMEntry) {
-		raw, err := json.Marshal(listOf(vms))
+// The fleet grows to 12,000 VMs. If every daemon fetched the whole list every two seconds, a
+// megabyte each time, the server of the list and the network would be overloaded. So the rate
+// of reads must depend on the size of the list.
+var _ = Describe("the rate of reads of the list of VMs", func() {
+	listThreeTimes := func(ctx SpecContext, vms int) (count int, last []VMEntry) {
+		body, err := json.Marshal(vmList(vms))
 		Expect(err).NotTo(HaveOccurred())
-		l, err := NewHTTPVMLister(serve(func(w http.ResponseWriter, _ *http.Request) {
+		l, err := NewHTTPVMLister(startServer(func(w http.ResponseWriter, _ *http.Request) {
 			count++
-			_, _ = w.Write(raw)
+			_, _ = w.Write(body)
 		}), Options{})
 		Expect(err).NotTo(HaveOccurred())
 		for range 3 {
@@ -32,15 +32,15 @@
 		return count, last
 	}
 
-	It("gives the list again instead of reading a long one anew", func(ctx SpecContext) {
-		count, last := reads(ctx, 12_000)
+	It("returns a long list again without another read", func(ctx SpecContext) {
+		count, last := listThreeTimes(ctx, 12_000)
 		Expect(count).To(Equal(1))
 		Expect(last).To(HaveLen(12_000))
 	})
 
-	It("asks again at once after a failure", func(ctx SpecContext) {
+	It("allows another read at once after a failure", func(ctx SpecContext) {
 		count := 0
-		l, err := NewHTTPVMLister(serve(func(w http.ResponseWriter, _ *http.Request) {
+		l, err := NewHTTPVMLister(startServer(func(w http.ResponseWriter, _ *http.Request) {
 			count++
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}), Options{})
@@ -53,7 +53,7 @@
 	})
 })
 
-func listOf(n int) wire.VMList {
+func vmList(n int) wire.VMList {
 	var list wire.VMList
 	for i := range n {
 		list.VMs = append(list.VMs, wire.VMEntry{Name: fmt.Sprintf("vm-%d", i), Role: wire.VMRoleUpstream, DataCentre: "d"})
@@ -61,11 +61,11 @@
 	return list
 }
 
-func TestListPause(t *testing.T) {
+func TestListInterval(t *testing.T) {
 	g := NewWithT(t)
 	for range 100 {
-		g.Expect(listPause(2000)).To(BeNumerically("~", time.Second, time.Second/4+1))
-		g.Expect(listPause(3000)).To(BeNumerically("<", 2*time.Second), "today's fleet notices nothing")
-		g.Expect(listPause(1_200_000)).To(BeNumerically("~", 10*time.Minute, 150*time.Second+1))
+		g.Expect(listInterval(2000)).To(BeNumerically("~", time.Second, time.Second/4+1))
+		g.Expect(listInterval(3000)).To(BeNumerically("<", 2*time.Second), "no more than the interval of callers for the current fleet")
+		g.Expect(listInterval(1_200_000)).To(BeNumerically("~", 10*time.Minute, 150*time.Second+1))
 	}
 }
--- a/internal/infra/silent_test.go
+++ b/internal/infra/silent_test.go
@@ -10,29 +10,30 @@
 	. "github.com/onsi/gomega"
 )
 
-// The log's connections fall silent. An operator publishes a change: the store
-// first reads the log's newest records on a connection that was fine a second
-// ago, hears nothing, and refuses the change, though a new connection would do.
-var _ = Describe("a connection that fell silent", func() {
-	It("costs an immediate read no more than a second try on a new one", func(ctx SpecContext) {
+// The connections to the log die silently. An operator publishes a configuration change, for
+// which the log's newest records are read first, on a connection that worked a second ago. If
+// the read failed because that connection is dead, the change would be refused although a new
+// connection would work.
+var _ = Describe("a read without a wait on a dead connection", func() {
+	It("is sent again on a new connection", func(ctx SpecContext) {
 		var mu sync.Mutex
-		seen := map[string]bool{} // by the caller's address
-		again := func(address string) bool {
+		seen := map[string]bool{} // addresses of the clients that sent a request
+		seenBefore := func(address string) bool {
 			mu.Lock()
 			defer mu.Unlock()
-			was := seen[address]
+			before := seen[address]
 			seen[address] = true
-			return was
+			return before
 		}
 		done := make(chan struct{})
-		url := serve(func(w http.ResponseWriter, r *http.Request) {
-			if again(r.RemoteAddr) {
+		url := startServer(func(w http.ResponseWriter, r *http.Request) {
+			if seenBefore(r.RemoteAddr) {
 				<-done
 				return
 			}
 			_, _ = io.WriteString(w, `{"first":1,"next":1,"records":[]}`)
 		})
-		DeferCleanup(func() { close(done) }) // runs before the server waits for its handlers
+		DeferCleanup(func() { close(done) }) // before the cleanup that waits for the handlers
 		l, err := NewHTTPLog(url, Options{Timeout: 4 * time.Second})
 		Expect(err).NotTo(HaveOccurred())
 		for range 2 {
