--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// logicalBits is how many low bits of a Stamp count events of one millisecond.
+// logicalBits is the number of low bits of a Stamp that count the events of one millisecond.
 const logicalBits = 16
 
-// maxAhead bounds how far a peer's stamp may push a clock past its own wall
-// clock. Without it one VM with a wrong date would drag every daemon's stamps
-// along for good; with it that VM's events merely sort late.
-const maxAhead = time.Minute
+// maxClockSkew is how far ahead of the wall clock a peer's stamp may set the clock. Without
+// the limit, one VM with a wrong date would put the stamps of all daemons ahead for good. With
+// it, only that VM's events sort too late.
+const maxClockSkew = time.Minute
 
-// Stamp is a reading of a hybrid logical clock (Kulkarni et al., 2014): Unix
-// milliseconds in the high 48 bits, a counter in the low 16. An event that
-// happened after another, on the same VM or by way of a digest, has a larger one.
+// Stamp is a timestamp of a hybrid logical clock (Kulkarni et al., 2014): Unix
+// milliseconds in the high 48 bits, a counter in the low 16. If an event happened
+// before another one on the same VM, or on another VM whose clock was merged in between, its
+// stamp is smaller.
 type Stamp uint64
 
-// StampOf returns the smallest stamp of that moment.
+// StampOf returns the smallest stamp with the time t.
 func StampOf(t time.Time) Stamp {
 	ms := t.UnixMilli()
 	if ms < 0 {
@@ -27,20 +28,20 @@
 	return Stamp(ms) << logicalBits
 }
 
-// Time returns the stamp's wall clock part.
+// Time returns the wall clock time of the stamp.
 func (s Stamp) Time() time.Time { return time.UnixMilli(int64(s >> logicalBits)).UTC() }
 
-// Clock hands out stamps that only rise. Safe for concurrent use.
+// Clock is a hybrid logical clock. Safe for concurrent use.
 type Clock struct {
 	mu   sync.Mutex
-	last Stamp
-	now  func() time.Time
+	last Stamp            // largest stamp that was returned or merged
+	now  func() time.Time // the wall clock
 }
 
-// NewClock returns a clock over a wall clock, usually time.Now.
+// NewClock returns a clock that uses the given wall clock, usually time.Now.
 func NewClock(now func() time.Time) *Clock { return &Clock{now: now} }
 
-// Now returns a stamp larger than any returned or merged before.
+// Now returns a stamp that is larger than all that were returned or merged before.
 func (c *Clock) Now() Stamp {
 	wall := StampOf(c.now())
 	c.mu.Lock()
@@ -49,13 +50,13 @@
 	return c.last
 }
 
-// Merge takes in a stamp from a peer, so that later ones of ours are larger.
-// A stamp more than a minute ahead of the wall clock is not followed.
-func (c *Clock) Merge(theirs Stamp) {
-	limit := StampOf(c.now().Add(maxAhead))
+// Merge merges a stamp of a peer, so that later stamps of this clock are larger. A stamp that
+// is more than a minute ahead of the wall clock is ignored.
+func (c *Clock) Merge(peerStamp Stamp) {
+	limit := StampOf(c.now().Add(maxClockSkew))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if theirs > c.last && theirs <= limit {
-		c.last = theirs
+	if peerStamp > c.last && peerStamp <= limit {
+		c.last = peerStamp
 	}
 }
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -1,6 +1,6 @@
-// Package timeline keeps what happened on this VM in a bounded memory, stamped
-// so that the events of all daemons merge into one order. It never holds
-// prompts, bodies or secrets.
+// Package timeline records events of this VM in memory of bounded size. The events have
+// hybrid logical timestamps, so that those of all daemons can be merged into one order. They
+// never contain prompts, bodies or secrets.
 package timeline
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// maxDetail bounds Event.Detail in bytes; the rest is cut.
-const maxDetail = 200
+// maxDetailBytes is the size to which Event.Detail is truncated.
+const maxDetailBytes = 200
 
 // Event is one change of state. Fields that don't apply are zero.
 type Event struct {
-	HLC      Stamp           `json:"hlc,string"` // set by Add when zero
+	HLC      Stamp           `json:"hlc,string"` // set by Add if it is zero
 	VM       ident.VM        `json:"vm"`         // set by Add
 	Kind     string          `json:"kind"`
 	Request  ident.RequestID `json:"request,omitempty"`
@@ -27,10 +27,10 @@
 	Sample   string          `json:"sample,omitempty"` // "group/index"
 	Upstream ident.Upstream  `json:"upstream,omitempty"`
 	Version  ident.Version   `json:"version,omitempty"`
-	Detail   string          `json:"detail,omitempty"` // a reason or count, never content
+	Detail   string          `json:"detail,omitempty"` // a reason or count, never content of requests
 }
 
-// MarshalJSON adds the wall clock time in RFC 3339 beside the stamp.
+// MarshalJSON adds a field with the wall clock time of the stamp in RFC 3339.
 func (e Event) MarshalJSON() ([]byte, error) {
 	type plain Event
 	return json.Marshal(struct {
@@ -39,20 +39,20 @@
 	}{e.HLC.Time(), plain(e)})
 }
 
-// Filter selects events. Zero fields select everything.
+// Filter selects events. A zero field matches every event.
 type Filter struct {
 	Request ident.RequestID
 	Team    ident.Team
 	Job     ident.Job
 	Sample  string
-	Since   Stamp // events after this one
-	Limit   int   // newest so many; 0: DefaultLimit
+	Since   Stamp // only events with a larger stamp
+	Limit   int   // number of events, of which the newest are selected; 0: DefaultLimit
 }
 
-// DefaultLimit is how many events a Filter without a limit returns at most.
+// DefaultLimit is the limit of a Filter without one.
 const DefaultLimit = 1000
 
-// Match reports whether an event is selected, the limit aside.
+// Match reports whether the filter selects an event, except for the limit.
 func (f Filter) Match(e *Event) bool {
 	return (f.Request == "" || f.Request == e.Request) &&
 		(f.Team == "" || f.Team == e.Team) &&
@@ -68,7 +68,7 @@
 	return f.Limit
 }
 
-// Merge puts several daemons' events into one order: by stamp, then by VM.
+// Merge merges lists of events and sorts them by stamp, then by VM.
 func Merge(lists [][]Event) []Event {
 	merged := slices.Concat(lists...)
 	slices.SortStableFunc(merged, compareEvents)
@@ -79,7 +79,7 @@
 	return cmp.Or(cmp.Compare(a.HLC, b.HLC), cmp.Compare(a.VM, b.VM))
 }
 
-// Newest keeps the last of a sorted list, up to the filter's limit.
+// Newest returns the last events of a sorted list, up to the filter's limit.
 func (f Filter) Newest(events []Event) []Event {
 	if n := f.limit(); len(events) > n {
 		return events[len(events)-n:]
@@ -87,12 +87,12 @@
 	return events
 }
 
-// cut bounds a detail without ending it inside a character.
-func cut(detail string) string {
-	if len(detail) <= maxDetail {
+// truncate truncates a detail at the end of a UTF-8 character and marks it with an ellipsis.
+func truncate(detail string) string {
+	if len(detail) <= maxDetailBytes {
 		return detail
 	}
-	end := maxDetail
+	end := maxDetailBytes
 	for end > 0 && detail[end]&0xC0 == 0x80 {
 		end--
 	}
--- a/internal/timeline/recorder.go
+++ b/internal/timeline/recorder.go
@@ -9,34 +9,36 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// shardCount spreads writers over locks. A request's events share a shard.
+// shardCount is the number of shards, each of which has its own lock, so that concurrent
+// writers rarely wait. All events of a request are in one shard.
 const shardCount = 16
 
-// DefaultCapacity is how many events a recorder keeps by default: some 4 MB.
+// DefaultCapacity is the number of events that a recorder keeps by default. They take some
+// 4 MB.
 const DefaultCapacity = 16_384
 
-// Recorder keeps this VM's newest events. Safe for concurrent use.
+// Recorder keeps the newest events of this VM. Safe for concurrent use.
 type Recorder struct {
 	vm     ident.VM
 	clock  *Clock
 	shards [shardCount]ring
 }
 
-// ring holds the newest events of one shard; the oldest is overwritten.
+// ring is a ring buffer with the newest events of one shard.
 type ring struct {
 	mu     sync.Mutex
-	events []Event // grows to limit, then wraps
-	next   int
-	limit  int
+	events []Event
+	next   int // index of the oldest event, once the ring is full
+	limit  int // capacity in events
 }
 
-// New returns a recorder for a VM that keeps about capacity events (0:
-// DefaultCapacity).
+// New returns a recorder for a VM that keeps about capacity events, or DefaultCapacity if
+// capacity is 0.
 func New(vm ident.VM, capacity int) *Recorder {
 	return NewWithClock(vm, capacity, NewClock(time.Now))
 }
 
-// NewWithClock is New over a given clock.
+// NewWithClock is New with a given clock.
 func NewWithClock(vm ident.VM, capacity int, clock *Clock) *Recorder {
 	if capacity <= 0 {
 		capacity = DefaultCapacity
@@ -48,25 +50,25 @@
 	return r
 }
 
-// Clock returns the clock that stamps the events; digests carry and merge it.
+// Clock returns the clock that stamps the events. Digests between daemons carry its stamps.
 func (r *Recorder) Clock() *Clock { return r.clock }
 
-// Add records an event of this VM. The detail is cut to 200 bytes.
+// Add records an event of this VM. The detail is truncated to 200 bytes.
 func (r *Recorder) Add(e Event) {
 	e.VM = r.vm
-	e.Detail = cut(e.Detail)
+	e.Detail = truncate(e.Detail)
 	if e.HLC == 0 {
 		e.HLC = r.clock.Now()
 	}
 	r.shard(&e).add(e)
 }
 
-// Record adds an event about a request, for callers that know no more.
+// Record adds an event about a request.
 func (r *Recorder) Record(kind string, id ident.RequestID, team ident.Team, up ident.Upstream, detail string) {
 	r.Add(Event{Kind: kind, Request: id, Team: team, Upstream: up, Detail: detail})
 }
 
-// Query returns this VM's newest events that match, in order.
+// Query returns the newest events of this VM that the filter selects, ordered by stamp.
 func (r *Recorder) Query(f Filter) []Event {
 	lists := make([][]Event, len(r.shards))
 	for i := range r.shards {
@@ -75,6 +77,7 @@
 	return f.Newest(Merge(lists))
 }
 
+// shard returns the shard of an event.
 func (r *Recorder) shard(e *Event) *ring {
 	key := string(e.Request) + e.Sample
 	if key == "" {
@@ -83,24 +86,24 @@
 	return &r.shards[xxhash.Sum64String(key)%shardCount]
 }
 
-func (s *ring) add(e Event) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.events) < s.limit {
-		s.events = append(s.events, e)
+func (r *ring) add(e Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.events) < r.limit {
+		r.events = append(r.events, e)
 		return
 	}
-	s.events[s.next] = e
-	s.next = (s.next + 1) % s.limit
+	r.events[r.next] = e
+	r.next = (r.next + 1) % r.limit
 }
 
-func (s *ring) query(f Filter) []Event {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *ring) query(f Filter) []Event {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var found []Event
-	for i := range s.events {
-		if f.Match(&s.events[i]) {
-			found = append(found, s.events[i])
+	for i := range r.events {
+		if f.Match(&r.events[i]) {
+			found = append(found, r.events[i])
 		}
 	}
 	return found
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -16,37 +16,37 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/timeline"
 )
 
-// wall is a clock that the test moves.
-type wall struct {
+// fakeClock is a wall clock that tests set.
+type fakeClock struct {
 	mu sync.Mutex
 	t  time.Time
 }
 
-func (w *wall) now() time.Time {
+func (w *fakeClock) now() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.t
 }
 
-func (w *wall) move(d time.Duration) {
+func (w *fakeClock) advance(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.t = w.t.Add(d)
 }
 
 var _ = Describe("the clock", func() {
-	It("only rises, whatever the wall clock and the peers do", func() {
+	It("is strictly monotonic whatever the wall clock and the peers' stamps are", func() {
 		for seed := range uint64(100) {
 			r := rand.New(rand.NewPCG(seed, 1))
-			w := &wall{t: time.Unix(10_000, 0)}
-			clock := timeline.NewClock(w.now)
+			wall := &fakeClock{t: time.Unix(10_000, 0)}
+			clock := timeline.NewClock(wall.now)
 			last := clock.Now()
 			for range 200 {
-				w.move(time.Duration(r.IntN(2000)-800) * time.Millisecond)
+				wall.advance(time.Duration(r.IntN(2000)-800) * time.Millisecond)
 				if r.IntN(3) == 0 {
-					theirs := timeline.StampOf(w.now().Add(time.Duration(r.IntN(20_000)) * time.Millisecond))
-					clock.Merge(theirs)
-					Expect(clock.Now()).To(BeNumerically(">", theirs))
+					peerStamp := timeline.StampOf(wall.now().Add(time.Duration(r.IntN(20_000)) * time.Millisecond))
+					clock.Merge(peerStamp)
+					Expect(clock.Now()).To(BeNumerically(">", peerStamp))
 				}
 				next := clock.Now()
 				Expect(next).To(BeNumerically(">", last))
@@ -55,20 +55,20 @@
 		}
 	})
 
-	// One VM's date is years ahead. Its peers must not take that date on.
-	It("doesn't follow a clock far ahead", func() {
-		w := &wall{t: time.Unix(10_000, 0)}
-		clock := timeline.NewClock(w.now)
-		clock.Merge(timeline.StampOf(w.now().Add(24 * time.Hour)))
-		Expect(clock.Now().Time()).To(BeTemporally("~", w.now(), time.Second))
+	// The date of one VM is far ahead. The clocks of its peers must not be set to that date.
+	It("ignores a stamp far ahead of the wall clock", func() {
+		wall := &fakeClock{t: time.Unix(10_000, 0)}
+		clock := timeline.NewClock(wall.now)
+		clock.Merge(timeline.StampOf(wall.now().Add(24 * time.Hour)))
+		Expect(clock.Now().Time()).To(BeTemporally("~", wall.now(), time.Second))
 	})
 })
 
 var _ = Describe("the recorder", func() {
-	// A request enters at one VM whose clock is behind and runs at another: the
-	// merged time line still shows the entry first, since a digest lay between.
-	It("merges two VMs' events in the order of what caused what", func() {
-		behind, ahead := &wall{t: time.Unix(10_000, 0)}, &wall{t: time.Unix(10_005, 0)}
+	// A request arrives at a VM and is dispatched at another one, whose wall clock is behind.
+	// The merged timeline must show the arrival first, since a digest was sent in between.
+	It("merges two VMs' events in causal order", func() {
+		behind, ahead := &fakeClock{t: time.Unix(10_000, 0)}, &fakeClock{t: time.Unix(10_005, 0)}
 		a := timeline.NewWithClock("a", 0, timeline.NewClock(ahead.now))
 		b := timeline.NewWithClock("b", 0, timeline.NewClock(behind.now))
 		a.Record("entered", "r1", "team", "", "")
@@ -78,9 +78,9 @@
 		Expect([]string{merged[0].Kind, merged[1].Kind}).To(Equal([]string{"entered", "dispatched"}))
 	})
 
-	It("finds by request, job, team, sample, time and limit", func() {
-		w := &wall{t: time.Unix(10_000, 0)}
-		r := timeline.NewWithClock("a", 0, timeline.NewClock(w.now))
+	It("filters by request, job, team, sample, stamp and limit", func() {
+		wall := &fakeClock{t: time.Unix(10_000, 0)}
+		r := timeline.NewWithClock("a", 0, timeline.NewClock(wall.now))
 		r.Record("x", "r1", "t1", "u", "")
 		r.Add(timeline.Event{Kind: "y", Team: "t1", Job: "j", Sample: "3/1"})
 		r.Add(timeline.Event{Kind: "z", Team: "t2", Job: "j", Sample: "3/2"})
@@ -99,7 +99,7 @@
 		Expect(kinds(timeline.Filter{Since: r.Query(timeline.Filter{})[0].HLC})).To(Equal("yz"))
 	})
 
-	It("holds no more than its capacity, newest last, under concurrent writers", func() {
+	It("keeps no more events than its capacity, in order, with concurrent writers", func() {
 		r := timeline.New("a", 160)
 		var writers sync.WaitGroup
 		for w := range 8 {
@@ -115,7 +115,7 @@
 		Expect(slices.IsSortedFunc(events, func(a, b timeline.Event) int { return int(int64(a.HLC) - int64(b.HLC)) })).To(BeTrue())
 	})
 
-	It("cuts details at a character and reads its own JSON", func() {
+	It("truncates details at the end of a character and decodes its own JSON", func() {
 		r := timeline.New("a", 0)
 		r.Add(timeline.Event{Kind: "k", Step: 2, Detail: strings.Repeat("é", 500)})
 		e := r.Query(timeline.Filter{})[0]
