--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,9 +1,10 @@
-// Package wallclock tells the time of day on a VM whose own clock may jump and jump back.
+// Package wallclock returns the wall clock time on a VM whose wall clock may jump and jump
+// back.
 //
-// Requests are counted by windows of true time. A VM whose time of day jumps by seconds
-// would count its requests in the wrong window and, if it reports, decide a window that
-// others still count in. The steady clock goes on through a jump, so the time of day is
-// kept by it, and a jump is believed only when it has lasted for a while.
+// Requests are counted in windows of true time. A VM whose wall clock jumps by seconds would
+// count its requests in the wrong window. If it is the one that reports, it would also close a
+// window in which others still count. So the time is kept by a monotonic clock, which doesn't
+// jump, and a jump of the wall clock is accepted only once it has lasted for a while.
 package wallclock
 
 import (
@@ -12,53 +13,57 @@
 )
 
 const (
-	// tolerance: what the time of day and the steady clock may drift apart between two
-	// looks without being a jump. VMs' clocks are within some ms of true time.
-	tolerance = 200 * time.Millisecond
-	// patience is how long a jump has to last: above what a wrong time is noticed and
-	// put right in, and below what a process that started with a wrong time may go on.
-	patience = 60 * time.Second
+	// maxDrift is how far the wall clock and the monotonic clock may drift apart between two
+	// readings. A larger difference is a jump. The wall clocks of VMs are within some ms of
+	// true time.
+	maxDrift = 200 * time.Millisecond
+	// jumpConfirmTime is how long a jump must last until it is accepted. That is longer than it
+	// takes to detect and correct a wrong wall clock, and shorter than a process that started
+	// with a wrong wall clock may keep the wrong time.
+	jumpConfirmTime = 60 * time.Second
 )
 
-// Offset keeps how far the time of day is ahead of the steady clock. It is pure: both
-// times are passed in. Not safe for concurrent use.
-type Offset struct {
-	known  bool
-	offset time.Duration // from the steady clock's zero to the time of day, in Unix time
-	jumped bool
-	since  time.Duration // steady time of the jump
+// JumpFilter keeps the offset between the wall clock and the monotonic clock, and ignores jumps
+// of the wall clock that don't last. It reads no clock itself. Not safe for concurrent use.
+type JumpFilter struct {
+	initialized bool          // offset is set
+	offset      time.Duration // Unix time at the zero of the monotonic clock
+	jumpPending bool          // the wall clock has jumped and the jump isn't accepted yet
+	jumpStart   time.Duration // monotonic time of the first reading after the jump
 }
 
-// Time returns the time of day, by what the VM says it is and by the steady clock.
-func (o *Offset) Time(says time.Time, steady time.Duration) time.Time {
-	offset := time.Duration(says.UnixNano()) - steady
+// Time returns the time, given the readings of the wall clock and of the monotonic clock.
+func (f *JumpFilter) Time(wall time.Time, monotonic time.Duration) time.Time {
+	offset := time.Duration(wall.UnixNano()) - monotonic
 	switch {
-	case !o.known || within(offset, o.offset):
-		o.known, o.offset, o.jumped = true, offset, false
-	case !o.jumped:
-		o.jumped, o.since = true, steady
-	case steady-o.since >= patience:
-		o.offset, o.jumped = offset, false
+	case !f.initialized || within(offset, f.offset):
+		f.initialized, f.offset, f.jumpPending = true, offset, false
+	case !f.jumpPending:
+		f.jumpPending, f.jumpStart = true, monotonic
+	case monotonic-f.jumpStart >= jumpConfirmTime:
+		f.offset, f.jumpPending = offset, false
 	}
-	return time.Unix(0, int64(o.offset+steady))
+	return time.Unix(0, int64(f.offset+monotonic))
 }
 
-func within(a, b time.Duration) bool { return a-b < tolerance && b-a < tolerance }
+// within reports whether the difference of two offsets is below maxDrift.
+func within(a, b time.Duration) bool { return a-b < maxDrift && b-a < maxDrift }
 
-// Clock is an Offset that reads the VM's clocks. It is safe for concurrent use.
+// Clock is a wall clock without short jumps. It is safe for concurrent use.
 type Clock struct {
-	steady func() time.Duration
+	monotonic func() time.Duration
 
 	mu     sync.Mutex
-	offset Offset
+	filter JumpFilter
 }
 
-// New returns a clock. steady is a clock that goes on while the VM is suspended.
-func New(steady func() time.Duration) *Clock { return &Clock{steady: steady} }
+// New returns a clock. monotonic returns the time of a monotonic clock that goes on while the
+// VM is suspended.
+func New(monotonic func() time.Duration) *Clock { return &Clock{monotonic: monotonic} }
 
-// Now returns the time of day.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.offset.Time(time.Now(), c.steady())
+	return c.filter.Time(time.Now(), c.monotonic())
 }
