--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime reads a clock that goes on while the VM is suspended. Go's
-// monotonic clock stands still then, so a lease that ran out during the
-// suspension would look valid to its former holder.
+// Package boottime reads a monotonic clock that goes on while the VM is suspended. Go's
+// monotonic clock stops then, so a lease that expired during the suspension would
+// look valid to its former holder.
 package boottime
 
 import (
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since boot, suspended time included. Only differences
-// mean anything.
+// Now returns the time since boot, including the time for which the VM was suspended. Only
+// differences between two readings are meaningful.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every Linux since 2.6.39 has this clock; without it no lease can be judged.
+		// Linux has this clock since 2.6.39. Without it the validity of a lease is unknown.
 		panic("boottime: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,37 +1,37 @@
-// Package ident holds the typed identifiers that every other package shares.
+// Package ident defines the identifier types that other packages share.
 package ident
 
 import "strconv"
 
 type (
-	// Team is a customer of the service and the name of its branch of settings.
+	// Team is the name of a customer of the service, and of its branch of the settings tree.
 	Team string
-	// VM names one of ours or one that an upstream runs on.
+	// VM is the name of a VM on which a daemon or an upstream runs.
 	VM string
-	// DataCentre names where a VM stands.
+	// DataCentre is the name of the data centre of a VM.
 	DataCentre string
-	// Upstream names a model engine, a plain service or a scorer.
+	// Upstream is the name of a model engine, a plain service or a scorer.
 	Upstream string
-	// Model names a family of weights; its versions are Version.
+	// Model is the name of a model. Each set of its weights has a Version.
 	Model string
-	// Job names a rollout job, unique within its team.
+	// Job is the name of a rollout job, unique within its team.
 	Job string
-	// RequestID names one request of a caller, or one attempt at a sample.
+	// RequestID identifies one request of a caller, or one attempt at a sample.
 	RequestID string
 )
 
-// Version is a weight version. Larger is newer, 0 is "none".
+// Version is a version of a model's weights. A larger one is newer, 0 means none.
 type Version int64
 
-// Offset is a record's position in a stream of the platform's log. The first
-// record has offset 1, so 0 is "nothing read yet".
+// Offset is the position of a record in a stream of the platform's log. The first record has
+// offset 1, so 0 means that nothing was read yet.
 type Offset int64
 
-// Step numbers a training step within its job.
+// Step is the number of a training step within its job.
 type Step int64
 
-// String returns the decimal form.
+// String returns the version in decimal.
 func (v Version) String() string { return strconv.FormatInt(int64(v), 10) }
 
-// String returns the decimal form.
+// String returns the offset in decimal.
 func (o Offset) String() string { return strconv.FormatInt(int64(o), 10) }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause has waits that end when a context ends.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits until the time is up or the context ends. It reports whether the context lives.
+// For waits for d, or until the context ends. It returns false if the context has ended.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,9 +21,9 @@
 	}
 }
 
-// Every calls a function after each interval until the context ends.
-func Every(ctx context.Context, interval time.Duration, do func()) {
+// Every calls f after each interval until the context ends.
+func Every(ctx context.Context, interval time.Duration, f func()) {
 	for For(ctx, interval) {
-		do()
+		f()
 	}
 }
