--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -1,32 +1,32 @@
 package wire
 
 // AppendRequest is the body of POST /v1/streams/{stream}/records on the log.
-// All records of one call are appended together or not at all.
+// The records are appended all or none.
 type AppendRequest struct {
 	Records [][]byte `json:"records"`
 }
 
-// AppendResponse names the offset of the first record appended.
+// AppendResponse is the response to an append.
 type AppendResponse struct {
-	Offset int64 `json:"offset"`
+	Offset int64 `json:"offset"` // of the first appended record
 }
 
-// ReadResponse is the answer to GET /v1/streams/{stream}/records?from=N&max=M&wait_ms=W.
-// A from below First is answered with 410 and a ReadResponse without records.
+// ReadResponse is the response to GET /v1/streams/{stream}/records?from=N&max=M&wait_ms=W.
+// If from is below First, the status is 410 and there are no records.
 type ReadResponse struct {
-	First   int64       `json:"first"` // oldest offset still kept
-	Next    int64       `json:"next"`  // offset that the next record will get
+	First   int64       `json:"first"` // oldest offset that is kept
+	Next    int64       `json:"next"`  // offset of the next record to be appended
 	Records []LogRecord `json:"records"`
 }
 
 // LogRecord is one record of a stream.
 type LogRecord struct {
 	Offset     int64  `json:"offset"`
-	UnixMillis int64  `json:"unix_millis"`
+	UnixMillis int64  `json:"unix_millis"` // time of the append, Unix time in milliseconds
 	Data       []byte `json:"data"`
 }
 
-// VersionList is the answer to GET /v1/models/{model}/versions on the weight store.
+// VersionList is the response to GET /v1/models/{model}/versions on the weight store.
 type VersionList struct {
 	Versions []int64 `json:"versions"` // ascending
 }
@@ -41,21 +41,20 @@
 
 // The roles of a VM.
 const (
-	VMRoleEntry    VMRole = "entry"    // a daemon of ours
+	VMRoleEntry    VMRole = "entry"    // a dogwoodflow daemon
 	VMRoleUpstream VMRole = "upstream" // an engine, service or scorer
 )
 
-// VMList is the answer to GET /v1/vms. It lags.
+// VMList is the response to GET /v1/vms. It lags behind the state of the VMs.
 type VMList struct {
 	VMs []VMEntry `json:"vms"`
 }
 
-// VMEntry is one VM. For entry VMs PeerAddress is the daemon's peer port; for
-// upstream VMs Name is the upstream's name in the configuration.
+// VMEntry is one VM.
 type VMEntry struct {
-	Name        string `json:"name"`
+	Name        string `json:"name"` // of an upstream's VM: the upstream's name in the configuration
 	Role        VMRole `json:"role"`
 	DataCentre  string `json:"data_centre"`
-	PeerAddress string `json:"peer_address,omitempty"`
-	Leaving     bool   `json:"leaving"`
+	PeerAddress string `json:"peer_address,omitempty"` // of a daemon: ip:port for calls by other daemons
+	Leaving     bool   `json:"leaving"`                // the VM will be removed
 }
