--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds what a daemon knows of the world around it, for all parts
-// that decide: the configuration in force, the upstreams, the published weights.
+// Package fleet holds a daemon's view of the system: the configuration in force, the upstreams
+// and the published weights versions. Other packages base their decisions on it.
 package fleet
 
 import (
@@ -11,30 +11,32 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/routes"
 )
 
-// View is the current knowledge. It is safe for concurrent use.
+// View is a daemon's current view of the system. It is safe for concurrent use.
 type View struct {
 	now func() time.Duration
 
-	mu        sync.Mutex
-	config    *routes.Config
-	configAt  time.Duration // when it came into force
-	published map[string]int64
-	upstreams *registry.Registry
-	changed   chan struct{}
+	mu          sync.Mutex
+	config      *routes.Config
+	configSetAt time.Duration    // when it came into force
+	published   map[string]int64 // newest weights version by model
+	upstreams   *registry.Registry
+	changed     chan struct{} // closed and replaced at each change
 }
 
-// New returns an empty view. now is a clock that goes on while the VM is suspended.
+// New returns an empty view. now returns the time of a clock that goes on while the VM is
+// suspended.
 func New(now func() time.Duration) *View {
 	return &View{now: now, published: map[string]int64{}, upstreams: registry.New(), changed: make(chan struct{})}
 }
 
-// Changed is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
+// update calls change with the lock held, and signals a change.
 func (v *View) update(change func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -42,26 +44,27 @@
 	v.signalLocked()
 }
 
+// signalLocked wakes those that wait for a change.
 func (v *View) signalLocked() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// Config is the configuration in force, nil before the first one.
+// Config returns the configuration in force, nil before the first one.
 func (v *View) Config() *routes.Config {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.config
 }
 
-// ConfigAge is the time since the configuration came into force here.
+// ConfigAge returns the time since the configuration came into force in this daemon.
 func (v *View) ConfigAge() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.now() - v.configAt
+	return v.now() - v.configSetAt
 }
 
-// All returns every upstream, leaving ones included.
+// All returns every upstream, including those that are leaving.
 func (v *View) All() []registry.Upstream {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -69,42 +72,44 @@
 	return v.upstreams.All()
 }
 
-// SetConfig puts a configuration in force unless it is older than the present
-// one: a view that was read anew may lag behind what this process acted on.
+// SetConfig puts a configuration in force and returns true, unless its version isn't newer than
+// the one in force. A configuration that is read again, for example, may be older than one that
+// this process has acted on.
 func (v *View) SetConfig(c *routes.Config) bool {
-	taken := false
+	accepted := false
 	v.update(func() {
 		if v.config == nil || c.Version > v.config.Version {
 			v.config = c
-			v.configAt = v.now()
-			taken = true
+			v.configSetAt = v.now()
+			accepted = true
 		}
 	})
-	return taken
+	return accepted
 }
 
-// Publish notes the newest weights of a model; an older version changes nothing.
+// Publish sets the newest weights version of a model and returns true, unless the version isn't
+// newer than the one before.
 func (v *View) Publish(model string, version int64) bool {
-	taken := false
+	accepted := false
 	v.update(func() {
 		if version > v.published[model] {
 			v.published[model] = version
-			taken = true
+			accepted = true
 		}
 	})
-	return taken
+	return accepted
 }
 
-// Published returns the newest weights of each model. A model that was never
-// named is missing.
+// Published returns the newest weights version by model. A model without a published version is
+// missing.
 func (v *View) Published() map[string]int64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return maps.Clone(v.published)
 }
 
-// Upstreams applies a change to the registry. Who waits for a change hears of it only if
-// it was one: most entries of servers and most answers tell nothing new.
+// Upstreams calls change with the registry. It signals a change only if the registry has
+// changed, since most entries of servers and most responses contain nothing new.
 func (v *View) Upstreams(change func(r *registry.Registry, now time.Duration)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -115,7 +120,8 @@
 	}
 }
 
-// UpstreamChanges counts the changes of the upstreams: while it stays the same, so do they.
+// UpstreamChanges returns the number of changes of upstreams so far. While it is the same, so
+// are the upstreams.
 func (v *View) UpstreamChanges() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -123,15 +129,15 @@
 	return v.upstreams.Changes()
 }
 
-// CountUpstreams counts the upstreams, leaving ones included.
+// CountUpstreams returns the number of upstreams, including those that are leaving.
 func (v *View) CountUpstreams() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.upstreams.Count()
 }
 
-// Of returns the live upstreams of a service, leaving ones included. The list must not be
-// changed.
+// Of returns the upstreams of a service, including those that are leaving. The caller must not
+// modify the list.
 func (v *View) Of(service string) []registry.Upstream {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -139,7 +145,8 @@
 	return v.upstreams.Of(service)
 }
 
-// Members counts the changes of a service's upstreams but for those of their weights.
+// Members returns the number of changes of a service's upstreams so far, except changes of
+// their weights versions.
 func (v *View) Members(service string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -147,14 +154,15 @@
 	return v.upstreams.Members(service)
 }
 
-// Sample returns so many of a service's upstreams that aren't leaving, see registry.Sample.
+// Sample returns up to n of a service's upstreams that aren't leaving, the same ones in all
+// daemons that know the same upstreams.
 func (v *View) Sample(service string, n int) []registry.Upstream {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.upstreams.Sample(service, n)
 }
 
-// List returns upstreams by their IDs, without those that aren't known.
+// List returns the upstreams with the given IDs, without those that aren't known.
 func (v *View) List(ids []string) []registry.Upstream {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -167,7 +175,7 @@
 	return out
 }
 
-// Get returns one upstream.
+// Get returns an upstream by its ID. It returns false if the upstream isn't known.
 func (v *View) Get(id string) (registry.Upstream, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
