--- a/internal/batch/fold.go
+++ b/internal/batch/fold.go
@@ -9,7 +9,8 @@
 // order. Daemons that have read the same records have the same state, except for times, which
 // are on each daemon's own clock. Not safe for concurrent use.
 //
-// Each batch has a list of results. A sample is listed once it has one.
+// Each batch has a list of results. A sample is listed once it has one. Of the texts that its
+// owners write, the kept text is the one that counts.
 //
 // Invariants:
 //   - a batch is accepted once: later records of its acceptance change nothing;
@@ -167,6 +168,7 @@
 	return nil
 }
 
+// applyAccepted adds a part of a batch. Once all parts were read in order, the batch is accepted.
 func (f *Fold) applyAccepted(r Accepted, now time.Duration) *Batch {
 	if _, known := f.batches[r.Batch]; known {
 		return nil
@@ -188,6 +190,7 @@
 	return f.addBatch(r.Batch, p, now)
 }
 
+// addBatch adds a batch whose parts were all read.
 func (f *Fold) addBatch(id string, p *pendingBatch, now time.Duration) *Batch {
 	b := &Batch{ID: id, Head: *p.head, Samples: make([]Sample, len(p.items)), Seen: now, Since: now}
 	for i, item := range p.items {
@@ -261,7 +264,8 @@
 }
 
 // applyCompletion adds the text's last segment, or sets the score of a complete text. It
-// returns false, and changes nothing, if the result doesn't belong to the kept text.
+// returns false, and changes nothing, if the segment continues none of the sample's texts or
+// the score isn't one of the kept text.
 func (s *Sample) applyCompletion(r Result) bool {
 	switch {
 	case s.Reward != "":
@@ -314,7 +318,7 @@
 // Get returns a batch by its key, nil if no such batch was accepted.
 func (f *Fold) Get(id string) *Batch { return f.batches[id] }
 
-// Backdate sets the time of acceptance to that long before the batch was read.
+// Backdate sets the estimate of when the batch was accepted to age before it was read.
 func (b *Batch) Backdate(age time.Duration) { b.Since = b.Seen - age }
 
 // Open returns the batches that need further results, in order of acceptance.
--- a/internal/batch/plan.go
+++ b/internal/batch/plan.go
@@ -23,8 +23,9 @@
 // each further sample.
 const gapIncreasePerSample = 0.024
 
-// GapAlone converts the gap between a sample's events on an engine that runs so many samples
-// to the gap that it would have alone. This makes engines under different loads comparable.
+// GapAlone converts the gap between a sample's events on an engine, which runs the given number
+// of samples, to the gap that the sample would have alone. This makes engines under different
+// loads comparable.
 func GapAlone(gap time.Duration, running int) time.Duration {
 	return time.Duration(float64(gap) / (1 + gapIncreasePerSample*float64(max(0, running-1))))
 }
--- a/internal/batch/record.go
+++ b/internal/batch/record.go
@@ -33,9 +33,9 @@
 	kindLoaded
 )
 
-// Accepted is one part of the record of an accepted batch, which is split to keep records
-// small. The parts are appended together, all or none. The batch is accepted at its last
-// part.
+// Accepted is one part of the record of an accepted batch, which is split since the size of a
+// record is limited. The parts are appended together, all or none. The batch is accepted at its
+// last part.
 type Accepted struct {
 	Batch string `cbor:"1,keyasint"` // Key of the batch, as in all records
 	// Copy is a unique ID of the submission. It keeps the parts of a batch that is submitted
@@ -180,7 +180,7 @@
 	Score   string  `cbor:"6,keyasint,omitempty"`
 }
 
-// Failed records that an upstream answered that a sample, or its reward call, failed.
+// Failed records a response of an upstream that says that a sample, or its reward call, failed.
 type Failed struct {
 	Batch string `cbor:"1,keyasint"`
 	Item  int    `cbor:"2,keyasint"` // index of the sample in the batch
--- a/internal/infra/http_test.go
+++ b/internal/infra/http_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// The log appends a claim and the response is lost. If the daemon takes every failed call for
-// one without effect, it appends the claim again. If it takes none for one without effect, it
-// holds a claim that the log refused.
+// The log appends a claim and the response is lost. If the daemon treated every failed
+// call as one without effect, it would append the claim again. If it never did, it would hold a
+// claim that the log refused.
 var _ = Describe("Append", func() {
 	oneRecord := [][]byte{[]byte("x")}
 
--- a/internal/keyed/once_test.go
+++ b/internal/keyed/once_test.go
@@ -34,11 +34,11 @@
 		g.Expect(errs).To(ContainElement(HaveField("Reason", InProgress)))
 		time.Sleep(time.Second)
 		for _, d := range d {
-			answer, replayed, err := d.Do(background, "s", "k", 1, up.run("k", nil))
+			response, replayed, err := d.Do(background, "s", "k", 1, up.run("k", nil))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(replayed).To(BeTrue())
-			g.Expect(string(answer.Body)).To(Equal("booked k"))
-			g.Expect(answer.Header.Get("X-Booking")).To(Equal("k"))
+			g.Expect(string(response.Body)).To(Equal("booked k"))
+			g.Expect(response.Header.Get("X-Booking")).To(Equal("k"))
 		}
 		g.Expect(up.count("k")).To(Equal(1))
 	})
@@ -155,7 +155,7 @@
 func TestResumedDaemonDoesNotDispatchOldClaim(t *testing.T) {
 	runScenario(t, 1, func(t *testing.T, log *fakeLog, up *fakeUpstream, d []daemon) {
 		g := NewWithT(t)
-		suspended := startDaemon(slowReads{log, 15 * time.Second}, "frozen", 2)
+		suspended := startDaemon(slowReads{log, 15 * time.Second}, "suspended", 2)
 		defer suspended.kill()
 		_, _, err := suspended.Do(background, "s", "k", 1, up.run("k", nil))
 		g.Expect(refusal(err)).To(HaveField("Outcome", outcome.NotRun))
