--- a/internal/upstream/exchange/answer.go
+++ b/internal/upstream/exchange/answer.go
@@ -8,77 +8,81 @@
 	"time"
 )
 
-// Answer is an answer whose header has arrived. It isn't safe for concurrent use.
+// Answer is an HTTP response whose header was received. It isn't safe for concurrent use.
 type Answer struct {
 	Status int
 	Header http.Header
 
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	attempt *attempt
-	body    io.ReadCloser
-	length  int64 // Content-Length, -1 when unknown
-	// framed: the answer tells its own end. An answer that lasts until the
-	// connection closes can't be told from one cut off.
+	ctx           context.Context
+	cancel        context.CancelCauseFunc
+	attempt       *attempt
+	body          io.ReadCloser
+	contentLength int64 // -1: unknown
+	// framed reports whether the response marks its own end, by its length or by chunked
+	// encoding. A response that ends when the connection closes can't be distinguished
+	// from a truncated one.
 	framed bool
 }
 
-func newAnswer(ctx context.Context, cancel context.CancelCauseFunc, x *attempt, resp *http.Response) *Answer {
+func newResponse(ctx context.Context, cancel context.CancelCauseFunc, x *attempt, resp *http.Response) *Answer {
 	chunked := len(resp.TransferEncoding) > 0
 	return &Answer{
 		Status: resp.StatusCode, Header: resp.Header,
 		ctx: ctx, cancel: cancel, attempt: x,
-		body: resp.Body, length: resp.ContentLength,
+		body: resp.Body, contentLength: resp.ContentLength,
 		framed: chunked || resp.ContentLength >= 0 || resp.Body == http.NoBody,
 	}
 }
 
-// Read reads the body and watches its progress. An error other than io.EOF is a *Failure.
+// Read reads the body with a timeout for this read. An error other than io.EOF is a
+// *Failure.
 func (a *Answer) Read(p []byte) (int, error) {
-	a.attempt.watch.reset(a.attempt.plan.Progress)
+	a.attempt.watchdog.reset(a.attempt.options.Progress)
 	n, err := a.body.Read(p)
-	// Off while the caller works: its slowness isn't the upstream's silence.
-	a.attempt.watch.stop()
+	// The watchdog is off between reads: a slow caller isn't a silent server.
+	a.attempt.watchdog.stop()
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
 	return n, a.attempt.classify(a.ctx, err)
 }
 
-// LimitProgress changes the wait for each further part of the body.
-func (a *Answer) LimitProgress(limit time.Duration) { a.attempt.plan.Progress = limit }
+// LimitProgress sets the timeout of further reads of the body, 0: only the context limits
+// them.
+func (a *Answer) LimitProgress(limit time.Duration) { a.attempt.options.Progress = limit }
 
-// Whole reads the body to its end. It fails as Truncated unless the body's own
-// framing (Content-Length or the last chunk) says that this is the end, which
-// net/http checks while it reads, and as Malformed when it is longer than limit bytes.
+// Whole reads the body to its end. It fails as Malformed if the body is longer than limit
+// bytes, and as Truncated unless the framing (Content-Length or the last chunk, which
+// net/http checks while it reads) confirms the end.
 func (a *Answer) Whole(limit int64) ([]byte, error) {
-	if a.length > limit {
-		return nil, a.fail(Malformed, ErrTooLarge)
+	if a.contentLength > limit {
+		return nil, a.newFailure(Malformed, ErrTooLarge)
 	}
 	data, err := io.ReadAll(io.LimitReader(a, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, a.fail(Malformed, ErrTooLarge)
+		return nil, a.newFailure(Malformed, ErrTooLarge)
 	}
 	if !a.framed {
-		return nil, a.fail(Truncated, errUnframed)
+		return nil, a.newFailure(Truncated, errUnframed)
 	}
 	return data, nil
 }
 
-func (a *Answer) fail(kind Kind, err error) *Failure {
+func (a *Answer) newFailure(kind Kind, err error) *Failure {
 	return &Failure{Kind: kind, Sent: true, Err: err}
 }
 
-// Close ends the exchange. Unless the body was read to its end, the connection
-// is closed too, so that no later request can meet what is left on it.
+// Close ends the exchange. Unless the body was read to its end, the connection is closed
+// too, so that no later request can read the rest of this response.
 func (a *Answer) Close() {
-	a.attempt.watch.stop()
+	a.attempt.watchdog.stop()
 	_ = a.body.Close()
 	a.cancel(nil)
 }
 
-// Framed reports whether the answer tells its own end, by length or chunks.
+// Framed reports whether the response marks its own end, by its length or by chunked
+// encoding.
 func (a *Answer) Framed() bool { return a.framed }
--- a/internal/upstream/exchange/conn.go
+++ b/internal/upstream/exchange/conn.go
@@ -7,101 +7,102 @@
 	"time"
 )
 
-var errSealed = errors.New("connection given up before anything was written")
+var errWritesDisabled = errors.New("connection abandoned before anything was written")
 
-// trackedConn counts the calls of Write and remembers whether the other end, or
-// the network, ended the connection.
+// trackedConn counts the calls of Write and records whether reading or writing failed. It
+// can disable writes, and closes itself after being idle for too long.
 type trackedConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	writes int64 // calls begun
-	sealed bool
-	broken bool // Read or Write has failed
-	idle   *time.Timer
+	mu             sync.Mutex
+	writeCalls     int64       // calls of Write that were started
+	writesDisabled bool        // Write fails with errWritesDisabled
+	ioFailed       bool        // a Read or Write returned an error
+	idleTimer      *time.Timer // closes the connection, nil: in use
 }
 
-// rest closes the connection unless it is used again within the limit.
-func (c *trackedConn) rest(limit time.Duration) {
+// startIdleTimer closes the connection after limit unless stopIdleTimer is called before.
+func (c *trackedConn) startIdleTimer(limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = time.AfterFunc(limit, c.closeIdle)
+	c.idleTimer = time.AfterFunc(limit, c.closeIfIdle)
 }
 
-// closeIdle seals the connection first: a request that net/http puts on it in this
-// moment was certainly not sent.
-func (c *trackedConn) closeIdle() {
+// closeIfIdle closes the connection unless it is in use again. It disables writes first, so
+// that a request that net/http assigns to the connection at the same time is certainly not
+// sent.
+func (c *trackedConn) closeIfIdle() {
 	c.mu.Lock()
-	if c.idle == nil {
+	if c.idleTimer == nil {
 		c.mu.Unlock()
 		return // in use again
 	}
-	c.sealed = true
+	c.writesDisabled = true
 	c.mu.Unlock()
-	_ = c.Conn.Close() // nothing is under way on it
+	_ = c.Conn.Close() // no request is using the connection, so the error doesn't matter
 }
 
-// use ends the rest.
-func (c *trackedConn) use() {
+// stopIdleTimer marks the connection as in use, unless the timer has already closed it.
+func (c *trackedConn) stopIdleTimer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idle != nil && !c.sealed {
-		c.idle.Stop()
-		c.idle = nil
+	if c.idleTimer != nil && !c.writesDisabled {
+		c.idleTimer.Stop()
+		c.idleTimer = nil
 	}
 }
 
-// Write counts the call before it begins.
+// Write counts the call, then writes.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.writesDisabled {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errWritesDisabled
 	}
-	c.writes++
+	c.writeCalls++
 	c.mu.Unlock()
 	n, err := c.Conn.Write(p)
-	c.note(err)
+	c.recordError(err)
 	return n, err
 }
 
-// Read notes an end of the connection.
+// Read reads and records an error.
 func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.note(err)
+	c.recordError(err)
 	return n, err
 }
 
-func (c *trackedConn) note(err error) {
+func (c *trackedConn) recordError(err error) {
 	if err == nil {
 		return
 	}
 	c.mu.Lock()
-	c.broken = true
+	c.ioFailed = true
 	c.mu.Unlock()
 }
 
-func (c *trackedConn) isBroken() bool {
+func (c *trackedConn) hasFailed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken
+	return c.ioFailed
 }
 
-func (c *trackedConn) writeCount() int64 {
+func (c *trackedConn) writeCallCount() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.writes
+	return c.writeCalls
 }
 
-// sealIfUnwritten reports whether no Write began since the count was taken. If
-// so no later one will: without the seal, a write loop of net/http that is
-// still winding down could write after "not run" was told.
-func (c *trackedConn) sealIfUnwritten(since int64) bool {
+// disableWritesIfUnwritten disables writes if no Write was started since the count
+// initialWriteCalls was taken, and reports whether it did. Otherwise net/http's write loop,
+// which may still be running, could write after the caller was told that nothing was sent.
+func (c *trackedConn) disableWritesIfUnwritten(initialWriteCalls int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes != since {
+	if c.writeCalls != initialWriteCalls {
 		return false
 	}
-	c.sealed = true
+	c.writesDisabled = true
 	return true
 }
--- a/internal/upstream/exchange/exchange.go
+++ b/internal/upstream/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange does one HTTP/1.1 request and its answer over one TCP
-// connection. It adds to net/http what the promises need: a request is written
-// at most once, a failure says whether a byte may have left, and a connection
-// that stays silent is given up within a set time.
+// Package exchange sends single HTTP/1.1 requests and reads their responses. It adds
+// three guarantees to net/http: a request is written at most once, a failure states
+// whether any byte of the request may have been sent, and an exchange without progress
+// on its connection fails after a configured time.
 package exchange
 
 import (
@@ -13,132 +13,138 @@
 	"time"
 )
 
-// Kind classifies a failed exchange.
+// Kind is the class of a failed exchange.
 type Kind int
 
 // The kinds of failure.
 const (
-	Dial      Kind = iota // no connection could be made
-	Reset                 // the connection broke before the answer began or in its midst
-	Truncated             // the answer ended too early
-	Silent                // no progress within the time-out
-	Malformed             // the answer isn't HTTP, or exceeds a bound
+	Dial      Kind = iota // no connection could be established
+	Reset                 // the connection broke before or during the response
+	Truncated             // the response ended before it was complete
+	Silent                // no progress within the timeout
+	Malformed             // the response isn't valid HTTP or exceeds a size limit
 	Cancelled             // the caller's context ended
 )
 
-// String names the kind for log lines.
+// String returns the name of the kind for log lines.
 func (k Kind) String() string {
 	return [...]string{"dial", "reset", "truncated", "silent", "malformed", "cancelled"}[k]
 }
 
-// Failure is the error of Send and of reading an Answer.
+// Failure is the error returned by Sender.Send and by the read methods of Answer.
 type Failure struct {
 	Kind Kind
-	// Sent says that a byte of the request may have left this process. False is certain.
+	// Sent reports whether a byte of the request may have left this process. False is
+	// certain: nothing was sent.
 	Sent bool
-	// Reused: the connection had served a request before. Its break says little of the
-	// server: it may have closed the connection while the request was on its way.
+	// Reused reports whether the connection had served a request before. A failure of
+	// such a connection says little about the server, which may have closed the idle
+	// connection while the request was in transit.
 	Reused bool
-	Err    error
+	Err    error // cause
 }
 
-// BrokeIdle reports whether a connection that had been idle broke before the answer: the
-// server may have closed it meanwhile, and is as good as any other.
+// BrokeIdle reports whether a connection that had been idle broke. The server may have
+// closed it in the meantime, which isn't a sign of a problem with the server.
 func (f *Failure) BrokeIdle() bool { return f.Kind == Reset && f.Reused }
 
-// Error returns the cause's text.
+// Error returns the text of the cause.
 func (f *Failure) Error() string { return f.Err.Error() }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// ErrTooLarge is the cause of a Malformed failure of Answer.Whole.
-var ErrTooLarge = errors.New("answer exceeds its bound")
+// ErrTooLarge is the cause of the Malformed failure that Answer.Whole returns for a body
+// above its size limit.
+var ErrTooLarge = errors.New("response body exceeds the size limit")
 
 var (
-	errSilent   = errors.New("no progress within the time-out")
-	errUnframed = errors.New("answer has neither Content-Length nor chunks")
+	errNoProgress = errors.New("no progress within the timeout")
+	errUnframed   = errors.New("response has neither Content-Length nor chunked encoding")
 )
 
-// DialFunc makes a connection.
+// DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options are the settings of a Sender; all durations must be positive.
+// Options are the settings of a Sender. DialTimeout and IdleTimeout must be positive.
 type Options struct {
 	DialTimeout time.Duration
-	// IdleTimeout closes a connection that nothing used. Shorter than the time-outs
-	// of Plan, it also sees to it that a request sent anew after a silence doesn't meet
-	// a connection that went silent beside the first.
+	// IdleTimeout is how long an unused connection is kept open. If it is shorter than
+	// the timeouts of Plan, a request that is repeated after such a timeout can't get
+	// another connection that stopped working at the same time as the first.
 	IdleTimeout time.Duration
-	// LongestIdle is the same for servers that state for how long they keep idle
-	// connections; less if they state less. 0: what they state doesn't count.
+	// LongestIdle is the maximum idle time for servers that advertise an idle timeout in
+	// a Keep-Alive header; a shorter advertised timeout takes precedence. If it is 0,
+	// the header is ignored and IdleTimeout applies.
 	LongestIdle time.Duration
 	Dial        DialFunc // nil: TCP
 }
 
-// Plan says how one request is to go.
+// Plan holds the options of one request.
 type Plan struct {
-	// Fresh dials a connection for this request alone and closes it afterwards.
+	// Fresh opens a new connection for this request and closes it afterwards.
 	Fresh bool
-	// FirstByte bounds the wait for the answer's header, 0: only the context does.
+	// FirstByte limits the wait for the response header, 0: only the context limits it.
 	FirstByte time.Duration
-	// FirstByteReused is the same on a reused connection, which may have died
-	// silently; 0: FirstByte.
+	// FirstByteReused replaces FirstByte on a reused connection, which may be dead
+	// without a sign of it, 0: FirstByte applies.
 	FirstByteReused time.Duration
-	// Progress bounds the wait for each part of the answer's body, 0: only the context does.
+	// Progress limits the wait for each read of the response body, 0: only the context
+	// limits it.
 	Progress time.Duration
 }
 
-// Sender sends requests. It is safe for concurrent use.
+// Sender sends requests over connections of its own. It is safe for concurrent use.
 type Sender struct {
-	pooled *http.Transport
-	fresh  *http.Transport
-	idle   *idleLimits
-	began  time.Time
+	pooledTransport   *http.Transport
+	unpooledTransport *http.Transport // opens a new connection for each request
+	idleLimits        *idleLimits
+	createdAt         time.Time // origin of the clock of idleLimits
 }
 
-// now is the time since the Sender was made.
-func (s *Sender) now() time.Duration { return time.Since(s.began) }
+// elapsed returns the time since the Sender was created.
+func (s *Sender) elapsed() time.Duration { return time.Since(s.createdAt) }
 
 const (
 	maxHeaderBytes = 64 << 10
-	// readBufferBytes is held by each connection, idle ones too. A step has a thousand
-	// open, and 16 KiB here and in a stream's reader were 30 MB of the heap.
+	// readBufferBytes is allocated for each connection, including idle ones. A rollout
+	// step has a thousand connections open; with 16 KiB here and in the reader of each
+	// stream, these buffers took 30 MB of the heap.
 	readBufferBytes     = 4 << 10
-	idlePerDestination  = 64
+	maxIdleConnsPerHost = 64
 	keepAliveProbeCount = 3
 )
 
-// NewSender returns a Sender with its own connections.
+// NewSender returns a Sender with its own connection pool.
 func NewSender(o Options) *Sender {
 	pooled := newTransport(o)
-	fresh := newTransport(o)
-	fresh.DisableKeepAlives = true
-	return &Sender{pooled: pooled, fresh: fresh, idle: newIdleLimits(o), began: time.Now()}
+	unpooled := newTransport(o)
+	unpooled.DisableKeepAlives = true
+	return &Sender{pooledTransport: pooled, unpooledTransport: unpooled, idleLimits: newIdleLimits(o), createdAt: time.Now()}
 }
 
-// newTransport leaves out what http.DefaultTransport would bring along: a proxy
-// from the environment, HTTP/2 (several requests a connection), and
-// compression, which would change the bytes.
+// newTransport returns a transport without some features of http.DefaultTransport: a proxy
+// from the environment, HTTP/2 (several requests share a connection) and compression (it
+// changes the bytes of the body).
 func newTransport(o Options) *http.Transport {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
 	return &http.Transport{
-		DialContext:            trackedDial(o),
+		DialContext:            newTrackedDial(o),
 		DisableCompression:     true,
 		Protocols:              &protocols,
 		IdleConnTimeout:        max(o.IdleTimeout, o.LongestIdle),
-		MaxIdleConnsPerHost:    idlePerDestination,
+		MaxIdleConnsPerHost:    maxIdleConnsPerHost,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         readBufferBytes,
 	}
 }
 
-// trackedDial wraps each connection so that its writes can be counted.
-func trackedDial(o Options) DialFunc {
+// newTrackedDial returns a dial function that wraps each connection in a trackedConn.
+func newTrackedDial(o Options) DialFunc {
 	dial := o.Dial
 	if dial == nil {
-		dial = tcpDial()
+		dial = newTCPDial()
 	}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, o.DialTimeout)
@@ -151,9 +157,9 @@
 	}
 }
 
-// tcpDial probes idle connections, so that one whose other end is gone is
-// closed while it waits.
-func tcpDial() DialFunc {
+// newTCPDial returns a dial function whose connections send TCP keep-alive probes, so that
+// an idle connection whose peer is gone is closed before its next use.
+func newTCPDial() DialFunc {
 	d := &net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
 		Idle:     time.Second,
@@ -168,5 +174,5 @@
 func (e *dialError) Error() string { return fmt.Sprintf("dial: %v", e.err) }
 func (e *dialError) Unwrap() error { return e.err }
 
-// CloseIdle closes the connections that no request uses at the moment.
-func (s *Sender) CloseIdle() { s.pooled.CloseIdleConnections() }
+// CloseIdle closes the connections that no request uses at present.
+func (s *Sender) CloseIdle() { s.pooledTransport.CloseIdleConnections() }
--- a/internal/upstream/exchange/guard.go
+++ b/internal/upstream/exchange/guard.go
@@ -6,48 +6,49 @@
 	"io"
 )
 
-// errBodySentOnce shows only if net/http asks for the same body again.
-var errBodySentOnce = errors.New("request body may be read only once")
+// errBodyReread is returned if net/http reads the same request body again.
+var errBodyReread = errors.New("request body may be read only once")
 
-// onceBody is the guard against net/http's silent retry.
+// singleUseBody is a request body that prevents the automatic retries of net/http.
 //
-// The failure: net/http sends a request a second time by itself when the reused
-// connection it chose dies before an answer, if the method is GET, HEAD, OPTIONS
-// or TRACE or the header has (X-)Idempotency-Key, and the body can be had again.
-// The upstream may have run the first. It shows as two arrivals for one call.
+// net/http sends a request again by itself if a reused connection breaks before the
+// response, provided that the method is GET, HEAD, OPTIONS or TRACE or the header has
+// (X-)Idempotency-Key, and that the body can be read again. The upstream may have run the
+// first copy, and then receives the same request twice.
 //
-// Why the guard holds: Request.isReplayable is false for every method and header
-// as long as Body is neither nil nor http.NoBody and GetBody is nil. So an
-// onceBody goes with a GET too, where net/http itself would put NoBody. The other
-// branch of shouldRetryRequest (nothing was written yet) asks for GetBody or a
-// length of 0, and the length of a request with a Body and ContentLength 0 counts
-// as unknown. Should a later net/http change these rules, the second copy's body
-// fails before it is whole.
+// http.Request.isReplayable returns false for all methods and headers if Body is neither nil
+// nor http.NoBody and GetBody is nil. So a singleUseBody is also set on a GET, where net/http
+// itself would use NoBody. The other case in which shouldRetryRequest allows a retry (nothing
+// was written yet) requires GetBody or a length of 0, and the length of a request that has a
+// Body and ContentLength 0 is unknown. Should a later version of net/http change these rules,
+// reading the body of the second copy fails before it is complete.
 //
-// The rest goes by Sender.fresh, whose connections are never reused: any such
-// retry asks for a reused connection first. These are what may not run twice
-// (Plan.Fresh) and a POST or the like without a byte of body, which net/http
-// treats specially: an onceBody of no bytes would go out as chunks.
-type onceBody struct {
-	rest   *bytes.Reader
-	ended  bool
-	closed bool
+// Two kinds of request are sent through Sender.unpooledTransport instead, whose connections
+// are never reused, since net/http retries only after a failure of a reused connection:
+// requests with Plan.Fresh, and those for which Request.hasExplicitEmptyBody is true, since
+// net/http would send an empty singleUseBody with chunked encoding.
+type singleUseBody struct {
+	reader     *bytes.Reader
+	reachedEOF bool
+	closed     bool
 }
 
-func newOnceBody(data []byte) *onceBody { return &onceBody{rest: bytes.NewReader(data)} }
+func newSingleUseBody(data []byte) *singleUseBody {
+	return &singleUseBody{reader: bytes.NewReader(data)}
+}
 
-// Read returns the bytes once; after Close, or a second time, it fails.
-func (b *onceBody) Read(p []byte) (int, error) {
-	if b.closed || (b.ended && b.rest.Size() > 0) {
-		return 0, errBodySentOnce
+// Read returns the bytes once. It fails after Close and after the end was read.
+func (b *singleUseBody) Read(p []byte) (int, error) {
+	if b.closed || (b.reachedEOF && b.reader.Size() > 0) {
+		return 0, errBodyReread
 	}
-	n, err := b.rest.Read(p)
-	b.ended = errors.Is(err, io.EOF)
+	n, err := b.reader.Read(p)
+	b.reachedEOF = errors.Is(err, io.EOF)
 	return n, err
 }
 
-// Close ends the body's only use.
-func (b *onceBody) Close() error {
+// Close makes further reads fail.
+func (b *singleUseBody) Close() error {
 	b.closed = true
 	return nil
 }
--- a/internal/upstream/exchange/guard_test.go
+++ b/internal/upstream/exchange/guard_test.go
@@ -20,27 +20,26 @@
 	RunSpecs(t, "exchange")
 }
 
-// story: A service's keep-alive connection dies just as a call is written to it.
-// The service has read the call and runs it; the caller sees no answer. net/http
-// then sends the call again on a new connection, by itself, and the service runs
-// it twice. Cause: a GET, or any call with an Idempotency-Key, counts as
-// replayable for net/http when it can have the body again.
-var _ = Describe("net/http's silent retry", func() {
-	type send func(context.Context, Request) error
+// Guards against requests that run twice. A keep-alive connection breaks while a request is
+// written to it; the service runs the request, but the response is lost. net/http then sends
+// the request again on a new connection by itself, since it treats a GET, and any request
+// with an Idempotency-Key, as replayable if the body can be read again.
+var _ = Describe("Sender, with the automatic retries of net/http,", func() {
+	type sendFunc func(context.Context, Request) error
 
-	guarded := func(plan Plan) send {
+	withSender := func(opts Plan) sendFunc {
 		s := NewSender(Options{DialTimeout: time.Minute, IdleTimeout: time.Minute})
 		return func(ctx context.Context, r Request) error {
-			answer, err := s.Send(ctx, r, plan)
+			resp, err := s.Send(ctx, r, opts)
 			if err != nil {
 				return err
 			}
-			defer answer.Close()
-			_, err = answer.Whole(1 << 10)
+			defer resp.Close()
+			_, err = resp.Whole(1 << 10)
 			return err
 		}
 	}
-	naive := func(ctx context.Context, r Request) error {
+	withNetHTTP := func(ctx context.Context, r Request) error {
 		req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, bytes.NewReader(r.Body))
 		Expect(err).NotTo(HaveOccurred())
 		req.Header = r.Header
@@ -51,16 +50,18 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		return resp.Body.Close()
 	}
-	// arrivals sends a warm-up and then the call, whose connection dies.
-	arrivals := func(ctx context.Context, s send, reset bool, method, key, body string) (int, bool, error) {
-		server := &dyingServer{reset: reset}
+	// countArrivals sends a warm-up request and then the measured request, whose connection
+	// the server closes. It returns how often the measured request arrived, and whether it
+	// arrived on the connection of the warm-up request.
+	countArrivals := func(ctx context.Context, send sendFunc, reset bool, method, key, body string) (int, bool, error) {
+		server := &closingServer{reset: reset}
 		server.Server = httptest.NewServer(http.HandlerFunc(server.handle))
 		defer server.Close()
-		Expect(s(ctx, request(server.URL, "warm", http.MethodPost, "", "x"))).To(Succeed())
-		err := s(ctx, request(server.URL, "call", method, key, body))
+		Expect(send(ctx, request(server.URL, "warm", http.MethodPost, "", "x"))).To(Succeed())
+		err := send(ctx, request(server.URL, "call", method, key, body))
 		server.mu.Lock()
 		defer server.mu.Unlock()
-		return server.count, server.reused, err
+		return server.arrivals, server.reused, err
 	}
 
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "TRACE", "POST", "PUT", "DELETE"} {
@@ -68,11 +69,11 @@
 			for _, body := range []string{"", "body"} {
 				It("sends "+method+" "+key+" "+body+" once", func(ctx SpecContext) {
 					for _, reset := range []bool{false, true} {
-						for _, fresh := range []bool{false, true} {
-							count, reused, err := arrivals(ctx, guarded(Plan{Fresh: fresh}), reset, method, key, body)
+						for _, newConn := range []bool{false, true} {
+							count, reused, err := countArrivals(ctx, withSender(Plan{Fresh: newConn}), reset, method, key, body)
 							Expect(err).To(HaveField("Sent", true))
 							Expect(count).To(Equal(1))
-							Expect(reused && fresh).To(BeFalse())
+							Expect(reused && newConn).To(BeFalse())
 						}
 					}
 				})
@@ -80,14 +81,14 @@
 		}
 	}
 
-	It("meets a reused connection in this test, and is seen without the guard", func(ctx SpecContext) {
-		_, reused, _ := arrivals(ctx, guarded(Plan{}), false, http.MethodPost, "Idempotency-Key", "body")
+	It("reuses a connection in these tests, and net/http alone sends the request twice", func(ctx SpecContext) {
+		_, reused, _ := countArrivals(ctx, withSender(Plan{}), false, http.MethodPost, "Idempotency-Key", "body")
 		Expect(reused).To(BeTrue())
 
-		count, _, _ := arrivals(ctx, naive, false, http.MethodPost, "Idempotency-Key", "body")
-		Expect(count).To(Equal(2), "red: net/http as it comes")
-		count, _, _ = arrivals(ctx, naive, false, http.MethodGet, "", "")
-		Expect(count).To(Equal(2), "red: net/http as it comes")
+		count, _, _ := countArrivals(ctx, withNetHTTP, false, http.MethodPost, "Idempotency-Key", "body")
+		Expect(count).To(Equal(2), "net/http without singleUseBody")
+		count, _, _ = countArrivals(ctx, withNetHTTP, false, http.MethodGet, "", "")
+		Expect(count).To(Equal(2), "net/http without singleUseBody")
 	})
 })
 
@@ -99,29 +100,29 @@
 	return Request{URL: url, Method: method, Header: header, Body: []byte(body)}
 }
 
-// dyingServer answers requests, but reads the request "call" to its end and closes
-// the connection without an answer, each time it comes. It is used by one request
-// after the other; mu is for the race detector, which can't see that.
-type dyingServer struct {
+// closingServer responds to requests, except that it reads the request "call" to its end and
+// closes the connection without a response each time. Requests come one after the other; mu
+// is for the race detector, which can't see that.
+type closingServer struct {
 	*httptest.Server
-	reset bool
+	reset bool // close by a TCP reset
 
-	mu     sync.Mutex
-	warm   string // the client's address at the warm-up
-	count  int
-	reused bool
+	mu         sync.Mutex
+	warmUpAddr string // client address of the warm-up request
+	arrivals   int    // of the request "call"
+	reused     bool   // the request "call" arrived on the connection of the warm-up request
 }
 
-func (s *dyingServer) handle(w http.ResponseWriter, r *http.Request) {
+func (s *closingServer) handle(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.Header.Get("X-Request-Id") != "call" {
-		s.warm = r.RemoteAddr
+		s.warmUpAddr = r.RemoteAddr
 		return
 	}
-	s.count++
-	s.reused = s.reused || r.RemoteAddr == s.warm
+	s.arrivals++
+	s.reused = s.reused || r.RemoteAddr == s.warmUpAddr
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		panic(err)
@@ -132,18 +133,18 @@
 	_ = conn.Close()
 }
 
-var _ = Describe("a connection that nothing was written to", func() {
-	It("is sealed by the question, so that \"not sent\" stays true", func() {
-		near, _ := net.Pipe()
-		Expect(near.Close()).To(Succeed())
-		conn := &trackedConn{Conn: near}
-		Expect(conn.sealIfUnwritten(0)).To(BeTrue())
+var _ = Describe("a connection without writes", func() {
+	It("rejects writes once nothing was reported as sent", func() {
+		pipe, _ := net.Pipe()
+		Expect(pipe.Close()).To(Succeed())
+		conn := &trackedConn{Conn: pipe}
+		Expect(conn.disableWritesIfUnwritten(0)).To(BeTrue())
 		_, err := conn.Write([]byte("late"))
-		Expect(err).To(MatchError(errSealed), "not the pipe's error: it wasn't asked")
+		Expect(err).To(MatchError(errWritesDisabled), "the pipe's own error would mean that the write reached it")
 
-		conn = &trackedConn{Conn: near}
+		conn = &trackedConn{Conn: pipe}
 		_, err = conn.Write([]byte("x"))
 		Expect(err).To(HaveOccurred())
-		Expect(conn.sealIfUnwritten(0)).To(BeFalse(), "a write that failed may have sent a part")
+		Expect(conn.disableWritesIfUnwritten(0)).To(BeFalse(), "a failed write may have sent a part")
 	})
 })
--- a/internal/upstream/exchange/idle.go
+++ b/internal/upstream/exchange/idle.go
@@ -9,65 +9,69 @@
 )
 
 const (
-	// statedShare of the time that a server states to keep idle connections for is used:
-	// the rest covers the way of its close, and its clock.
-	statedShare = 0.8
-	// crowdedTime is how long a server that reset a new connection keeps few idle ones:
-	// it accepts so many from all VMs together, and nobody knows how many others hold.
-	crowdedTime = 10 * time.Second
+	// advertisedFraction is the part of a server's advertised idle timeout for which idle
+	// connections are kept. The rest covers the network delay of the server's close and
+	// the difference between the clocks.
+	advertisedFraction = 0.8
+	// overloadDuration is how long a server that reset a new connection counts as
+	// overloaded, which shortens the idle time of connections to it. A server accepts a
+	// limited number of connections from all VMs together, and no VM knows how many the
+	// others hold.
+	overloadDuration = 10 * time.Second
 )
 
-// idleLimits decides how long idle connections are kept, by what servers say. It has no
-// clock and does no I/O. Safe for concurrent use.
+// idleLimits determines for how long idle connections are kept, based on the Keep-Alive
+// headers of servers. It reads no clock and does no I/O: times are passed in as durations
+// since a fixed point. It is safe for concurrent use.
 type idleLimits struct {
-	unstated time.Duration // for servers that state nothing
-	longest  time.Duration // whatever they state; 0: statements don't count
+	defaultLimit time.Duration // for servers that advertise no idle timeout and for overloaded ones
+	maxLimit     time.Duration // upper bound for advertised idle timeouts, 0: these are ignored
 
-	mu      sync.Mutex
-	stated  map[string]time.Duration // by address
-	crowded map[string]time.Duration // by address, until when
+	mu               sync.Mutex
+	advertisedLimits map[string]time.Duration // limit derived from the advertised idle timeout, by address
+	overloadedUntil  map[string]time.Duration // end of the overload, by address
 }
 
 func newIdleLimits(o Options) *idleLimits {
-	return &idleLimits{unstated: o.IdleTimeout, longest: o.LongestIdle, stated: map[string]time.Duration{}, crowded: map[string]time.Duration{}}
+	return &idleLimits{defaultLimit: o.IdleTimeout, maxLimit: o.LongestIdle, advertisedLimits: map[string]time.Duration{}, overloadedUntil: map[string]time.Duration{}}
 }
 
-// answered takes an answer's header.
-func (l *idleLimits) answered(address string, header http.Header) {
-	if l.longest == 0 {
+// recordResponse records the idle timeout in a response header, or that there is none.
+func (l *idleLimits) recordResponse(address string, header http.Header) {
+	if l.maxLimit == 0 {
 		return
 	}
-	stated := keepAliveOf(header)
+	advertised := keepAliveTimeout(header)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if stated == 0 {
-		delete(l.stated, address)
+	if advertised == 0 {
+		delete(l.advertisedLimits, address)
 		return
 	}
-	l.stated[address] = min(l.longest, time.Duration(statedShare*float64(stated)))
+	l.advertisedLimits[address] = min(l.maxLimit, time.Duration(advertisedFraction*float64(advertised)))
 }
 
-// reset notes that a server reset a new connection.
-func (l *idleLimits) reset(address string, now time.Duration) {
+// recordReset records that a server reset a new connection.
+func (l *idleLimits) recordReset(address string, now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.crowded[address] = now + crowdedTime
+	l.overloadedUntil[address] = now + overloadDuration
 }
 
-// limit is how long a connection to an address may be idle from now on.
+// limit returns how long a connection to an address that becomes idle now may be kept.
 func (l *idleLimits) limit(address string, now time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	stated, ok := l.stated[address]
-	if until := l.crowded[address]; !ok || now < until {
-		return l.unstated
+	advertised, ok := l.advertisedLimits[address]
+	if until := l.overloadedUntil[address]; !ok || now < until {
+		return l.defaultLimit
 	}
-	delete(l.crowded, address)
-	return stated
+	delete(l.overloadedUntil, address)
+	return advertised
 }
 
-// keepAliveOf is the time-out that a server states, 0 for none.
-func keepAliveOf(header http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout in a Keep-Alive header, 0 for none.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
--- a/internal/upstream/exchange/send.go
+++ b/internal/upstream/exchange/send.go
@@ -9,54 +9,56 @@
 	"sync"
 )
 
-// Request is what to send. Header is used as it is.
+// Request is an HTTP request. Header is handed to net/http without a copy.
 type Request struct {
 	Method string
 	URL    string
-	Host   string // of the Host header, "": that of URL
+	Host   string // value of the Host header, "": the host of URL
 	Header http.Header
 	Body   []byte
 }
 
-// Send writes the request at most once and waits for the answer's header. The
-// error is a *Failure. A caller must Close the answer.
-func (s *Sender) Send(ctx context.Context, r Request, plan Plan) (*Answer, error) {
-	answer, err := s.send(ctx, r, plan)
+// Send writes the request at most once and waits for the response header. The error is a
+// *Failure. The caller must close the response.
+func (s *Sender) Send(ctx context.Context, r Request, opts Plan) (*Answer, error) {
+	resp, err := s.send(ctx, r, opts)
 	var f *Failure
 	if errors.As(err, &f) && f.Reused && !f.Sent && f.Kind != Cancelled && f.Kind != Silent {
-		// An idle connection was closed in the moment in which it was chosen. Nothing left.
-		plan.Fresh = true
-		return s.send(ctx, r, plan)
+		// The idle connection was closed just as it was chosen. Nothing was sent, so the
+		// request may be sent over a new connection.
+		opts.Fresh = true
+		return s.send(ctx, r, opts)
 	}
-	return answer, err
+	return resp, err
 }
 
-func (s *Sender) send(ctx context.Context, r Request, plan Plan) (*Answer, error) {
+func (s *Sender) send(ctx context.Context, r Request, opts Plan) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	watch := newWatchdog(func() { cancel(errSilent) })
-	x := &attempt{sender: s, watch: watch, plan: plan}
-	req, err := r.build(httptrace.WithClientTrace(ctx, x.trace()))
+	watch := newWatchdog(func() { cancel(errNoProgress) })
+	x := &attempt{sender: s, watchdog: watch, options: opts}
+	req, err := r.httpRequest(httptrace.WithClientTrace(ctx, x.clientTrace()))
 	if err != nil {
 		cancel(nil)
 		return nil, &Failure{Kind: Malformed, Err: err}
 	}
 	x.address = req.URL.Host
-	// RoundTrip, not Client.Do: a client would follow redirects, which sends again.
-	resp, err := s.transport(r, plan).RoundTrip(req)
+	// RoundTrip, since http.Client.Do follows redirects and so sends the request again.
+	resp, err := s.transportFor(r, opts).RoundTrip(req)
 	watch.stop()
 	if err != nil {
 		f := x.classify(ctx, err)
 		cancel(nil)
 		if f.Kind == Reset && !f.Reused {
-			s.idle.reset(x.address, s.now())
+			s.idleLimits.recordReset(x.address, s.elapsed())
 		}
 		return nil, f
 	}
-	s.idle.answered(x.address, resp.Header)
-	return newAnswer(ctx, cancel, x, resp), nil
+	s.idleLimits.recordResponse(x.address, resp.Header)
+	return newResponse(ctx, cancel, x, resp), nil
 }
 
-func (r Request) build(ctx context.Context) (*http.Request, error) {
+// httpRequest converts the request to net/http's form.
+func (r Request) httpRequest(ctx context.Context) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, nil)
 	if err != nil {
 		return nil, err
@@ -67,96 +69,98 @@
 	req.Host = r.Host
 	req.ContentLength = int64(len(r.Body))
 	req.GetBody = nil
-	if r.sendsEmptyBody() {
+	if r.hasExplicitEmptyBody() {
 		req.Body = http.NoBody
 		return req, nil
 	}
-	req.Body = newOnceBody(r.Body)
+	req.Body = newSingleUseBody(r.Body)
 	return req, nil
 }
 
-// transport: an empty body that has to be sent as one can't be guarded by
-// onceBody (see there), so it takes a connection of its own.
-func (s *Sender) transport(r Request, plan Plan) *http.Transport {
-	if plan.Fresh || r.sendsEmptyBody() {
-		return s.fresh
+// transportFor returns the transport for the request. An explicit empty body can't be a
+// singleUseBody (see there), so such a request gets a connection of its own.
+func (s *Sender) transportFor(r Request, opts Plan) *http.Transport {
+	if opts.Fresh || r.hasExplicitEmptyBody() {
+		return s.unpooledTransport
 	}
-	return s.pooled
+	return s.pooledTransport
 }
 
-// sendsEmptyBody: for these methods net/http would send an empty Body of unknown
-// length as chunks, and only NoBody as Content-Length: 0.
-func (r Request) sendsEmptyBody() bool {
+// hasExplicitEmptyBody reports whether the request has to be sent with
+// "Content-Length: 0". net/http does so only for http.NoBody; it sends any other empty Body,
+// whose length it doesn't know, with chunked encoding.
+func (r Request) hasExplicitEmptyBody() bool {
 	return len(r.Body) == 0 && r.Method != http.MethodGet && r.Method != http.MethodHead
 }
 
-// attempt follows one request through net/http.
+// attempt tracks the connections that net/http uses for one request.
 type attempt struct {
-	sender  *Sender
-	address string
-	watch   *watchdog
-	plan    Plan
-
-	mu     sync.Mutex
-	conn   *trackedConn
-	start  int64 // conn's writes before this request
-	sentOn bool  // an earlier connection of this request was written to
-	reused bool  // conn has served a request before
+	sender   *Sender
+	address  string // host:port
+	watchdog *watchdog
+	options  Plan
+
+	mu                sync.Mutex
+	conn              *trackedConn // last connection used, nil: none yet
+	initialWriteCalls int64        // conn.writeCalls before this request
+	sentEarlier       bool         // the request may have been written to a connection before conn
+	reused            bool         // conn had served a request before
 }
 
-func (x *attempt) trace() *httptrace.ClientTrace {
-	return &httptrace.ClientTrace{GotConn: x.gotConn, PutIdleConn: x.putIdle}
+func (x *attempt) clientTrace() *httptrace.ClientTrace {
+	return &httptrace.ClientTrace{GotConn: x.onGotConn, PutIdleConn: x.onPutIdleConn}
 }
 
-// putIdle is called when the connection is kept for the next request.
-func (x *attempt) putIdle(err error) {
+// onPutIdleConn is called when the connection was returned to the pool of idle connections.
+func (x *attempt) onPutIdleConn(err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if err == nil && x.conn != nil {
-		x.conn.rest(x.sender.idle.limit(x.address, x.sender.now()))
+		x.conn.startIdleTimer(x.sender.idleLimits.limit(x.address, x.sender.elapsed()))
 	}
 }
 
-func (x *attempt) gotConn(info httptrace.GotConnInfo) {
+func (x *attempt) onGotConn(info httptrace.GotConnInfo) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.sentOn = x.sentLocked()
+	x.sentEarlier = x.mayHaveSentLocked()
 	x.conn, _ = info.Conn.(*trackedConn)
 	x.reused = info.Reused
 	if x.conn != nil {
-		x.conn.use()
-		x.start = x.conn.writeCount()
+		x.conn.stopIdleTimer()
+		x.initialWriteCalls = x.conn.writeCallCount()
 	}
-	limit := x.plan.FirstByte
-	if info.Reused && x.plan.FirstByteReused > 0 {
-		limit = x.plan.FirstByteReused
+	limit := x.options.FirstByte
+	if info.Reused && x.options.FirstByteReused > 0 {
+		limit = x.options.FirstByteReused
 	}
-	x.watch.reset(limit)
+	x.watchdog.reset(limit)
 }
 
-// sent reports whether a byte may have left. False is certain, now and later.
-func (x *attempt) sent() bool {
+// mayHaveSent reports whether a byte of the request may have been sent. After false, no
+// byte will be sent any more.
+func (x *attempt) mayHaveSent() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.sentLocked()
+	return x.mayHaveSentLocked()
 }
 
-func (x *attempt) sentLocked() bool {
-	if x.sentOn {
+func (x *attempt) mayHaveSentLocked() bool {
+	if x.sentEarlier {
 		return true
 	}
-	return x.conn != nil && !x.conn.sealIfUnwritten(x.start)
+	return x.conn != nil && !x.conn.disableWritesIfUnwritten(x.initialWriteCalls)
 }
 
-// classify turns an error of net/http into a Failure. It asks the connection
-// and the context what happened, since most of net/http's errors have no type.
+// classify converts an error of net/http to a Failure. Most of these errors have no type of
+// their own, so it derives the kind from the states of the context and the connection.
 func (x *attempt) classify(ctx context.Context, err error) *Failure {
-	f := &Failure{Err: err, Sent: x.sent(), Reused: x.isReused()}
+	f := &Failure{Err: err, Sent: x.mayHaveSent(), Reused: x.isReused()}
 	var dial *dialError
 	switch {
-	case errors.Is(context.Cause(ctx), errSilent):
+	case errors.Is(context.Cause(ctx), errNoProgress):
 		f.Kind = Silent
-		f.Err = errSilent
+		f.Err = errNoProgress
 	case ctx.Err() != nil:
 		f.Kind = Cancelled
 		f.Err = context.Cause(ctx)
@@ -164,7 +168,7 @@
 		f.Kind = Dial
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		f.Kind = Truncated
-	case x.broken():
+	case x.connFailed():
 		f.Kind = Reset
 	default:
 		f.Kind = Malformed
@@ -178,8 +182,8 @@
 	return x.reused
 }
 
-func (x *attempt) broken() bool {
+func (x *attempt) connFailed() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.conn != nil && x.conn.isBroken()
+	return x.conn != nil && x.conn.hasFailed()
 }
--- a/internal/upstream/exchange/watchdog.go
+++ b/internal/upstream/exchange/watchdog.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// watchdog calls expire once when it isn't reset in time.
+// watchdog calls onExpiry if it isn't reset or stopped within a limit.
 type watchdog struct {
-	mu     sync.Mutex
-	timer  *time.Timer
-	expire func()
+	mu       sync.Mutex
+	timer    *time.Timer
+	onExpiry func()
 }
 
-func newWatchdog(expire func()) *watchdog { return &watchdog{expire: expire} }
+func newWatchdog(onExpiry func()) *watchdog { return &watchdog{onExpiry: onExpiry} }
 
-// reset starts the wait anew; a limit of 0 stops it.
+// reset restarts the timer with a new limit. A limit of 0 stops it.
 func (w *watchdog) reset(limit time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -23,7 +23,7 @@
 		w.timer.Stop()
 	case limit <= 0:
 	case w.timer == nil:
-		w.timer = time.AfterFunc(limit, w.expire)
+		w.timer = time.AfterFunc(limit, w.onExpiry)
 	default:
 		w.timer.Reset(limit)
 	}
