--- a/internal/upstream/api.go
+++ b/internal/upstream/api.go
@@ -1,7 +1,7 @@
-// Package upstream is the adapter between the daemon and engines, services and
-// scorers over HTTP/1.1. It sends each request at most once, checks that the
-// answer is whole and its own, and says truthfully what is known when it isn't.
-// Retrying is the business of internal/dispatch.
+// Package upstream is the HTTP/1.1 client for engines, services and scorers. It sends each
+// request at most once and checks that the response is complete and belongs to the request.
+// If not, the error states whether the upstream may have run the request. Retries are the
+// responsibility of internal/dispatch.
 package upstream
 
 import (
@@ -18,18 +18,18 @@
 // Fault classifies a failed exchange with an upstream.
 type Fault int
 
-// The faults. Behind each stands its usual outcome. Reset, Silent and Cancelled
-// are NotRun instead when no byte of the request was ever written.
+// The faults. After the colon is the usual outcome of each. The outcome of Reset, Silent and
+// Cancelled is NotRun instead if no byte of the request was written.
 const (
-	Refused   Fault = iota // no connection could be made: NotRun
-	Rejected               // the upstream says that nothing ran: NotRun
-	Reset                  // the connection broke before the header was whole, or by a TCP reset: Unknown
-	Truncated              // the answer ended before its end mark: Unknown
-	Silent                 // no progress within the time-out: Unknown
-	Crossed                // the answer names another request: Unknown
-	Status                 // the upstream answered an error: Ran
-	Malformed              // the answer can't be read or exceeds a bound: Unknown
-	Cancelled              // the caller gave up or its deadline passed: Unknown
+	Refused   Fault = iota // no connection could be established: NotRun
+	Rejected               // the upstream states that it did not run the request: NotRun
+	Reset                  // the connection broke before the header was complete, or by a TCP reset: Unknown
+	Truncated              // the response ended before its end marker: Unknown
+	Silent                 // no progress within the timeout: Unknown
+	Crossed                // the response is for another request: Unknown
+	Status                 // the upstream responded with an error status: Ran
+	Malformed              // the response can't be parsed or exceeds a size limit: Unknown
+	Cancelled              // the caller cancelled the request or its deadline passed: Unknown
 )
 
 var faultNames = [...]string{
@@ -38,7 +38,7 @@
 	Cancelled: "cancelled",
 }
 
-// String returns the fault's name in lower case.
+// String returns the name of the fault in lower case.
 func (f Fault) String() string {
 	if f < 0 || int(f) >= len(faultNames) {
 		return fmt.Sprintf("fault(%d)", int(f))
@@ -46,19 +46,19 @@
 	return faultNames[f]
 }
 
-// Error is the error of every method of Client.
+// Error is the error that the methods of Client return.
 type Error struct {
 	Fault    Fault
 	Outcome  outcome.Outcome
 	Upstream ident.Upstream
-	Leaving  bool // the answer carried X-Leaving: true
-	Code     int  // HTTP status, 0 when no answer began
-	// RetryAfter is what the upstream asked for, 0 when it didn't.
+	Leaving  bool // the response has "X-Leaving: true": the upstream is shutting down
+	Code     int  // HTTP status, 0: no response header was received
+	// RetryAfter is the wait that the upstream asked for before a retry, 0: none.
 	RetryAfter time.Duration
-	Err        error
+	Err        error // cause
 }
 
-// Error describes the fault, the outcome and the cause.
+// Error returns the upstream, the fault, the outcome and the cause as text.
 func (e *Error) Error() string {
 	return fmt.Sprintf("upstream %s: %s (%s): %v", e.Upstream, e.Fault, e.Outcome, e.Err)
 }
@@ -66,79 +66,82 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Target is an upstream and where it listens.
+// Target is the upstream that a request is sent to.
 type Target struct {
 	Name    ident.Upstream
 	Address string // ip:port
 }
 
-// GenerateRequest asks an engine for a completion. Chat, if not empty, takes
-// the place of Prompt.
+// GenerateRequest asks an engine for a completion. If Chat isn't empty, Prompt is ignored.
 type GenerateRequest struct {
 	ID        ident.RequestID
 	Model     ident.Model
 	Prompt    string
 	Chat      []wire.Message
-	MaxTokens int
+	MaxTokens int // maximum length of the completion
 	Seed      int64
-	// ResumeText and ResumeTokens are what another engine already generated.
+	// ResumeText and ResumeTokens are the text that another engine has already generated
+	// and its number of tokens.
 	ResumeText   string
 	ResumeTokens int
 }
 
-// Chunk is consecutive tokens of one weight version. Chunks that arrived
-// together are merged.
+// Chunk holds consecutive tokens that were generated with one weight version. Chunks that
+// arrive together are merged.
 type Chunk struct {
 	Text         string
-	Tokens       int
-	Version      ident.Version // 0 only when Tokens is 0 and Text is empty
-	CachedTokens int           // prompt tokens found in the engine's cache, on the first chunk
+	Tokens       int           // number of tokens in Text
+	Version      ident.Version // weight version, 0 only if Tokens is 0 and Text is empty
+	CachedTokens int           // prompt tokens found in the engine's prefix cache, on the first chunk
 	FinishReason string        // only on the last chunk
-	Leaving      bool          // the engine said that it is leaving
+	Leaving      bool          // the engine announced in the response header that it is shutting down
 }
 
-// ServiceRequest is one call of a plain service.
+// ServiceRequest is one call of a service.
 type ServiceRequest struct {
 	ID     ident.RequestID
 	Method string
-	Path   string // with the query
+	Path   string // includes the query
 	Header http.Header
 	Body   []byte
-	// NeverRetry: the call may not run twice, so it goes out on a connection of its own.
+	// NeverRetry marks a call that must not run twice. It is sent over a new connection.
 	NeverRetry bool
-	// FirstByteTimeout makes a service that doesn't begin to answer in time Silent. 0: only
-	// the context ends the wait, and on a reused connection Options.FirstByteTimeout.
+	// FirstByteTimeout limits the wait for the response header; after it the call fails as
+	// Silent. If it is 0, only the context limits the wait, and on a reused connection also
+	// Options.FirstByteTimeout.
 	FirstByteTimeout time.Duration
 }
 
-// ServiceResponse is a service's whole answer, whatever its status.
+// ServiceResponse is the complete response of a service, of any status.
 type ServiceResponse struct {
 	Status  int
 	Header  http.Header
 	Body    []byte
-	Leaving bool
+	Leaving bool // the service announced that it is shutting down
 }
 
-// Options are the limits of a Client. Zero values take the defaults.
+// Options are the timeouts and size limits of a Client. Fields that aren't positive get the
+// defaults.
 type Options struct {
 	DialTimeout time.Duration // default 2 s
-	// FirstByteTimeout bounds the wait for the header of an answer to Generate and Score,
-	// and for a stream's first chunk, default 10 s; on a reused connection the header
-	// must come within ProgressTimeout. For Call see ServiceRequest.
-	// An order takes as long as its context allows.
+	// FirstByteTimeout limits the wait for the response header of Generate and Score, and
+	// for the first chunk of a stream, default 10 s. On a reused connection, the header
+	// must arrive within ProgressTimeout if that is shorter. For Call see ServiceRequest.
+	// Only the context limits the wait for the response to an order.
 	FirstByteTimeout time.Duration
-	// ProgressTimeout bounds the wait for the next byte of an answer's body, and for
-	// the answer to Load and CacheEvents, default 5 s.
+	// ProgressTimeout limits the wait for the next byte of a response body, and for the
+	// response header of Load and CacheEvents, default 5 s.
 	ProgressTimeout time.Duration
-	// IdleTimeout closes a connection that nothing used, default 2 s. Keep it below
-	// the other time-outs: see exchange.Options.
+	// IdleTimeout is how long an unused connection is kept, default 2 s. It should be
+	// shorter than the other timeouts: see exchange.Options.
 	IdleTimeout time.Duration
-	// MaxEventBytes bounds one event of a stream, default 1 MiB.
+	// MaxEventBytes limits the size of one event of a stream, default 1 MiB.
 	MaxEventBytes int
-	// MaxBodyBytes bounds an answer that isn't a stream, default 16 MiB.
+	// MaxBodyBytes limits the size of a response that isn't a stream, default 16 MiB.
 	MaxBodyBytes int64
-	// OnLeaving, if set, hears of every answer that says that its upstream is leaving.
+	// OnLeaving, if set, is called for each response in which an upstream announces that
+	// it is shutting down.
 	OnLeaving func(ident.Upstream)
-	// Dial replaces TCP, for tests.
+	// Dial replaces TCP in tests, nil: TCP.
 	Dial exchange.DialFunc
 }
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -10,15 +10,14 @@
 	"testing"
 )
 
-// BenchmarkRelay measures a chunk's way from an engine, that flushes each chunk,
-// through the daemon to a caller, that also gets a flush a chunk. All three run
-// in this process.
+// BenchmarkRelay measures how chunks are relayed from an engine, which flushes each chunk,
+// through a daemon, which flushes each chunk too, to a caller. All three run in this process.
 func BenchmarkRelay(b *testing.B) {
-	b.Run("merge=true", func(b *testing.B) { relay(b, false) })
-	b.Run("merge=false", func(b *testing.B) { relay(b, true) })
+	b.Run("merge=true", func(b *testing.B) { benchmarkRelay(b, false) })
+	b.Run("merge=false", func(b *testing.B) { benchmarkRelay(b, true) })
 }
 
-func relay(b *testing.B, off bool) {
+func benchmarkRelay(b *testing.B, mergingDisabled bool) {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Request-Id", "r1")
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -29,8 +28,8 @@
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
 	}))
 	defer engine.Close()
-	c := New(patient)
-	c.noMerge = off
+	c := New(withoutTimeouts)
+	c.mergingDisabled = mergingDisabled
 	writes := 0
 	daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		t := Target{Name: "e1", Address: engine.Listener.Addr().String()}
@@ -47,19 +46,19 @@
 	defer daemon.Close()
 	b.ReportAllocs()
 	b.ResetTimer()
-	before := processorTime(b)
+	before := cpuTime(b)
 	resp, err := http.Get(daemon.URL)
 	if err != nil {
 		b.Fatal(err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
-	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/chunk")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/chunk")
 	b.ReportMetric(float64(writes)/float64(b.N), "writes/chunk")
 }
 
-// processorTime is what this process has used, in nanoseconds.
-func processorTime(b *testing.B) int64 {
+// cpuTime returns the user and system time that this process has used, in nanoseconds.
+func cpuTime(b *testing.B) int64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
@@ -67,12 +66,12 @@
 	return usage.Utime.Nano() + usage.Stime.Nano()
 }
 
-// BenchmarkParse measures the reading of chunks that have arrived.
+// BenchmarkParse measures the parsing of a stream that is in memory.
 func BenchmarkParse(b *testing.B) {
-	in := strings.Repeat(event("tok ", 7), b.N) + "data: [DONE]\n\n"
+	stream := strings.Repeat(event("tok ", 7), b.N) + "data: [DONE]\n\n"
 	b.ReportAllocs()
 	b.ResetTimer()
-	if err := newStream(strings.NewReader(in), "r1", 1<<10).read(func(Chunk) error { return nil }); err != nil {
+	if err := newChunkStream(strings.NewReader(stream), "r1", 1<<10).read(func(Chunk) error { return nil }); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/upstream/chunk.go
+++ b/internal/upstream/chunk.go
@@ -10,24 +10,25 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// crossedError: an event belongs to another request.
-type crossedError struct{ got, want string }
+// crossedError is returned for an event or a score that belongs to another request.
+type crossedError struct{ got, want string } // request IDs
 
 func (e *crossedError) Error() string {
-	return fmt.Sprintf("event is for request %q, not %q", e.got, e.want)
+	return fmt.Sprintf("data is for request %q, not %q", e.got, e.want)
 }
 
-// malformedError: an event can't be read or lacks what its sample's label needs.
+// malformedError is returned for an event that can't be parsed, or that lacks the weight
+// version with which its sample has to be labelled.
 type malformedError struct{ err error }
 
 func (e *malformedError) Error() string { return "event: " + e.err.Error() }
 func (e *malformedError) Unwrap() error { return e.err }
 
-// parseChunk reads the data of one event of the request id.
+// parseChunk parses the data of one event of the request id.
 func parseChunk(data []byte, id ident.RequestID) (Chunk, error) {
 	if !utf8.Valid(data) {
-		// encoding/json would put U+FFFD in place of what was sent.
-		return Chunk{}, &malformedError{errors.New("not UTF-8")}
+		// encoding/json would replace invalid bytes by U+FFFD.
+		return Chunk{}, &malformedError{errors.New("not valid UTF-8")}
 	}
 	var w wire.GenerateChunk
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -37,14 +38,14 @@
 		return Chunk{}, &crossedError{got: w.ID, want: string(id)}
 	}
 	if len(w.Choices) != 1 {
-		return Chunk{}, &malformedError{fmt.Errorf("%d choices", len(w.Choices))}
+		return Chunk{}, &malformedError{fmt.Errorf("%d choices in place of 1", len(w.Choices))}
 	}
-	return checkChunk(w)
+	return convertChunk(w)
 }
 
-// checkChunk refuses text or tokens that no weight version answers for.
-func checkChunk(w wire.GenerateChunk) (Chunk, error) {
-	v, err := version(w.WeightVersion)
+// convertChunk converts a chunk. Text or tokens without a weight version are an error.
+func convertChunk(w wire.GenerateChunk) (Chunk, error) {
+	v, err := parseVersion(w.WeightVersion)
 	if err != nil {
 		return Chunk{}, err
 	}
@@ -66,6 +67,7 @@
 	return c, nil
 }
 
+// choiceText returns the text of a choice of a chat or of a plain completion.
 func choiceText(c wire.Choice) string {
 	if c.Delta != nil {
 		return c.Delta.Content
@@ -73,10 +75,10 @@
 	return c.Text
 }
 
-// version is a wire version; negative ones don't exist.
-func version(v int64) (ident.Version, error) {
+// parseVersion converts a weight version. A negative one is an error.
+func parseVersion(v int64) (ident.Version, error) {
 	if v < 0 {
-		return 0, &malformedError{fmt.Errorf("weight version %d", v)}
+		return 0, &malformedError{fmt.Errorf("negative weight version %d", v)}
 	}
 	return ident.Version(v), nil
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -13,7 +13,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// Defaults of Options.
+// The defaults of Options.
 const (
 	DefaultDialTimeout      = 2 * time.Second
 	DefaultFirstByteTimeout = 10 * time.Second
@@ -23,14 +23,14 @@
 	DefaultMaxBodyBytes     = 16 << 20
 )
 
-// Client speaks with upstreams. It is safe for concurrent use.
+// Client sends requests to upstreams. It is safe for concurrent use.
 type Client struct {
-	options Options
-	sender  *exchange.Sender
-	noMerge bool // for the benchmark
+	options         Options
+	sender          *exchange.Sender
+	mergingDisabled bool // chunks aren't merged, for the benchmark
 }
 
-// New returns a Client with its own connections.
+// New returns a Client with its own connection pool.
 func New(o Options) *Client {
 	o = o.withDefaults()
 	return &Client{options: o, sender: exchange.NewSender(exchange.Options{
@@ -50,35 +50,37 @@
 	return o
 }
 
+// setDefault replaces a value that isn't positive.
 func setDefault[T time.Duration | int | int64](field *T, value T) {
 	if *field <= 0 {
 		*field = value
 	}
 }
 
-// CloseIdle closes connections that no request uses, at the end of the process.
+// CloseIdle closes the connections that no request uses. It is meant for the end of the
+// process.
 func (c *Client) CloseIdle() { c.sender.CloseIdle() }
 
-// call is one exchange and what its checks need.
+// call is one request and the data that its response is checked against.
 type call struct {
-	client *Client
-	target Target
-	id     ident.RequestID
-	method string
-	path   string
-	header http.Header
-	body   []byte
-	plan   exchange.Plan
+	client      *Client
+	target      Target
+	requestID   ident.RequestID // "": none is sent
+	method      string
+	path        string // includes the query
+	header      http.Header
+	body        []byte
+	sendOptions exchange.Plan
 }
 
-// prompt is the plan for answers that need no work.
-func (c *Client) prompt() exchange.Plan {
+// queryOptions returns the options for status queries, which an upstream can answer at once.
+func (c *Client) queryOptions() exchange.Plan {
 	return exchange.Plan{FirstByte: c.options.ProgressTimeout, Progress: c.options.ProgressTimeout}
 }
 
-// waiting is the plan for answers that begin after a wait in a queue. A reused
-// connection may be dead, so less patience is given to it.
-func (c *Client) waiting() exchange.Plan {
+// queuedOptions returns the options for requests that the upstream may queue before it
+// responds. The timeout is shorter on a reused connection, which may be dead.
+func (c *Client) queuedOptions() exchange.Plan {
 	return exchange.Plan{
 		FirstByte:       c.options.FirstByteTimeout,
 		FirstByteReused: min(c.options.FirstByteTimeout, c.options.ProgressTimeout),
@@ -86,91 +88,97 @@
 	}
 }
 
-// working is the plan for answers that may take as long as the context allows. A
-// connection just dialled was alive a moment ago; a reused one may not be.
-func (c *Client) working() exchange.Plan {
+// unboundedOptions returns the options for requests whose response time is limited by the
+// context alone. Only a reused connection, which may be dead, has a timeout for the header; a
+// connection that was just opened is known to work.
+func (c *Client) unboundedOptions() exchange.Plan {
 	return exchange.Plan{FirstByteReused: c.options.FirstByteTimeout, Progress: c.options.ProgressTimeout}
 }
 
-// once is the plan for requests that may not run twice.
-func (c *Client) once() exchange.Plan {
+// nonRepeatableOptions returns the options for requests that must not run twice.
+func (c *Client) nonRepeatableOptions() exchange.Plan {
 	return exchange.Plan{Fresh: true, Progress: c.options.ProgressTimeout}
 }
 
-func (c *Client) json(t Target, id ident.RequestID, path string, body any) (*call, error) {
+// newJSONCall returns a POST request with a JSON body. The caller sets sendOptions.
+func (c *Client) newJSONCall(t Target, id ident.RequestID, path string, body any) (*call, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return nil, unsent(t, err)
+		return nil, unsentError(t, err)
 	}
 	header := make(http.Header, 4)
 	header.Set("Content-Type", "application/json")
-	k := &call{client: c, target: t, id: id, method: http.MethodPost, path: path, header: header, body: data}
+	k := &call{client: c, target: t, requestID: id, method: http.MethodPost, path: path, header: header, body: data}
 	return k, nil
 }
 
-func (c *Client) get(t Target, path string) *call {
+// newGetCall returns a GET request for a status query.
+func (c *Client) newGetCall(t Target, path string) *call {
 	header := make(http.Header, 2)
-	return &call{client: c, target: t, method: http.MethodGet, path: path, header: header, plan: c.prompt()}
+	return &call{client: c, target: t, method: http.MethodGet, path: path, header: header, sendOptions: c.queryOptions()}
 }
 
-// begin sends the request. It has told of a leaving upstream and checked that
-// the answer isn't another request's when it returns an answer.
-func (k *call) begin(ctx context.Context) (*exchange.Answer, error) {
+// send sends the request. Before it returns a response, it reports an upstream that is
+// shutting down to Options.OnLeaving and checks that the response isn't for another request.
+func (k *call) send(ctx context.Context) (*exchange.Answer, error) {
 	if !strings.HasPrefix(k.path, "/") {
-		return nil, unsent(k.target, fmt.Errorf("path %q doesn't begin with /", k.path))
+		return nil, unsentError(k.target, fmt.Errorf("path %q doesn't begin with /", k.path))
 	}
-	if k.id != "" {
-		k.header.Set(wire.HeaderRequestID, string(k.id))
+	if k.requestID != "" {
+		k.header.Set(wire.HeaderRequestID, string(k.requestID))
 	}
-	answer, err := k.client.sender.Send(ctx, exchange.Request{
+	resp, err := k.client.sender.Send(ctx, exchange.Request{
 		Method: k.method,
 		URL:    "http://" + k.target.Address + k.path,
 		Header: k.header,
 		Body:   k.body,
-	}, k.plan)
+	}, k.sendOptions)
 	if err != nil {
-		return nil, k.fromExchange(err)
+		return nil, k.exchangeError(err)
 	}
-	if isLeaving(answer.Header) && k.client.options.OnLeaving != nil {
+	if reportsLeaving(resp.Header) && k.client.options.OnLeaving != nil {
 		k.client.options.OnLeaving(k.target.Name)
 	}
-	if err := k.checkEcho(answer); err != nil {
-		answer.Close()
+	if err := k.checkRequestID(resp); err != nil {
+		resp.Close()
 		return nil, err
 	}
-	return answer, nil
+	return resp, nil
 }
 
-// checkEcho fails when the header names another request. It comes before the
-// status and X-Not-Run are believed: they would be the other request's too.
-func (k *call) checkEcho(answer *exchange.Answer) error {
-	echo := answer.Header.Get(wire.HeaderRequestID)
-	if echo == "" || k.id == "" || echo == string(k.id) {
+// checkRequestID returns an error if the request ID in the header is that of another request.
+// This is checked before the status and X-Not-Run, which would belong to the other request
+// too.
+func (k *call) checkRequestID(resp *exchange.Answer) error {
+	got := resp.Header.Get(wire.HeaderRequestID)
+	if got == "" || k.requestID == "" || got == string(k.requestID) {
 		return nil
 	}
-	return k.fail(Crossed, answer, fmt.Errorf("answer is for request %q, not %q", echo, k.id))
+	return k.responseFault(Crossed, resp, fmt.Errorf("response is for request %q, not %q", got, k.requestID))
 }
 
-// whole reads a bounded JSON answer of status 200 into result.
-func (k *call) whole(ctx context.Context, result any) (*exchange.Answer, error) {
-	answer, err := k.begin(ctx)
+// sendForJSON sends the request and decodes the JSON body of the response into result. A
+// status other than 200 is an error.
+func (k *call) sendForJSON(ctx context.Context, result any) (*exchange.Answer, error) {
+	resp, err := k.send(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Close()
-	if answer.Status != http.StatusOK {
-		return answer, k.refusal(answer)
+	defer resp.Close()
+	if resp.Status != http.StatusOK {
+		return resp, k.statusError(resp)
 	}
-	return answer, k.decode(answer, result)
+	return resp, k.decodeBody(resp, result)
 }
 
-func (k *call) decode(answer *exchange.Answer, result any) error {
-	data, err := answer.Whole(k.client.options.MaxBodyBytes)
+// decodeBody decodes the JSON body of a response into result.
+func (k *call) decodeBody(resp *exchange.Answer, result any) error {
+	data, err := resp.Whole(k.client.options.MaxBodyBytes)
 	if err != nil {
-		return k.fromAnswer(answer, err)
+		return k.responseError(resp, err)
 	}
 	if err := json.Unmarshal(data, result); err != nil {
-		return k.fail(Malformed, answer, err)
+		return k.responseFault(Malformed, resp, err)
 	}
 	return nil
 }
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -15,78 +15,82 @@
 
 // Score asks a scorer for the reward of a completion.
 func (c *Client) Score(ctx context.Context, t Target, id ident.RequestID, prompt, completion string) (float64, error) {
-	k, err := c.json(t, id, "/score", wire.ScoreRequest{Prompt: prompt, Completion: completion})
+	k, err := c.newJSONCall(t, id, "/score", wire.ScoreRequest{Prompt: prompt, Completion: completion})
 	if err != nil {
 		return 0, err
 	}
-	k.plan = c.waiting()
+	k.sendOptions = c.queuedOptions()
 	var result struct {
 		ID     string   `json:"id"`
 		Reward *float64 `json:"reward"`
 	}
-	answer, err := k.whole(ctx, &result)
+	resp, err := k.sendForJSON(ctx, &result)
 	if err != nil {
 		return 0, err
 	}
 	if result.ID != string(id) {
-		return 0, k.fail(Crossed, answer, &crossedError{got: result.ID, want: string(id)})
+		return 0, k.responseFault(Crossed, resp, &crossedError{got: result.ID, want: string(id)})
 	}
 	if result.Reward == nil {
-		return 0, k.fail(Malformed, answer, errors.New("no reward"))
+		return 0, k.responseFault(Malformed, resp, errors.New("response has no reward"))
 	}
 	return *result.Reward, nil
 }
 
-// Load asks any upstream for its load. Leaving is also set by the answer's header.
+// Load queries the load of an upstream of any kind. Leaving is set if the body or the header
+// of the response says so.
 func (c *Client) Load(ctx context.Context, t Target) (wire.LoadReport, error) {
 	var report wire.LoadReport
-	answer, err := c.get(t, "/load").whole(ctx, &report)
+	resp, err := c.newGetCall(t, "/load").sendForJSON(ctx, &report)
 	if err != nil {
 		return wire.LoadReport{}, err
 	}
-	report.Leaving = report.Leaving || isLeaving(answer.Header)
+	report.Leaving = report.Leaving || reportsLeaving(resp.Header)
 	return report, nil
 }
 
-// CacheEvents asks an engine for what entered or left its prefix cache since from.
+// CacheEvents queries the prefixes that were added to an engine's prefix cache or evicted
+// from it, starting with the event of sequence number from.
 func (c *Client) CacheEvents(ctx context.Context, t Target, from int64) (wire.CacheEventPage, error) {
 	var page wire.CacheEventPage
 	path := "/cache-events?from=" + strconv.FormatInt(from, 10)
-	if _, err := c.get(t, path).whole(ctx, &page); err != nil {
+	if _, err := c.newGetCall(t, path).sendForJSON(ctx, &page); err != nil {
 		return wire.CacheEventPage{}, err
 	}
 	return page, nil
 }
 
-// Order gives an engine an order. A fence below the engine's highest is Rejected,
-// with the engine's result. Loading may take long, so only the context ends the
-// wait; the connection is a new one, since an order may not be given twice.
+// Order sends an order to an engine. If its fencing number is below the highest that the
+// engine has seen, the error is Rejected and the engine's result is returned too. Loading a
+// version may take long, so only the context limits the wait. The order is sent over a new
+// connection, since it must not run twice.
 func (c *Client) Order(ctx context.Context, t Target, order wire.Order) (wire.OrderResult, error) {
-	k, err := c.json(t, "", "/orders", order)
+	k, err := c.newJSONCall(t, "", "/orders", order)
 	if err != nil {
 		return wire.OrderResult{}, err
 	}
-	k.plan = c.once()
-	answer, err := k.begin(ctx)
+	k.sendOptions = c.nonRepeatableOptions()
+	resp, err := k.send(ctx)
 	if err != nil {
 		return wire.OrderResult{}, err
 	}
-	defer answer.Close()
-	return k.orderResult(answer)
+	defer resp.Close()
+	return k.readOrderResult(resp)
 }
 
-func (k *call) orderResult(answer *exchange.Answer) (wire.OrderResult, error) {
+// readOrderResult converts the response to an order.
+func (k *call) readOrderResult(resp *exchange.Answer) (wire.OrderResult, error) {
 	var result wire.OrderResult
-	if answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
-		return result, k.refusal(answer)
+	if resp.Status != http.StatusOK && resp.Status != http.StatusConflict {
+		return result, k.statusError(resp)
 	}
-	if err := k.decode(answer, &result); err != nil {
+	if err := k.decodeBody(resp, &result); err != nil {
 		return wire.OrderResult{}, err
 	}
-	if answer.Status == http.StatusOK {
+	if resp.Status == http.StatusOK {
 		return result, nil
 	}
-	e := k.fail(Rejected, answer, fmt.Errorf("fence is below %d: %s", result.HighestFence, result.Error))
+	e := k.responseFault(Rejected, resp, fmt.Errorf("fencing number is below %d: %s", result.HighestFence, result.Error))
 	e.Outcome = outcome.NotRun
 	return result, e
 }
--- a/internal/upstream/crowd_test.go
+++ b/internal/upstream/crowd_test.go
@@ -16,45 +16,47 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// story: Under load one caller reads the end of its neighbour's answer. Cause: a
-// connection went back to the pool with an answer still on it, because its
-// caller left, its stream was cut, or its engine sent more than one answer.
-var _ = Describe("thousands of callers at once", func() {
-	It("each get their own answer or a failure", func(ctx SpecContext) {
+// Guards against a caller that reads a part of another request's response. It happens if a
+// connection is returned to the pool with unread data: because the caller left, the stream was
+// truncated, or the engine sent more than one response.
+var _ = Describe("thousands of concurrent requests", func() {
+	It("each get their own response or an error", func(ctx SpecContext) {
 		const callers, rounds = 2000, 3
-		t := serve(crowded)
-		c := New(patient)
-		var whole, failed, wrong, broke atomic.Int64
-		var all sync.WaitGroup
+		t := startUpstream(respondFiveTimes)
+		c := New(withoutTimeouts)
+		var complete, failed, wrong, expectedFailures atomic.Int64
+		var wg sync.WaitGroup
 		for i := range callers {
-			all.Go(func() {
+			wg.Go(func() {
 				for round := range rounds {
 					id := fmt.Sprintf("%d-%d", i, round)
-					if broken(id) {
-						broke.Add(1)
+					if isAborted(id) {
+						expectedFailures.Add(1)
 					}
 					got, err := ask(ctx, c, t, id, i%3)
 					switch {
 					case err != nil:
 						failed.Add(1)
 					case got == strings.Repeat(id+";", 5):
-						whole.Add(1)
+						complete.Add(1)
 					default:
 						wrong.Add(1)
 					}
 				}
 			})
 		}
-		all.Wait()
+		wg.Wait()
 		Expect(wrong.Load()).To(BeZero())
-		Expect(failed.Load()).To(Equal(broke.Load()), "just those that the engine broke")
-		Expect(whole.Load()).To(Equal(callers*rounds - broke.Load()))
+		Expect(failed.Load()).To(Equal(expectedFailures.Load()), "exactly the responses that the engine aborted must fail")
+		Expect(complete.Load()).To(Equal(callers*rounds - expectedFailures.Load()))
 	})
 })
 
-// broken says whether the engine breaks the answer of this id off.
-func broken(id string) bool { return strings.HasSuffix(id, "7-1") }
+// isAborted reports whether the upstream aborts the response to the request id.
+func isAborted(id string) bool { return strings.HasSuffix(id, "7-1") }
 
+// ask sends a request and returns the text of the response. kind is 0 for a generation, 1 for a
+// call and 2 for a call that must not run twice.
 func ask(ctx SpecContext, c *Client, t Target, id string, kind int) (string, error) {
 	if kind > 0 {
 		r, err := c.Call(ctx, t, ServiceRequest{ID: ident.RequestID(id), Method: "POST", Path: "/call", Body: []byte(id), NeverRetry: kind == 2})
@@ -71,24 +73,24 @@
 	return text.String(), err
 }
 
-// crowded answers with the request's id five times, and breaks some answers off.
-func crowded(w http.ResponseWriter, r *http.Request) {
+// respondFiveTimes responds with five copies of the request ID and aborts some responses.
+func respondFiveTimes(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(wire.HeaderRequestID)
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(wire.HeaderRequestID, id)
-	write, end := func() { _, _ = io.WriteString(w, id+";") }, ""
+	write, endMarker := func() { _, _ = io.WriteString(w, id+";") }, ""
 	if r.URL.Path != "/call" {
 		w.Header().Set("Content-Type", "text/event-stream")
-		write, end = func() { writeChunk(w, id, id+";") }, "data: [DONE]\n\n"
+		write, endMarker = func() { writeChunk(w, id, id+";") }, "data: [DONE]\n\n"
 	}
 	for n := range 5 {
-		if n == 3 && broken(id) {
+		if n == 3 && isAborted(id) {
 			panic(http.ErrAbortHandler)
 		}
 		write()
 		w.(http.Flusher).Flush()
 	}
-	_, _ = io.WriteString(w, end)
+	_, _ = io.WriteString(w, endMarker)
 }
 
 func writeChunk(w io.Writer, id, text string) {
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -12,17 +12,18 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// maxRetryAfter bounds what an upstream may ask for.
+// maxRetryAfter limits the wait that an upstream may ask for.
 const maxRetryAfter = time.Hour
 
-// Bounds of an error answer: what is read at all, and what goes into an error's text.
+// Limits for the body of an error response: a longer body isn't read, and a longer text is cut
+// off in the error.
 const (
-	maxErrorBody = 8 << 10
-	maxErrorText = 512
+	maxErrorBodyBytes = 8 << 10
+	maxErrorTextBytes = 512
 )
 
-// faults maps what the exchange saw to this package's faults.
-var faults = map[exchange.Kind]Fault{
+// faultByKind maps the kinds of failure of an exchange to faults.
+var faultByKind = map[exchange.Kind]Fault{
 	exchange.Dial:      Refused,
 	exchange.Reset:     Reset,
 	exchange.Truncated: Truncated,
@@ -31,76 +32,81 @@
 	exchange.Cancelled: Cancelled,
 }
 
-// unsent is the error of a request that can't be sent at all.
-func unsent(t Target, err error) *Error {
+// unsentError returns the error for a request that is invalid and was not sent.
+func unsentError(t Target, err error) *Error {
 	return &Error{Fault: Malformed, Outcome: outcome.NotRun, Upstream: t.Name, Err: err}
 }
 
-// fromExchange turns a failure before the answer began.
-func (k *call) fromExchange(err error) *Error {
+// exchangeError returns the error for a failure before the response header.
+func (k *call) exchangeError(err error) *Error {
 	e := &Error{Fault: Malformed, Outcome: outcome.Unknown, Upstream: k.target.Name, Err: err}
 	var f *exchange.Failure
 	if !errors.As(err, &f) {
 		return e
 	}
-	e.Fault = faults[f.Kind]
+	e.Fault = faultByKind[f.Kind]
 	if !f.Sent {
 		e.Outcome = outcome.NotRun
 	}
 	return e
 }
 
-// fromAnswer turns a failure while the answer was read.
-func (k *call) fromAnswer(answer *exchange.Answer, err error) *Error {
-	e := k.fromExchange(err)
+// responseError returns the error for a failure while the body was read.
+func (k *call) responseError(resp *exchange.Answer, err error) *Error {
+	e := k.exchangeError(err)
 	e.Outcome = outcome.Unknown
-	e.Leaving = isLeaving(answer.Header)
-	e.Code = answer.Status
+	e.Leaving = reportsLeaving(resp.Header)
+	e.Code = resp.Status
 	return e
 }
 
-// fail is a fault that this package found in an answer.
-func (k *call) fail(f Fault, answer *exchange.Answer, err error) *Error {
-	e := k.fromAnswer(answer, err)
+// responseFault returns the error for a fault that this package found in a response.
+func (k *call) responseFault(f Fault, resp *exchange.Answer, err error) *Error {
+	e := k.responseError(resp, err)
 	e.Fault = f
 	return e
 }
 
-// refusal is the error of an answer whose status isn't a success. "Not run" is
-// believed only when the upstream says it in so many words: a bare 503 may come
-// from a worker that failed half-way.
-func (k *call) refusal(answer *exchange.Answer) *Error {
-	e := k.fail(Status, answer, fmt.Errorf("status %d: %s", answer.Status, errorText(answer)))
+// statusError returns the error for a response whose status isn't a success. The outcome is
+// NotRun only if the response has "X-Not-Run: true": a 503 without it may come from a worker
+// that failed while it ran the request.
+func (k *call) statusError(resp *exchange.Answer) *Error {
+	e := k.responseFault(Status, resp, fmt.Errorf("status %d: %s", resp.Status, bodyExcerpt(resp)))
 	e.Outcome = outcome.Ran
-	if saysNotRun(answer.Header) {
+	if reportsNotRun(resp.Header) {
 		e.Fault = Rejected
 		e.Outcome = outcome.NotRun
 	}
-	e.RetryAfter = retryAfter(answer.Header)
+	e.RetryAfter = parseRetryAfter(resp.Header)
 	return e
 }
 
-// errorText reads the start of an error answer, as far as it comes.
-func errorText(answer *exchange.Answer) string {
-	data, err := answer.Whole(maxErrorBody)
+// bodyExcerpt returns the start of the body of an error response, quoted, for the text of an
+// error.
+func bodyExcerpt(resp *exchange.Answer) string {
+	data, err := resp.Whole(maxErrorBodyBytes)
 	if err != nil {
-		return "(no readable text)"
+		return "(body not readable)"
 	}
-	return strconv.QuoteToASCII(string(data[:min(len(data), maxErrorText)]))
+	return strconv.QuoteToASCII(string(data[:min(len(data), maxErrorTextBytes)]))
 }
 
-func saysNotRun(h http.Header) bool { return h.Get(wire.HeaderNotRun) == "true" }
+// reportsNotRun reports whether a response states that the request was not run.
+func reportsNotRun(h http.Header) bool { return h.Get(wire.HeaderNotRun) == "true" }
 
-func isLeaving(h http.Header) bool { return h.Get(wire.HeaderLeaving) == "true" }
+// reportsLeaving reports whether the upstream announces in a response that it is shutting
+// down.
+func reportsLeaving(h http.Header) bool { return h.Get(wire.HeaderLeaving) == "true" }
 
-// retryAfter reads both forms of Retry-After. A date counts from the answer's
-// own Date, so the two clocks needn't agree.
-func retryAfter(h http.Header) time.Duration {
-	text := h.Get("Retry-After")
-	if seconds, err := strconv.ParseInt(text, 10, 32); err == nil {
-		return clamp(time.Duration(seconds) * time.Second)
+// parseRetryAfter returns the wait in a Retry-After header, which is a number of seconds or a
+// date, 0 if there is none. A date is compared with the Date of the response, so that the
+// clocks of the two hosts needn't agree.
+func parseRetryAfter(h http.Header) time.Duration {
+	value := h.Get("Retry-After")
+	if seconds, err := strconv.ParseInt(value, 10, 32); err == nil {
+		return limitRetryAfter(time.Duration(seconds) * time.Second)
 	}
-	until, err := http.ParseTime(text)
+	until, err := http.ParseTime(value)
 	if err != nil {
 		return 0
 	}
@@ -108,9 +114,10 @@
 	if err != nil {
 		return 0
 	}
-	return clamp(until.Sub(date))
+	return limitRetryAfter(until.Sub(date))
 }
 
-func clamp(d time.Duration) time.Duration {
+// limitRetryAfter limits a wait to the range from 0 to maxRetryAfter.
+func limitRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, 0), maxRetryAfter)
 }
--- a/internal/upstream/faults_test.go
+++ b/internal/upstream/faults_test.go
@@ -17,93 +17,93 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// story: A caller is told "not run" and sends its request again elsewhere, but the
-// engine had it and ran it. Or it is told "ran" of what never left. Or it takes
-// part of an answer, or another's, for its own. Cause: a failure's class was
-// guessed from an error's text instead of from what was written and what came.
+// Guards against wrong outcomes: "not run" for a request that the engine ran, so that the caller
+// repeats it elsewhere; "ran" for a request that was never sent; and a partial response, or that
+// of another request, that counts as complete. They come about if the fault is derived from the
+// text of an error instead of from the bytes that were sent and received.
 var _ = Describe("Generate, when the engine", func() {
-	const done = "data: [DONE]\n\n"
-	one := event("a", 7)
+	const endMarker = "data: [DONE]\n\n"
+	chunk := event("a", 7)
 
-	DescribeTable("fails", func(ctx SpecContext, answer string, end func(*net.TCPConn), f Fault, o outcome.Outcome, want string) {
+	DescribeTable("fails", func(ctx SpecContext, response string, end func(*net.TCPConn), f Fault, o outcome.Outcome, want string) {
 		got := ""
-		err := New(patient).Generate(ctx, scripted(answer, end), GenerateRequest{ID: "r1"}, func(c Chunk) error {
+		err := New(withoutTimeouts).Generate(ctx, scriptedUpstream(response, end), GenerateRequest{ID: "r1"}, func(c Chunk) error {
 			got += c.Text
 			return nil
 		})
-		Expect(err).To(failAs(f, o))
-		Expect(got).To(Equal(want), "what was handed out before the fault")
+		Expect(err).To(failWith(f, o))
+		Expect(got).To(Equal(want), "text that was passed on before the fault")
 	},
-		Entry("says that it didn't run", sized(503, "X-Not-Run: true\r\n", ""), closed, Rejected, outcome.NotRun, ""),
-		Entry("says 503 and no more", sized(503, "", ""), closed, Status, outcome.Ran, ""),
-		Entry("says 500", sized(500, "X-Request-Id: r1\r\n", "broke"), closed, Status, outcome.Ran, ""),
-		Entry("redirects", sized(307, "Location: /v1/completions\r\n", ""), closed, Status, outcome.Ran, ""),
-		Entry("closes after the request", "", closed, Reset, outcome.Unknown, ""),
-		Entry("resets after the request", "", reset, Reset, outcome.Unknown, ""),
-		Entry("dies in its header", "HTTP/1.1 200 OK\r\nContent-", closed, Reset, outcome.Unknown, ""),
-		Entry("dies in mid-stream", strings.TrimSuffix(streamed("r1", one+one), "\r\n0\r\n\r\n"), closed, Truncated, outcome.Unknown, "aa"),
-		Entry("ends the body in good form, without an end mark", streamed("r1", one), closed, Truncated, outcome.Unknown, "a"),
-		Entry("cuts its end mark", streamed("r1", one+"data: [DONE]\n"), closed, Truncated, outcome.Unknown, "a"),
-		Entry("ends inside an event", streamed("r1", one+one[:20]), closed, Truncated, outcome.Unknown, "a"),
-		Entry("names another request in its header", streamed("r2", one+done), closed, Crossed, outcome.Unknown, ""),
-		Entry("names no request in its header", streamed("", one+done), closed, Crossed, outcome.Unknown, ""),
-		Entry("refuses another request", sized(503, "X-Not-Run: true\r\nX-Request-Id: r2\r\n", ""), closed, Crossed, outcome.Unknown, ""),
-		Entry("sends another's chunk", streamed("r1", strings.ReplaceAll(one, "r1", "r2")+done), closed, Crossed, outcome.Unknown, ""),
-		Entry("leaves the id out of a chunk", streamed("r1", strings.ReplaceAll(one, `"id":"r1",`, "")+done), closed, Crossed, outcome.Unknown, ""),
-		Entry("sends tokens without a version", streamed("r1", event("a", 0)+done), closed, Malformed, outcome.Unknown, ""),
-		Entry("sends text without a version", streamed("r1", `data: {"id":"r1","choices":[{"text":"a"}]}`+"\n\n"+done), closed, Malformed, outcome.Unknown, ""),
-		Entry("sends a negative count", streamed("r1", strings.Replace(one, `"tokens":1`, `"tokens":-1`, 1)+done), closed, Malformed, outcome.Unknown, ""),
-		Entry("sends what isn't JSON", streamed("r1", "data: {\n\n"+done), closed, Malformed, outcome.Unknown, ""),
-		Entry("damages a field's name", streamed("r1", "dat"+one+done), closed, Malformed, outcome.Unknown, ""),
-		Entry("sends an endless line", streamed("r1", "data: "+strings.Repeat("x", 40<<10)), closed, Malformed, outcome.Unknown, ""),
-		Entry("sends an endless event", streamed("r1", strings.Repeat("data: x\n", 1<<10)), closed, Malformed, outcome.Unknown, ""),
-		Entry("sends no event stream", sized(200, "X-Request-Id: r1\r\n", "{}"), closed, Malformed, outcome.Unknown, ""),
-		Entry("doesn't speak HTTP", "SSH-2.0-x\r\n\r\n", closed, Malformed, outcome.Unknown, ""),
-		Entry("sends an endless header", "HTTP/1.1 200 OK\r\nA: "+strings.Repeat("x", 1<<20), closed, Malformed, outcome.Unknown, ""),
+		Entry("reports that the request was not run", sizedResponse(503, "X-Not-Run: true\r\n", ""), closeConn, Rejected, outcome.NotRun, ""),
+		Entry("responds with 503 and nothing else", sizedResponse(503, "", ""), closeConn, Status, outcome.Ran, ""),
+		Entry("responds with 500", sizedResponse(500, "X-Request-Id: r1\r\n", "broke"), closeConn, Status, outcome.Ran, ""),
+		Entry("redirects", sizedResponse(307, "Location: /v1/completions\r\n", ""), closeConn, Status, outcome.Ran, ""),
+		Entry("closes the connection after the request", "", closeConn, Reset, outcome.Unknown, ""),
+		Entry("resets the connection after the request", "", resetConn, Reset, outcome.Unknown, ""),
+		Entry("closes the connection within the header", "HTTP/1.1 200 OK\r\nContent-", closeConn, Reset, outcome.Unknown, ""),
+		Entry("closes the connection within the stream", strings.TrimSuffix(streamResponse("r1", chunk+chunk), "\r\n0\r\n\r\n"), closeConn, Truncated, outcome.Unknown, "aa"),
+		Entry("ends the body correctly, but without an end marker", streamResponse("r1", chunk), closeConn, Truncated, outcome.Unknown, "a"),
+		Entry("truncates the end marker", streamResponse("r1", chunk+"data: [DONE]\n"), closeConn, Truncated, outcome.Unknown, "a"),
+		Entry("ends within an event", streamResponse("r1", chunk+chunk[:20]), closeConn, Truncated, outcome.Unknown, "a"),
+		Entry("names another request in the header", streamResponse("r2", chunk+endMarker), closeConn, Crossed, outcome.Unknown, ""),
+		Entry("names no request in the header", streamResponse("", chunk+endMarker), closeConn, Crossed, outcome.Unknown, ""),
+		Entry("rejects another request", sizedResponse(503, "X-Not-Run: true\r\nX-Request-Id: r2\r\n", ""), closeConn, Crossed, outcome.Unknown, ""),
+		Entry("sends a chunk of another request", streamResponse("r1", strings.ReplaceAll(chunk, "r1", "r2")+endMarker), closeConn, Crossed, outcome.Unknown, ""),
+		Entry("leaves the request ID out of a chunk", streamResponse("r1", strings.ReplaceAll(chunk, `"id":"r1",`, "")+endMarker), closeConn, Crossed, outcome.Unknown, ""),
+		Entry("sends tokens without a version", streamResponse("r1", event("a", 0)+endMarker), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends text without a version", streamResponse("r1", `data: {"id":"r1","choices":[{"text":"a"}]}`+"\n\n"+endMarker), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends a negative token count", streamResponse("r1", strings.Replace(chunk, `"tokens":1`, `"tokens":-1`, 1)+endMarker), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends invalid JSON", streamResponse("r1", "data: {\n\n"+endMarker), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends an unknown field name", streamResponse("r1", "dat"+chunk+endMarker), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends an endless line", streamResponse("r1", "data: "+strings.Repeat("x", 40<<10)), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends an endless event", streamResponse("r1", strings.Repeat("data: x\n", 1<<10)), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends a response that is no event stream", sizedResponse(200, "X-Request-Id: r1\r\n", "{}"), closeConn, Malformed, outcome.Unknown, ""),
+		Entry("does not speak HTTP", "SSH-2.0-x\r\n\r\n", closeConn, Malformed, outcome.Unknown, ""),
+		Entry("sends an endless header", "HTTP/1.1 200 OK\r\nA: "+strings.Repeat("x", 1<<20), closeConn, Malformed, outcome.Unknown, ""),
 	)
 
-	It("isn't there", func(ctx SpecContext) {
-		Expect(New(patient).Generate(ctx, target, GenerateRequest{ID: "r1"}, nil)).To(failAs(Refused, outcome.NotRun))
+	It("is not reachable", func(ctx SpecContext) {
+		Expect(New(withoutTimeouts).Generate(ctx, unusedTarget, GenerateRequest{ID: "r1"}, nil)).To(failWith(Refused, outcome.NotRun))
 	})
 
-	It("is still being dialled when the caller leaves: nothing ran", func(ctx SpecContext) {
-		dialling, cancel := context.WithCancel(ctx)
-		o := patient
+	It("is still being dialled when the caller cancels: the outcome is \"not run\"", func(ctx SpecContext) {
+		cancelled, cancel := context.WithCancel(ctx)
+		o := withoutTimeouts
 		o.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			cancel()
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		err := New(o).Generate(dialling, target, GenerateRequest{ID: "r1"}, nil)
-		Expect(err).To(failAs(Cancelled, outcome.NotRun))
+		err := New(o).Generate(cancelled, unusedTarget, GenerateRequest{ID: "r1"}, nil)
+		Expect(err).To(failWith(Cancelled, outcome.NotRun))
 		Expect(err).To(MatchError(context.Canceled))
 	})
 
-	It("streams on when the caller leaves: its connection is closed", func(ctx SpecContext) {
+	It("is still streaming when the caller cancels or fails: the connection is closed", func(ctx SpecContext) {
 		ended := make(chan error, 1)
-		t := scripted(unframed+one, func(conn *net.TCPConn) {
+		t := scriptedUpstream(unframedHeader+chunk, func(conn *net.TCPConn) {
 			_, err := conn.Read(make([]byte, 1))
 			ended <- err
 		})
-		streaming, cancel := context.WithCancel(ctx)
-		err := New(patient).Generate(streaming, t, GenerateRequest{ID: "r1"}, func(Chunk) error {
+		cancelled, cancel := context.WithCancel(ctx)
+		err := New(withoutTimeouts).Generate(cancelled, t, GenerateRequest{ID: "r1"}, func(Chunk) error {
 			cancel()
 			return nil
 		})
-		Expect(err).To(failAs(Cancelled, outcome.Unknown))
+		Expect(err).To(failWith(Cancelled, outcome.Unknown))
 		Eventually(ended).WithContext(ctx).Should(Receive(HaveOccurred()))
 
-		stop := errors.New("stop")
-		err = New(patient).Generate(ctx, t, GenerateRequest{ID: "r1"}, func(Chunk) error { return stop })
-		Expect(err).To(failAs(Cancelled, outcome.Unknown))
-		Expect(err).To(MatchError(stop))
+		errStop := errors.New("stop")
+		err = New(withoutTimeouts).Generate(ctx, t, GenerateRequest{ID: "r1"}, func(Chunk) error { return errStop })
+		Expect(err).To(failWith(Cancelled, outcome.Unknown))
+		Expect(err).To(MatchError(errStop))
 		Eventually(ended).WithContext(ctx).Should(Receive(HaveOccurred()))
 	}, SpecTimeout(time.Minute))
 
-	It("swaps weights in mid-stream, both versions are told, and merging never joins them", func(ctx SpecContext) {
-		body := event("a", 7) + event("b", 7) + event("c", 8) + ": ping\n\n" + event("d", 8) + done
+	It("switches weights within a stream: each chunk has its version, and chunks of different versions are not merged", func(ctx SpecContext) {
+		body := event("a", 7) + event("b", 7) + event("c", 8) + ": ping\n\n" + event("d", 8) + endMarker
 		var chunks []Chunk
-		err := New(patient).Generate(ctx, scripted(streamed("r1", body), closed), GenerateRequest{ID: "r1"}, func(c Chunk) error {
+		err := New(withoutTimeouts).Generate(ctx, scriptedUpstream(streamResponse("r1", body), closeConn), GenerateRequest{ID: "r1"}, func(c Chunk) error {
 			chunks = append(chunks, c)
 			return nil
 		})
@@ -114,82 +114,81 @@
 	})
 })
 
-// story: A service's answer loses its tail on the way. The caller takes the part
-// that came for the whole and books half a family. Cause: a body's end was taken
-// from the connection's end.
+// Guards against a truncated response of a service that counts as complete, which happens if the
+// end of the connection is taken for the end of the body.
 var _ = Describe("Call", func() {
-	call := func(ctx context.Context, answer string) (*ServiceResponse, error) {
-		return New(patient).Call(ctx, scripted(answer, closed), ServiceRequest{ID: "r1", Method: "POST", Path: "/x", Body: []byte("b"), NeverRetry: true})
+	call := func(ctx context.Context, response string) (*ServiceResponse, error) {
+		return New(withoutTimeouts).Call(ctx, scriptedUpstream(response, closeConn), ServiceRequest{ID: "r1", Method: "POST", Path: "/x", Body: []byte("b"), NeverRetry: true})
 	}
 
-	DescribeTable("refuses a part", func(ctx SpecContext, answer string, f Fault, o outcome.Outcome) {
-		_, err := call(ctx, answer)
-		Expect(err).To(failAs(f, o))
+	DescribeTable("rejects a response", func(ctx SpecContext, response string, f Fault, o outcome.Outcome) {
+		_, err := call(ctx, response)
+		Expect(err).To(failWith(f, o))
 	},
-		Entry("of its length", strings.TrimSuffix(sized(200, "", "hello"), "lo"), Truncated, outcome.Unknown),
-		Entry("of its chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", Truncated, outcome.Unknown),
-		Entry("that ends with the connection", "HTTP/1.1 200 OK\r\n\r\nhello", Truncated, outcome.Unknown),
-		Entry("of what is too long", sized(200, "", strings.Repeat("x", 2<<10)), Malformed, outcome.Unknown),
-		Entry("of another's", sized(200, "X-Request-Id: r2\r\n", "hello"), Crossed, outcome.Unknown),
+		Entry("shorter than its stated length", strings.TrimSuffix(sizedResponse(200, "", "hello"), "lo"), Truncated, outcome.Unknown),
+		Entry("without its last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", Truncated, outcome.Unknown),
+		Entry("whose end is not marked", "HTTP/1.1 200 OK\r\n\r\nhello", Truncated, outcome.Unknown),
+		Entry("above the size limit", sizedResponse(200, "", strings.Repeat("x", 2<<10)), Malformed, outcome.Unknown),
+		Entry("to another request", sizedResponse(200, "X-Request-Id: r2\r\n", "hello"), Crossed, outcome.Unknown),
 	)
 
-	It("believes a refusal, its wait, and that the service leaves", func(ctx SpecContext) {
-		_, err := call(ctx, sized(503, "X-Not-Run: true\r\nRetry-After: 3\r\nX-Leaving: true\r\n", ""))
-		Expect(err).To(SatisfyAll(failAs(Rejected, outcome.NotRun), HaveField("RetryAfter", 3*time.Second), HaveField("Leaving", true)))
-		Expect(retryAfter(http.Header{
+	It("reports a rejection, the wait before a retry, and that the service is leaving", func(ctx SpecContext) {
+		_, err := call(ctx, sizedResponse(503, "X-Not-Run: true\r\nRetry-After: 3\r\nX-Leaving: true\r\n", ""))
+		Expect(err).To(SatisfyAll(failWith(Rejected, outcome.NotRun), HaveField("RetryAfter", 3*time.Second), HaveField("Leaving", true)))
+		Expect(parseRetryAfter(http.Header{
 			"Date": {"Wed, 02 Dec 2026 10:00:00 GMT"}, "Retry-After": {"Wed, 02 Dec 2026 10:00:09 GMT"},
 		})).To(Equal(9 * time.Second))
 	})
 
-	It("passes the call on byte for byte, without what belongs to one connection", func(ctx SpecContext) {
+	It("forwards the call byte for byte, without the headers of the connection", func(ctx SpecContext) {
 		body := "\x00\xff\r\n{}"
-		arrived := make(chan *http.Request, 1)
-		t := serve(func(w http.ResponseWriter, r *http.Request) {
+		received := make(chan *http.Request, 1)
+		t := startUpstream(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Keep-Alive", "timeout=5")
 			w.WriteHeader(http.StatusTeapot)
 			_, _ = io.Copy(w, r.Body)
-			arrived <- r
+			received <- r
 		})
 		header := http.Header{"Connection": {"x-hop, close"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Authorization": {"Bearer k"}, "X-Kept": {"1", "2"}, "Idempotency-Key": {"k1"}}
-		got, err := New(patient).Call(ctx, t, ServiceRequest{ID: "r1", Method: "PUT", Path: "/a%2Fb?c=%20d", Header: header, Body: []byte(body)})
+		resp, err := New(withoutTimeouts).Call(ctx, t, ServiceRequest{ID: "r1", Method: "PUT", Path: "/a%2Fb?c=%20d", Header: header, Body: []byte(body)})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got.Status).To(Equal(http.StatusTeapot))
-		Expect(got.Header).NotTo(HaveKey("Keep-Alive"))
-		Expect(string(got.Body)).To(Equal(body))
-		seen := <-arrived
-		Expect(seen.RequestURI).To(Equal("/a%2Fb?c=%20d"))
-		Expect(seen.Header).To(Equal(http.Header{
+		Expect(resp.Status).To(Equal(http.StatusTeapot))
+		Expect(resp.Header).NotTo(HaveKey("Keep-Alive"))
+		Expect(string(resp.Body)).To(Equal(body))
+		req := <-received
+		Expect(req.RequestURI).To(Equal("/a%2Fb?c=%20d"))
+		Expect(req.Header).To(Equal(http.Header{
 			"X-Request-Id": {"r1"}, "X-Kept": {"1", "2"}, "Idempotency-Key": {"k1"},
-			"User-Agent": {userAgent}, "Content-Length": {"6"},
+			"User-Agent": {defaultUserAgent}, "Content-Length": {"6"},
 		}))
 	})
 })
 
-var _ = Describe("the control calls", func() {
-	DescribeTable("turn answers", func(ctx SpecContext, call func(context.Context, *Client, Target) error, answer string, f Fault, o outcome.Outcome) {
-		Expect(call(ctx, New(patient), scripted(answer, closed))).To(failAs(f, o))
+var _ = Describe("Score, Load, CacheEvents and Order", func() {
+	DescribeTable("report faults", func(ctx SpecContext, call func(context.Context, *Client, Target) error, response string, f Fault, o outcome.Outcome) {
+		Expect(call(ctx, New(withoutTimeouts), scriptedUpstream(response, closeConn))).To(failWith(f, o))
 	},
-		Entry("Score, another's", scoreCall, sized(200, "", `{"id":"r2","reward":1}`), Crossed, outcome.Unknown),
-		Entry("Score, no reward", scoreCall, sized(200, "", `{"id":"r1"}`), Malformed, outcome.Unknown),
-		Entry("Order, fence too old", orderCall, sized(409, "", `{"highest_fence":9}`), Rejected, outcome.NotRun),
-		Entry("Order, failed", orderCall, sized(500, "", `{}`), Status, outcome.Ran),
-		Entry("Order, answer lost", orderCall, "", Reset, outcome.Unknown),
+		Entry("Score, for another request", scoreCall, sizedResponse(200, "", `{"id":"r2","reward":1}`), Crossed, outcome.Unknown),
+		Entry("Score, no reward", scoreCall, sizedResponse(200, "", `{"id":"r1"}`), Malformed, outcome.Unknown),
+		Entry("Order, fencing number too low", orderCall, sizedResponse(409, "", `{"highest_fence":9}`), Rejected, outcome.NotRun),
+		Entry("Order, failed", orderCall, sizedResponse(500, "", `{}`), Status, outcome.Ran),
+		Entry("Order, no response", orderCall, "", Reset, outcome.Unknown),
 	)
 
-	It("return what the upstream says", func(ctx SpecContext) {
+	It("return the result of the upstream", func(ctx SpecContext) {
 		var leaving []string
-		o := patient
+		o := withoutTimeouts
 		o.OnLeaving = func(name ident.Upstream) { leaving = append(leaving, string(name)) }
 		c := New(o)
-		load := scripted(sized(200, "X-Leaving: true\r\n", `{"running":3}`), closed)
+		load := scriptedUpstream(sizedResponse(200, "X-Leaving: true\r\n", `{"running":3}`), closeConn)
 		Expect(c.Load(ctx, load)).To(Equal(wire.LoadReport{Running: 3, Leaving: true}))
 		Expect(leaving).To(Equal([]string{"e1"}))
 
-		result, err := c.Order(ctx, scripted(sized(409, "", `{"highest_fence":9}`), closed), wire.Order{})
+		result, err := c.Order(ctx, scriptedUpstream(sizedResponse(409, "", `{"highest_fence":9}`), closeConn), wire.Order{})
 		Expect(err).To(HaveOccurred())
 		Expect(result.HighestFence).To(BeEquivalentTo(9))
 
-		events := scripted(sized(200, "", `{"next":4}`), closed)
+		events := scriptedUpstream(sizedResponse(200, "", `{"next":4}`), closeConn)
 		Expect(c.CacheEvents(ctx, events, 3)).To(Equal(wire.CacheEventPage{Next: 4}))
 	})
 })
--- a/internal/upstream/generate.go
+++ b/internal/upstream/generate.go
@@ -17,28 +17,28 @@
 	chatPath        = "/v1/chat/completions"
 )
 
-// drainTimeout bounds the wait for the end of an answer whose end mark has come.
-// Only the connection's reuse depends on it.
+// drainTimeout limits the wait for the end of a response after its end marker was received.
+// Only the reuse of the connection depends on it.
 const drainTimeout = 100 * time.Millisecond
 
-// Generate streams a completion. onChunk sees each token once, in order; its
-// error ends the stream and comes back wrapped. The result is nil only after the
-// stream's own end mark.
+// Generate streams a completion. It passes each token to onChunk once, in order. An error of
+// onChunk ends the stream and is returned wrapped. The result is nil only if the stream's end
+// marker was received.
 func (c *Client) Generate(ctx context.Context, t Target, r GenerateRequest, onChunk func(Chunk) error) error {
-	k, err := c.json(t, r.ID, generatePath(r), generateBody(r))
+	k, err := c.newJSONCall(t, r.ID, generatePath(r), generateBody(r))
 	if err != nil {
 		return err
 	}
-	k.plan = c.waiting()
-	answer, err := k.begin(ctx)
+	k.sendOptions = c.queuedOptions()
+	resp, err := k.send(ctx)
 	if err != nil {
 		return err
 	}
-	defer answer.Close()
-	if err := k.checkStream(answer); err != nil {
+	defer resp.Close()
+	if err := k.checkStreamHeader(resp); err != nil {
 		return err
 	}
-	return k.stream(answer, onChunk)
+	return k.readStream(resp, onChunk)
 }
 
 func generatePath(r GenerateRequest) string {
@@ -48,8 +48,9 @@
 	return completionsPath
 }
 
-// generateBody always asks for a stream: only there does each part of the text
-// name its weight version as it comes, and a long silence shows early.
+// generateBody returns the body of the request to the engine. It always asks for a stream:
+// only in a stream does each part of the text come with its weight version as soon as it is
+// generated, and only there is a lack of progress detected early.
 func generateBody(r GenerateRequest) wire.GenerateRequest {
 	body := wire.GenerateRequest{
 		Model:        string(r.Model),
@@ -66,56 +67,60 @@
 	return body
 }
 
-// checkStream accepts an event stream that names this request.
-func (k *call) checkStream(answer *exchange.Answer) error {
-	if answer.Status != http.StatusOK {
-		return k.refusal(answer)
+// checkStreamHeader returns an error unless the header is that of an event stream for this
+// request.
+func (k *call) checkStreamHeader(resp *exchange.Answer) error {
+	if resp.Status != http.StatusOK {
+		return k.statusError(resp)
 	}
-	if answer.Header.Get(wire.HeaderRequestID) != string(k.id) {
-		return k.fail(Crossed, answer, errors.New("answer doesn't name its request"))
+	if resp.Header.Get(wire.HeaderRequestID) != string(k.requestID) {
+		return k.responseFault(Crossed, resp, errors.New("response does not name its request"))
 	}
-	kind, _, _ := strings.Cut(answer.Header.Get("Content-Type"), ";")
-	if strings.TrimSpace(kind) != "text/event-stream" {
-		return k.fail(Malformed, answer, fmt.Errorf("content type %q isn't an event stream", kind))
+	mediaType, _, _ := strings.Cut(resp.Header.Get("Content-Type"), ";")
+	if strings.TrimSpace(mediaType) != "text/event-stream" {
+		return k.responseFault(Malformed, resp, fmt.Errorf("content type %q is not an event stream", mediaType))
 	}
 	return nil
 }
 
-// stream hands out the answer's chunks and, behind the end mark, reads the answer's
-// end, so that the connection can be used again. Anything but an end there closes it.
-func (k *call) stream(answer *exchange.Answer, onChunk func(Chunk) error) error {
-	s := newStream(answer, k.id, k.client.options.MaxEventBytes)
-	s.merge.off = k.client.noMerge
-	leaving := isLeaving(answer.Header)
-	// An engine may send its header at once and then queue the request.
-	answer.LimitProgress(k.client.options.FirstByteTimeout)
+// readStream passes the chunks of the response to onChunk. After the end marker it reads the
+// end of the response, so that the connection can be reused; if more data follows instead, the
+// connection is closed.
+func (k *call) readStream(resp *exchange.Answer, onChunk func(Chunk) error) error {
+	s := newChunkStream(resp, k.requestID, k.client.options.MaxEventBytes)
+	s.merger.disabled = k.client.mergingDisabled
+	leaving := reportsLeaving(resp.Header)
+	// An engine may send the header at once and then queue the request, so the first chunk
+	// has the longer timeout.
+	resp.LimitProgress(k.client.options.FirstByteTimeout)
 	err := s.read(func(c Chunk) error {
-		answer.LimitProgress(k.client.options.ProgressTimeout)
+		resp.LimitProgress(k.client.options.ProgressTimeout)
 		c.Leaving = leaving
 		return onChunk(c)
 	})
 	if err != nil {
-		return k.streamError(answer, err)
+		return k.streamError(resp, err)
 	}
-	answer.LimitProgress(drainTimeout)
-	s.events.drain()
+	resp.LimitProgress(drainTimeout)
+	s.events.readEnd()
 	return nil
 }
 
-func (k *call) streamError(answer *exchange.Answer, err error) *Error {
+// streamError converts an error of chunkStream.read.
+func (k *call) streamError(resp *exchange.Answer, err error) *Error {
 	var crossed *crossedError
 	var malformed *malformedError
 	var stopped *stoppedError
 	switch {
 	case errors.As(err, &stopped):
-		return k.fail(Cancelled, answer, err)
+		return k.responseFault(Cancelled, resp, err)
 	case errors.As(err, &crossed):
-		return k.fail(Crossed, answer, err)
+		return k.responseFault(Crossed, resp, err)
 	case errors.As(err, &malformed):
-		return k.fail(Malformed, answer, err)
-	case errors.Is(err, errNoEnd):
-		return k.fail(Truncated, answer, err)
+		return k.responseFault(Malformed, resp, err)
+	case errors.Is(err, errNoEndMarker):
+		return k.responseFault(Truncated, resp, err)
 	default:
-		return k.fromAnswer(answer, err)
+		return k.responseError(resp, err)
 	}
 }
--- a/internal/upstream/merge.go
+++ b/internal/upstream/merge.go
@@ -1,20 +1,21 @@
 package upstream
 
-// merger joins consecutive chunks of one version.
+// merger merges consecutive chunks of one weight version.
 type merger struct {
-	pending Chunk
-	have    bool
-	off     bool // for the benchmark
+	pending    Chunk // merged so far, valid if hasPending
+	hasPending bool
+	disabled   bool // flush after each chunk, for the benchmark
 }
 
-// add returns the chunk that must go out before the new one, or nil.
+// add adds a chunk. If it can't be merged with the pending chunk, add returns the latter,
+// otherwise nil.
 func (m *merger) add(c Chunk) *Chunk {
-	if !m.have {
-		m.pending, m.have = c, true
+	if !m.hasPending {
+		m.pending, m.hasPending = c, true
 		return nil
 	}
-	if m.joins(c) {
-		m.join(c)
+	if m.canMerge(c) {
+		m.merge(c)
 		return nil
 	}
 	out := m.pending
@@ -22,13 +23,15 @@
 	return &out
 }
 
-// joins: a chunk without a version has no text, so it fits any.
-func (m *merger) joins(c Chunk) bool {
+// canMerge reports whether a chunk can be merged with the pending one. A chunk without a
+// version has no text, so it can be merged with one of any version.
+func (m *merger) canMerge(c Chunk) bool {
 	sameVersion := c.Version == m.pending.Version || c.Version == 0 || m.pending.Version == 0
 	return sameVersion && m.pending.FinishReason == ""
 }
 
-func (m *merger) join(c Chunk) {
+// merge appends a chunk to the pending one.
+func (m *merger) merge(c Chunk) {
 	m.pending.Text += c.Text
 	m.pending.Tokens += c.Tokens
 	m.pending.Version = max(m.pending.Version, c.Version)
@@ -36,11 +39,12 @@
 	m.pending.FinishReason = c.FinishReason
 }
 
-func (m *merger) take() *Chunk {
-	if !m.have {
+// flush returns the pending chunk and removes it from the merger, nil if there is none.
+func (m *merger) flush() *Chunk {
+	if !m.hasPending {
 		return nil
 	}
 	out := m.pending
-	m.pending, m.have = Chunk{}, false
+	m.pending, m.hasPending = Chunk{}, false
 	return &out
 }
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -9,74 +9,78 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/upstream/exchange"
 )
 
-// connectionHeaders belong to one connection (RFC 9110, 7.6.1) or are net/http's
-// to write. Authorization holds the caller's key for us, which no service may see.
-var connectionHeaders = []string{
+// unforwardedHeaders are the headers that aren't forwarded: those that concern one connection
+// (RFC 9110, 7.6.1), those that net/http writes itself, and Authorization, whose key is the
+// caller's for this daemon and must not reach a service.
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Host", "Expect", "Authorization",
 }
 
-// userAgent stands in for a missing User-Agent.
-const userAgent = "dogwoodflow"
+// defaultUserAgent is sent if the caller sent no User-Agent.
+const defaultUserAgent = "dogwoodflow"
 
-// Call forwards one call to a service. Every status is an answer; only a refusal
-// that says X-Not-Run: true is an error.
+// Call forwards one call to a service. A response of any status is a result, except one with
+// "X-Not-Run: true", which is an error.
 func (c *Client) Call(ctx context.Context, t Target, r ServiceRequest) (*ServiceResponse, error) {
-	k := &call{client: c, target: t, id: r.ID, method: r.Method, path: r.Path, body: r.Body}
-	k.header = forwarded(r.Header)
+	k := &call{client: c, target: t, requestID: r.ID, method: r.Method, path: r.Path, body: r.Body}
+	k.header = forwardableHeader(r.Header)
 	if k.header.Get("User-Agent") == "" {
-		k.header.Set("User-Agent", userAgent)
+		k.header.Set("User-Agent", defaultUserAgent)
 	}
-	k.plan = c.callPlan(r)
-	answer, err := k.begin(ctx)
+	k.sendOptions = c.serviceOptions(r)
+	resp, err := k.send(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Close()
-	if saysNotRun(answer.Header) {
-		return nil, k.refusal(answer)
+	defer resp.Close()
+	if reportsNotRun(resp.Header) {
+		return nil, k.statusError(resp)
 	}
-	return k.response(answer)
+	return k.serviceResponse(resp)
 }
 
-func (c *Client) callPlan(r ServiceRequest) exchange.Plan {
-	plan := c.working()
+// serviceOptions returns the options for a call of a service.
+func (c *Client) serviceOptions(r ServiceRequest) exchange.Plan {
+	opts := c.unboundedOptions()
 	if r.NeverRetry {
-		plan = c.once()
+		opts = c.nonRepeatableOptions()
 	}
 	if r.FirstByteTimeout > 0 {
-		plan.FirstByte = r.FirstByteTimeout
-		plan.FirstByteReused = 0
+		opts.FirstByte = r.FirstByteTimeout
+		opts.FirstByteReused = 0
 	}
-	return plan
+	return opts
 }
 
-func (k *call) response(answer *exchange.Answer) (*ServiceResponse, error) {
-	body, err := answer.Whole(k.client.options.MaxBodyBytes)
+// serviceResponse reads the whole response of a service.
+func (k *call) serviceResponse(resp *exchange.Answer) (*ServiceResponse, error) {
+	body, err := resp.Whole(k.client.options.MaxBodyBytes)
 	if err != nil {
-		return nil, k.fromAnswer(answer, err)
+		return nil, k.responseError(resp, err)
 	}
 	return &ServiceResponse{
-		Status:  answer.Status,
-		Header:  forwarded(answer.Header),
+		Status:  resp.Status,
+		Header:  forwardableHeader(resp.Header),
 		Body:    body,
-		Leaving: isLeaving(answer.Header),
+		Leaving: reportsLeaving(resp.Header),
 	}, nil
 }
 
-// forwarded copies what may pass from one connection to another.
-func forwarded(in http.Header) http.Header {
-	out := in.Clone()
+// forwardableHeader returns a copy of a header without the fields that must not be forwarded
+// to another connection.
+func forwardableHeader(header http.Header) http.Header {
+	out := header.Clone()
 	if out == nil {
 		out = make(http.Header)
 	}
-	for _, list := range in.Values("Connection") {
+	for _, list := range header.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range connectionHeaders {
+	for _, name := range unforwardedHeaders {
 		out.Del(name)
 	}
 	return out
--- a/internal/upstream/silent_test.go
+++ b/internal/upstream/silent_test.go
@@ -18,13 +18,13 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// story: A switch forgets the open connections; new ones work. Requests on the
-// old ones wait for ever, and so do the callers behind them. Cause: TCP says
-// nothing while nobody sends, so only the wait itself can be bounded. These
-// tests run on synctest's clock over net.Pipe.
+// These tests guard against requests that wait forever. A switch drops the state of the open
+// connections while new ones work. Since TCP doesn't signal this while nothing is sent, only a
+// timeout ends the wait. The tests run with the clock of synctest, over net.Pipe.
 
-// piped counts dials and gives each connection to serve.
-func piped(o Options, dials *atomic.Int32, serve func(net.Conn)) *Client {
+// newPipedClient returns a client whose connections are handled by serve, and which counts its
+// dials.
+func newPipedClient(o Options, dials *atomic.Int32, serve func(net.Conn)) *Client {
 	o.Dial = func(context.Context, string, string) (net.Conn, error) {
 		dials.Add(1)
 		client, server := net.Pipe()
@@ -34,43 +34,44 @@
 	return New(o)
 }
 
-// answers serves one request after the other; the n-th gets the n-th answer after a
-// second, event by event, and those after the last get silence.
-func answers(texts ...string) func(net.Conn) {
+// respondWith returns a function that handles the requests on a connection one by one. Each gets
+// the next response after a second, written event by event; further requests get none.
+func respondWith(responses ...string) func(net.Conn) {
 	return func(conn net.Conn) {
-		in := bufio.NewReader(conn)
-		for _, text := range texts {
-			req, err := http.ReadRequest(in)
+		reader := bufio.NewReader(conn)
+		for _, response := range responses {
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
 			_, _ = io.Copy(io.Discard, req.Body)
 			time.Sleep(time.Second)
-			for part := range strings.SplitAfterSeq(text, "\n\n") {
+			for part := range strings.SplitAfterSeq(response, "\n\n") {
 				_, _ = io.WriteString(conn, part)
 			}
 		}
-		_, _ = io.Copy(io.Discard, in)
+		_, _ = io.Copy(io.Discard, reader)
 	}
 }
 
-// target is where nobody listens.
-var target = Target{Name: "e1", Address: "127.0.0.1:1"}
+// unusedTarget has an address at which nothing listens.
+var unusedTarget = Target{Name: "e1", Address: "127.0.0.1:1"}
 
 func generate(c *Client, onChunk func(Chunk) error) error {
-	return c.Generate(context.Background(), target, GenerateRequest{ID: "r1"}, onChunk)
+	return c.Generate(context.Background(), unusedTarget, GenerateRequest{ID: "r1"}, onChunk)
 }
 
-var plain = ServiceRequest{ID: "r1", Method: "POST", Path: "/", Body: []byte("b")}
+var postRequest = ServiceRequest{ID: "r1", Method: "POST", Path: "/", Body: []byte("b")}
 
-func callIn(c *Client, r ServiceRequest) error {
+func callWithinMinute(c *Client, r ServiceRequest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	_, err := c.Call(ctx, target, r)
+	_, err := c.Call(ctx, unusedTarget, r)
 	return err
 }
 
-func silentCase(name string, t *testing.T, body func(g *WithT)) {
+// runInBubble runs a sub-test in a synctest bubble, whose clock is simulated.
+func runInBubble(name string, t *testing.T, body func(g *WithT)) {
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) { body(NewWithT(t)) })
 	})
@@ -78,23 +79,23 @@
 
 func TestSilentConnections(t *testing.T) {
 	ignore := func(Chunk) error { return nil }
-	ok := sized(200, "", "ok")
+	ok := sizedResponse(200, "", "ok")
 	var dials atomic.Int32
 
-	silentCase("no first byte", t, func(g *WithT) {
+	runInBubble("a missing response header ends in a timeout", t, func(g *WithT) {
 		start := time.Now()
-		err := generate(piped(Options{}, &dials, answers()), ignore)
-		g.Expect(err).To(failAs(Silent, outcome.Unknown))
+		err := generate(newPipedClient(Options{}, &dials, respondWith()), ignore)
+		g.Expect(err).To(failWith(Silent, outcome.Unknown))
 		g.Expect(time.Since(start)).To(Equal(DefaultFirstByteTimeout))
 	})
-	silentCase("silence in mid-stream", t, func(g *WithT) {
+	runInBubble("a stream without progress ends in a timeout", t, func(g *WithT) {
 		start := time.Now()
-		err := generate(piped(Options{}, &dials, answers(unframed+event("a", 1))), ignore)
-		g.Expect(err).To(failAs(Silent, outcome.Unknown))
+		err := generate(newPipedClient(Options{}, &dials, respondWith(unframedHeader+event("a", 1))), ignore)
+		g.Expect(err).To(failWith(Silent, outcome.Unknown))
 		g.Expect(time.Since(start)).To(Equal(time.Second + DefaultProgressTimeout))
 	})
-	silentCase("a slow caller isn't a silent engine", t, func(g *WithT) {
-		c := piped(Options{}, &dials, answers(unframed+event("a", 1)+"data: [DONE]\n\n"))
+	runInBubble("a slow caller does not cause a timeout", t, func(g *WithT) {
+		c := newPipedClient(Options{}, &dials, respondWith(unframedHeader+event("a", 1)+"data: [DONE]\n\n"))
 		err := generate(c, func(Chunk) error {
 			time.Sleep(time.Hour)
 			return nil
@@ -102,43 +103,43 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		c.CloseIdle()
 	})
-	silentCase("a reused connection, the next call dials", t, func(g *WithT) {
+	runInBubble("after a timeout on a reused connection, the next call opens a new one", t, func(g *WithT) {
 		dials.Store(0)
-		c := piped(Options{}, &dials, answers(ok))
-		var both sync.WaitGroup
+		c := newPipedClient(Options{}, &dials, respondWith(ok))
+		var wg sync.WaitGroup
 		for range 2 {
-			both.Go(func() { g.Expect(callIn(c, plain)).To(Succeed()) })
+			wg.Go(func() { g.Expect(callWithinMinute(c, postRequest)).To(Succeed()) })
 		}
-		both.Wait()
-		g.Expect(callIn(c, plain)).To(failAs(Silent, outcome.Unknown))
-		g.Expect(dials.Load()).To(BeEquivalentTo(2), "it was a reused connection")
-		g.Expect(callIn(c, plain)).To(Succeed(), "it didn't meet the other one")
+		wg.Wait()
+		g.Expect(callWithinMinute(c, postRequest)).To(failWith(Silent, outcome.Unknown))
+		g.Expect(dials.Load()).To(BeEquivalentTo(2), "the third call must reuse a connection")
+		g.Expect(callWithinMinute(c, postRequest)).To(Succeed(), "the fourth call must not reuse the other connection")
 		g.Expect(dials.Load()).To(BeEquivalentTo(3))
 		c.CloseIdle()
 	})
-	silentCase("an idle connection is closed before it can go silent", t, func(g *WithT) {
+	runInBubble("an idle connection is closed after IdleTimeout", t, func(g *WithT) {
 		dials.Store(0)
-		c := piped(Options{}, &dials, answers(ok))
+		c := newPipedClient(Options{}, &dials, respondWith(ok))
 		for range 2 {
-			g.Expect(callIn(c, plain)).To(Succeed())
+			g.Expect(callWithinMinute(c, postRequest)).To(Succeed())
 			time.Sleep(2 * DefaultIdleTimeout)
 		}
 		g.Expect(dials.Load()).To(BeEquivalentTo(2))
 	})
-	silentCase("what may not run twice waits to its deadline", t, func(g *WithT) {
-		err := callIn(piped(Options{}, &dials, answers()), ServiceRequest{Method: "POST", Path: "/", NeverRetry: true})
-		g.Expect(err).To(failAs(Cancelled, outcome.Unknown))
+	runInBubble("a call that must not run twice waits until its deadline", t, func(g *WithT) {
+		err := callWithinMinute(newPipedClient(Options{}, &dials, respondWith()), ServiceRequest{Method: "POST", Path: "/", NeverRetry: true})
+		g.Expect(err).To(failWith(Cancelled, outcome.Unknown))
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 	})
-	silentCase("a frozen service whose caller says how long a wait is silence", t, func(g *WithT) {
-		frozen := ServiceRequest{Method: "GET", Path: "/", FirstByteTimeout: time.Second}
-		g.Expect(callIn(piped(Options{}, &dials, answers()), frozen)).To(failAs(Silent, outcome.Unknown))
+	runInBubble("a call with FirstByteTimeout ends in a timeout", t, func(g *WithT) {
+		request := ServiceRequest{Method: "GET", Path: "/", FirstByteTimeout: time.Second}
+		g.Expect(callWithinMinute(newPipedClient(Options{}, &dials, respondWith()), request)).To(failWith(Silent, outcome.Unknown))
 	})
-	silentCase("a dial that hangs: nothing ran", t, func(g *WithT) {
+	runInBubble("a dial that hangs ends in a timeout: the outcome is \"not run\"", t, func(g *WithT) {
 		c := New(Options{Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}})
-		g.Expect(generate(c, ignore)).To(failAs(Refused, outcome.NotRun))
+		g.Expect(generate(c, ignore)).To(failWith(Refused, outcome.NotRun))
 	})
 }
--- a/internal/upstream/sse.go
+++ b/internal/upstream/sse.go
@@ -7,44 +7,43 @@
 	"io"
 )
 
-// streamBufferBytes holds some twenty events of a token. Longer lines are put
-// together from parts.
+// streamBufferBytes is enough for about twenty events of one token each. Longer lines are
+// assembled from several reads of the buffer.
 const streamBufferBytes = 4 << 10
 
 var (
-	errEventTooLarge = errors.New("event exceeds its bound")
+	errEventTooLarge = errors.New("event exceeds the size limit")
 	errUnknownField  = errors.New("unknown field in the event stream")
 )
 
-// eventReader reads server-sent events. It is written on bufio because the two
-// things that matter here aren't offered together by the usual libraries: a
-// bound on an event's bytes that holds before they are stored, and an end of the
-// stream that isn't taken for the end of an event. (WHATWG HTML, 9.2.6: an event
-// without its blank line is dropped.)
+// eventReader reads server-sent events. It is implemented on bufio, since the usual libraries
+// don't offer both of these: a limit on the size of an event that is applied before the bytes
+// are stored, and an end of the stream that doesn't count as the end of an event. (WHATWG
+// HTML, 9.2.6: an event without its blank line is dropped.)
 type eventReader struct {
-	in       *bufio.Reader
-	maxBytes int
-	data     []byte // of the event being read
-	hasData  bool
-	size     int // bytes of the event so far, with comments and other fields
+	reader        *bufio.Reader
+	maxEventBytes int
+	data          []byte // data of the event being read
+	hasData       bool
+	eventBytes    int // size of the event so far, including comments and other fields
 }
 
-func newEventReader(in io.Reader, maxBytes int) *eventReader {
-	return &eventReader{in: bufio.NewReaderSize(in, streamBufferBytes), maxBytes: maxBytes}
+func newEventReader(body io.Reader, maxEventBytes int) *eventReader {
+	return &eventReader{reader: bufio.NewReaderSize(body, streamBufferBytes), maxEventBytes: maxEventBytes}
 }
 
-// next returns the data of the next event; it is valid until the next call.
-// io.EOF says that the stream ended, also in the midst of an event. A
-// *malformedError says that an event is too large. Other errors are the reader's.
+// next returns the data of the next event, which is valid until the next call. The error is
+// io.EOF at the end of the stream, even within an event, a *malformedError for an event that is
+// too large or has an unknown field, or an error of the underlying reader.
 func (r *eventReader) next() ([]byte, error) {
-	r.data, r.hasData, r.size = r.data[:0], false, 0
+	r.data, r.hasData, r.eventBytes = r.data[:0], false, 0
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return nil, err
 		}
 		if len(line) > 0 {
-			if err := r.field(line); err != nil {
+			if err := r.processField(line); err != nil {
 				return nil, err
 			}
 			continue
@@ -52,43 +51,45 @@
 		if r.hasData {
 			return r.data, nil
 		}
-		r.size = 0 // a block of comments is no event
+		r.eventBytes = 0 // a block without data, such as a comment, isn't an event
 	}
 }
 
-// line returns one line without its end, LF or CR LF. (A lone CR, which the
-// standard allows too, is data here: no engine sends it.)
-func (r *eventReader) line() ([]byte, error) {
-	part, err := r.in.ReadSlice('\n')
+// readLine returns one line without its end, LF or CR LF. A CR alone, which the standard
+// allows as a line end too, counts as data, since no engine sends it.
+func (r *eventReader) readLine() ([]byte, error) {
+	part, err := r.reader.ReadSlice('\n')
 	if err == nil {
-		return r.count(part)
+		return r.finishLine(part)
 	}
 	var long []byte // a line longer than the buffer
 	for errors.Is(err, bufio.ErrBufferFull) {
-		if len(long)+len(part) > r.maxBytes {
+		if len(long)+len(part) > r.maxEventBytes {
 			return nil, &malformedError{errEventTooLarge}
 		}
 		long = append(long, part...)
-		part, err = r.in.ReadSlice('\n')
+		part, err = r.reader.ReadSlice('\n')
 	}
 	if err != nil {
 		return nil, err
 	}
-	return r.count(append(long, part...))
+	return r.finishLine(append(long, part...))
 }
 
-func (r *eventReader) count(line []byte) ([]byte, error) {
-	r.size += len(line)
-	if r.size > r.maxBytes {
+// finishLine adds a line to the size of the event and returns it without its end.
+func (r *eventReader) finishLine(line []byte) ([]byte, error) {
+	r.eventBytes += len(line)
+	if r.eventBytes > r.maxEventBytes {
 		return nil, &malformedError{errEventTooLarge}
 	}
 	return bytes.TrimSuffix(line[:len(line)-1], []byte("\r")), nil
 }
 
-// field keeps the data field; comments, event, id and retry mean nothing here.
-// The standard ignores other names. Here a name that doesn't exist may be a
-// damaged "data", and a stream with one event lost would still end whole.
-func (r *eventReader) field(line []byte) error {
+// processField appends the value of a data field to the data of the event and ignores
+// comments, event, id and retry. The standard ignores other names too. Here they are an error:
+// such a name may be a corrupted "data", and without the check the stream would count as
+// complete although an event is missing.
+func (r *eventReader) processField(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch string(name) {
 	case "", "event", "id", "retry":
@@ -105,16 +106,16 @@
 	return nil
 }
 
-// buffered reports whether a whole event has arrived, so that next won't wait. A
-// comment's blank line is no event: the caller would sit on its chunk until the
-// next one. So only what begins with data counts.
-func (r *eventReader) buffered() bool {
-	ahead, _ := r.in.Peek(r.in.Buffered())
-	if !bytes.HasPrefix(ahead, []byte("data:")) {
+// eventBuffered reports whether a complete event is in the buffer, so that next won't block.
+// Only data that starts with a data field counts: the blank line after a comment doesn't end
+// an event, and the caller would hold its pending chunk back until the next event arrives.
+func (r *eventReader) eventBuffered() bool {
+	buffered, _ := r.reader.Peek(r.reader.Buffered())
+	if !bytes.HasPrefix(buffered, []byte("data:")) {
 		return false
 	}
-	return bytes.Contains(ahead, []byte("\n\n")) || bytes.Contains(ahead, []byte("\n\r\n"))
+	return bytes.Contains(buffered, []byte("\n\n")) || bytes.Contains(buffered, []byte("\n\r\n"))
 }
 
-// drain reads the answer's end, if there is nothing but an end.
-func (r *eventReader) drain() { _, _ = r.in.ReadByte() }
+// readEnd reads the end of the response if no data precedes it.
+func (r *eventReader) readEnd() { _, _ = r.reader.ReadByte() }
--- a/internal/upstream/sse_test.go
+++ b/internal/upstream/sse_test.go
@@ -11,17 +11,17 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// naiveStream reads a whole stream at once, without merging or bounds. It says
-// whether the stream is good, and its chunks' total up to where it isn't.
-func naiveStream(in string) (Chunk, bool) {
+// readNaively parses a whole stream without merging and without size limits. It returns the
+// concatenation of the valid chunks and whether the stream is complete and valid.
+func readNaively(stream string) (Chunk, bool) {
 	var total Chunk
 	var data []string
 	for {
-		line, rest, found := strings.Cut(in, "\n")
+		line, rest, found := strings.Cut(stream, "\n")
 		if !found {
 			return total, false
 		}
-		in = rest
+		stream = rest
 		line = strings.TrimSuffix(line, "\r")
 		name, value, _ := strings.Cut(line, ":")
 		switch {
@@ -36,7 +36,7 @@
 			if err != nil {
 				return total, false
 			}
-			total = sum(total, c)
+			total = concatChunks(total, c)
 		case name == "data":
 			data = append(data, strings.TrimPrefix(value, " "))
 		case name != "" && name != "event" && name != "id" && name != "retry":
@@ -45,7 +45,8 @@
 	}
 }
 
-func sum(a, b Chunk) Chunk { return Chunk{Text: a.Text + b.Text, Tokens: a.Tokens + b.Tokens} }
+// concatChunks adds the texts and the token counts of two chunks.
+func concatChunks(a, b Chunk) Chunk { return Chunk{Text: a.Text + b.Text, Tokens: a.Tokens + b.Tokens} }
 
 func FuzzSSE(f *testing.F) {
 	a, b := event("a", 7), event("b\n", 8)
@@ -57,29 +58,29 @@
 	} {
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, in string) {
-		want, good := naiveStream(in)
-		for _, reader := range []io.Reader{strings.NewReader(in), iotest.OneByteReader(strings.NewReader(in))} {
-			const bound = 1 << 10
-			s := newStream(reader, "r1", bound)
+	f.Fuzz(func(t *testing.T, stream string) {
+		want, valid := readNaively(stream)
+		for _, reader := range []io.Reader{strings.NewReader(stream), iotest.OneByteReader(strings.NewReader(stream))} {
+			const maxEventBytes = 1 << 10
+			s := newChunkStream(reader, "r1", maxEventBytes)
 			var got Chunk
 			err := s.read(func(c Chunk) error {
 				if c.Version == 0 && c.Text != "" || !utf8.ValidString(c.Text) {
-					t.Fatalf("bad chunk %+v", c)
+					t.Fatalf("invalid chunk %+v", c)
 				}
-				got = sum(got, c)
+				got = concatChunks(got, c)
 				return nil
 			})
-			if cap(s.events.data) > 4*bound {
-				t.Fatalf("holds %d bytes", cap(s.events.data))
+			if cap(s.events.data) > 4*maxEventBytes {
+				t.Fatalf("the buffer for the data of an event has %d bytes", cap(s.events.data))
 			}
 			if errors.Is(err, errEventTooLarge) {
-				continue // the naive version has no bound
+				continue // readNaively has no size limit
 			}
-			if (err == nil) != good {
-				t.Fatalf("err %v, naive says good: %t", err, good)
+			if (err == nil) != valid {
+				t.Fatalf("got error %v, readNaively returned %t", err, valid)
 			}
-			if good && got != want || !strings.HasPrefix(want.Text, got.Text) {
+			if valid && got != want || !strings.HasPrefix(want.Text, got.Text) {
 				t.Fatalf("got %+v, want %+v", got, want)
 			}
 		}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -8,65 +8,67 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-var errNoEnd = errors.New("event stream ended without " + wire.StreamEnd)
+var errNoEndMarker = errors.New("event stream ended without " + wire.StreamEnd)
 
-// stoppedError: the caller's function returned an error.
+// stoppedError is returned if the caller's function for chunks failed.
 type stoppedError struct{ err error }
 
 func (e *stoppedError) Error() string { return "caller stopped the stream: " + e.err.Error() }
 func (e *stoppedError) Unwrap() error { return e.err }
 
-// stream reads the chunks of one generation.
-type stream struct {
-	id     ident.RequestID
-	events *eventReader
-	merge  merger
+// chunkStream reads the chunks of one completion.
+type chunkStream struct {
+	requestID ident.RequestID
+	events    *eventReader
+	merger    merger
 }
 
-func newStream(in io.Reader, id ident.RequestID, maxEventBytes int) *stream {
-	return &stream{id: id, events: newEventReader(in, maxEventBytes)}
+func newChunkStream(body io.Reader, id ident.RequestID, maxEventBytes int) *chunkStream {
+	return &chunkStream{requestID: id, events: newEventReader(body, maxEventBytes)}
 }
 
-// read calls emit for the chunks until the end mark. Chunks whose bytes are already
-// here are merged first: every hop behind this one pays by the chunk. A chunk
-// that waits for its neighbours when the stream turns out crossed or malformed is
-// dropped: it was never handed out, so a resume makes it again.
+// read calls emit for the chunks up to the end marker. Chunks that have already been received
+// are merged first, since each chunk has a cost at every later hop. A chunk that is pending
+// when the next event turns out to belong to another request or to be malformed is dropped:
+// it was not emitted, so a resumed generation produces it again.
 //
-// Errors: errNoEnd, *crossedError, *malformedError, *stoppedError, the reader's.
-func (s *stream) read(emit func(Chunk) error) error {
+// Errors: errNoEndMarker, *crossedError, *malformedError, *stoppedError and those of the
+// body's reader.
+func (s *chunkStream) read(emit func(Chunk) error) error {
 	for {
 		data, err := s.events.next()
 		if errors.Is(err, io.EOF) {
-			return errNoEnd
+			return errNoEndMarker
 		}
 		if err != nil {
 			return err
 		}
 		if string(data) == wire.StreamEnd {
-			return s.emit(s.merge.take(), emit)
+			return s.emitChunk(s.merger.flush(), emit)
 		}
-		if err := s.accept(data, emit); err != nil {
+		if err := s.processEvent(data, emit); err != nil {
 			return err
 		}
 	}
 }
 
-// accept takes one event in; what can't wait for the next one goes out.
-func (s *stream) accept(data []byte, emit func(Chunk) error) error {
-	chunk, err := parseChunk(data, s.id)
+// processEvent parses one event and emits the chunks that needn't wait for further events.
+func (s *chunkStream) processEvent(data []byte, emit func(Chunk) error) error {
+	chunk, err := parseChunk(data, s.requestID)
 	if err != nil {
 		return err
 	}
-	if err := s.emit(s.merge.add(chunk), emit); err != nil {
+	if err := s.emitChunk(s.merger.add(chunk), emit); err != nil {
 		return err
 	}
-	if !s.merge.off && s.events.buffered() {
+	if !s.merger.disabled && s.events.eventBuffered() {
 		return nil
 	}
-	return s.emit(s.merge.take(), emit)
+	return s.emitChunk(s.merger.flush(), emit)
 }
 
-func (s *stream) emit(c *Chunk, emit func(Chunk) error) error {
+// emitChunk calls emit for a chunk, nil: none.
+func (s *chunkStream) emitChunk(c *Chunk, emit func(Chunk) error) error {
 	if c == nil {
 		return nil
 	}
