--- a/cmd/bench/commands.go
+++ b/cmd/bench/commands.go
@@ -15,24 +15,24 @@
 )
 
 var (
-	errScenario = errors.New("want the name of one scenario, see bench list")
-	errFaults   = errors.New("a run saw what must not happen, see the lines with FAULT")
+	errScenarioName = errors.New("the argument must be the name of one scenario, see \"bench list\"")
+	errFaults       = errors.New("a run had faults, see the lines with FAULT")
 )
 
 func listCommand() *ff.Command {
 	fs := ff.NewFlagSet("list")
-	quick := fs.BoolLong("quick", "only those of make bench-quick")
-	stories := fs.BoolLong("stories", "say what happens in each")
+	quick := fs.BoolLong("quick", "only the scenarios of make bench-quick")
+	descriptions := fs.BoolLong("stories", "print a description of each scenario")
 	return &ff.Command{
-		Name: "list", Usage: "bench list [FLAGS]", ShortHelp: "prints the scenarios' names", Flags: fs,
+		Name: "list", Usage: "bench list [FLAGS]", ShortHelp: "prints the names of the scenarios", Flags: fs,
 		Exec: func(context.Context, []string) error {
 			scenarios := bench.Scenarios()
 			if *quick {
-				scenarios = bench.Quick()
+				scenarios = bench.QuickScenarios()
 			}
 			for _, s := range scenarios {
-				if *stories {
-					fmt.Printf("%s: %s\n", s.Name, s.Story)
+				if *descriptions {
+					fmt.Printf("%s: %s\n", s.Name, s.Description)
 					continue
 				}
 				fmt.Println(s.Name)
@@ -42,65 +42,67 @@
 	}
 }
 
-// worldFlags are the flags that name a world.
-func worldFlags(fs *ff.FlagSet) func(args []string) (bench.World, error) {
-	policy := fs.StringLong("policy", "ours", "ours or naive")
-	base := fs.IntLong("port-base", 21000, "first port of the run's processes")
-	return func(args []string) (bench.World, error) {
+// deploymentFlags adds the flags of a deployment. The function that it returns gives the
+// deployment once the flags are parsed; args must be the name of a scenario.
+func deploymentFlags(fs *ff.FlagSet) func(args []string) (bench.Deployment, error) {
+	policy := fs.StringLong("policy", "ours", "dispatch policy, ours or naive")
+	basePort := fs.IntLong("port-base", 21000, "first port of the run's processes")
+	return func(args []string) (bench.Deployment, error) {
 		if len(args) != 1 {
-			return bench.World{}, errScenario
+			return bench.Deployment{}, errScenarioName
 		}
-		scenario, found := bench.Find(args[0])
+		scenario, found := bench.FindScenario(args[0])
 		if !found {
-			return bench.World{}, fmt.Errorf("%q: %w", args[0], errScenario)
+			return bench.Deployment{}, fmt.Errorf("%q: %w", args[0], errScenarioName)
 		}
-		return bench.World{Scenario: scenario, Policy: *policy, Base: *base}, nil
+		return bench.Deployment{Scenario: scenario, Policy: *policy, BasePort: *basePort}, nil
 	}
 }
 
 func planCommand() *ff.Command {
 	fs := ff.NewFlagSet("plan")
-	world := worldFlags(fs)
-	dir := fs.StringLong("dir", ".", "where the files go")
+	parseDeployment := deploymentFlags(fs)
+	dir := fs.StringLong("dir", ".", "directory for the files")
 	return &ff.Command{
 		Name: "plan", Usage: "bench plan [FLAGS] SCENARIO", Flags: fs,
-		ShortHelp: "writes which processes a run needs and their configuration",
-		LongHelp: "Files: processes (a line each: name, once or restart, the command), vms.json,\n" +
-			"branches (a line each: branch, its file) and ready (URLs that answer once all is up).",
+		ShortHelp: "writes the list of processes that a run needs and their configuration",
+		LongHelp: "Files: processes (one per line: name, once or restart, command), vms.json,\n" +
+			"branches (one per line: branch and its file) and ready (URLs that respond once all processes are ready).",
 		Exec: func(_ context.Context, args []string) error {
-			w, err := world(args)
+			deployment, err := parseDeployment(args)
 			if err != nil {
 				return err
 			}
-			return writePlan(w, *dir)
+			return writePlan(deployment, *dir)
 		},
 	}
 }
 
-func writePlan(w bench.World, dir string) error {
+// writePlan writes the files that "bench plan" describes.
+func writePlan(deployment bench.Deployment, dir string) error {
 	var processes, branches, ready strings.Builder
-	for _, p := range w.Processes() {
+	for _, p := range deployment.Processes() {
 		mode := "once"
 		if p.Restart {
 			mode = "restart"
 		}
 		fmt.Fprintf(&processes, "%s %s %s\n", p.Name, mode, strings.Join(p.Args, " "))
 	}
-	for n := 1; n <= w.Scenario.Fleet.Daemons; n++ {
-		fmt.Fprintln(&ready, w.CallerURL(n)+"/readyz")
+	for n := 1; n <= deployment.Scenario.Fleet.Daemons; n++ {
+		fmt.Fprintln(&ready, deployment.CallerURL(n)+"/readyz")
 	}
-	values, err := w.Branches()
+	values, err := deployment.Branches()
 	if err != nil {
 		return err
 	}
-	for _, branch := range w.BranchOrder() {
+	for _, branch := range deployment.BranchOrder() {
 		file := filepath.Join(dir, strings.ReplaceAll(string(branch), "/", "-")+".json")
 		fmt.Fprintln(&branches, branch, file)
 		if err := os.WriteFile(file, values[branch], 0o600); err != nil {
 			return err
 		}
 	}
-	vms, err := w.VMs()
+	vms, err := deployment.VMListJSON()
 	if err != nil {
 		return err
 	}
@@ -117,19 +119,19 @@
 
 func driveCommand() *ff.Command {
 	fs := ff.NewFlagSet("drive")
-	world := worldFlags(fs)
+	parseDeployment := deploymentFlags(fs)
 	seed := fs.Uint64Long("seed", 1, "seed of the load")
-	out := fs.StringLong("json", "", "file that gets the run")
-	pid := fs.IntLong("daemon-pid", 0, "process of the daemon whose own cost is measured")
+	jsonFile := fs.StringLong("json", "", "output file for the result of the run")
+	pid := fs.IntLong("daemon-pid", 0, "process ID of the daemon whose overhead is measured")
 	return &ff.Command{
 		Name: "drive", Usage: "bench drive [FLAGS] SCENARIO", Flags: fs,
-		ShortHelp: "drives one run's load against processes that are up",
+		ShortHelp: "runs the load of one scenario on a deployment that is ready",
 		Exec: func(ctx context.Context, args []string) error {
-			w, err := world(args)
+			deployment, err := parseDeployment(args)
 			if err != nil {
 				return err
 			}
-			result, err := driveOne(ctx, w, *seed, *pid)
+			result, err := runLoad(ctx, deployment, *seed, *pid)
 			if err != nil {
 				return err
 			}
@@ -137,26 +139,28 @@
 			if err != nil {
 				return err
 			}
-			return os.WriteFile(*out, raw, 0o600)
+			return os.WriteFile(*jsonFile, raw, 0o600)
 		},
 	}
 }
 
-func driveOne(ctx context.Context, w bench.World, seed uint64, pid int) (bench.Run, error) {
+// runLoad runs the load of a scenario. It measures the overhead of the daemon with a process ID
+// pid, 0: the measures of all other scenarios.
+func runLoad(ctx context.Context, deployment bench.Deployment, seed uint64, pid int) (bench.Run, error) {
 	if pid != 0 {
-		return w.DriveCost(ctx, seed, pid)
+		return deployment.MeasureCost(ctx, seed, pid)
 	}
-	return w.Drive(ctx, seed)
+	return deployment.Drive(ctx, seed)
 }
 
 func tableCommand() *ff.Command {
 	fs := ff.NewFlagSet("table")
-	out := fs.StringLong("json", "", "file that gets the table and all runs")
-	figure := fs.StringLong("plot", "", "file (.svg, .png or .pdf) that gets a figure of the ratios")
+	jsonFile := fs.StringLong("json", "", "output file for the table and all runs")
+	plotFile := fs.StringLong("plot", "", "output file (.svg, .png or .pdf) for a plot of the ratios")
 	measure := fs.StringLong("plot-measure", "idle_median", "measure whose ratios are plotted")
 	return &ff.Command{
 		Name: "table", Usage: "bench table [FLAGS] RUN ...", Flags: fs,
-		ShortHelp: "prints the table of some runs' files; fails if one saw what must not happen",
+		ShortHelp: "prints the table of the results in files of runs; fails if a run had faults",
 		Exec: func(_ context.Context, files []string) error {
 			runs, err := readRuns(files)
 			if err != nil {
@@ -166,11 +170,12 @@
 			if err != nil {
 				return err
 			}
-			return show(report, *out, *figure, *measure)
+			return writeResults(report, *jsonFile, *plotFile, *measure)
 		},
 	}
 }
 
+// readRuns reads files that "bench drive" wrote.
 func readRuns(files []string) ([]bench.Run, error) {
 	runs := make([]bench.Run, 0, len(files))
 	for _, file := range files {
@@ -187,17 +192,18 @@
 	return runs, nil
 }
 
-func show(report bench.Report, out, figure, measure string) error {
+// writeResults prints the table and writes the JSON file and the plot, "": none.
+func writeResults(report bench.Report, jsonFile, plotFile, measure string) error {
 	if err := report.Write(os.Stdout); err != nil {
 		return err
 	}
-	if out != "" {
-		if err := writeReport(report, out); err != nil {
+	if jsonFile != "" {
+		if err := writeJSONFile(report, jsonFile); err != nil {
 			return err
 		}
 	}
-	if figure != "" {
-		if err := report.Plot(measure, figure); err != nil {
+	if plotFile != "" {
+		if err := report.Plot(measure, plotFile); err != nil {
 			return err
 		}
 	}
@@ -207,7 +213,7 @@
 	return nil
 }
 
-func writeReport(report bench.Report, file string) error {
+func writeJSONFile(report bench.Report, file string) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench drives the scenarios of the policy's bench and prints its table.
-// It starts no process: scripts/bench.sh starts those that "bench plan" names.
+// Command bench runs the scenarios of the dispatch policy's benchmark and prints the table of
+// results. It starts no process: scripts/bench.sh starts those that "bench plan" lists.
 package main
 
 import (
@@ -10,14 +10,14 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/cli"
 )
 
-// envPrefix precedes a flag's name in the environment, as in BENCH_JSON.
+// envPrefix precedes the names of flags in environment variables, as in BENCH_JSON.
 const envPrefix = "BENCH"
 
 func main() {
 	os.Exit(cli.Main(&ff.Command{
 		Name:        "bench",
 		Usage:       "bench SUBCOMMAND ...",
-		ShortHelp:   "measures the dispatch policy against the naive one",
+		ShortHelp:   "benchmarks the dispatch policy against the naive policy",
 		Flags:       ff.NewFlagSet("bench"),
 		Subcommands: []*ff.Command{listCommand(), planCommand(), driveCommand(), tableCommand()},
 	}, envPrefix))
--- a/internal/bench/cost.go
+++ b/internal/bench/cost.go
@@ -23,140 +23,147 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// costScenario is one daemon before one engine: what the daemon itself costs.
+// costScenario has one daemon and one engine. It measures the overhead of the daemon itself.
 func costScenario() Scenario {
-	fleet := koperasi([]float64{1})
+	fleet := koperasiFleet([]float64{1})
 	fleet.Daemons, fleet.Services = 1, 0
 	fleet.DataCentres = fleet.DataCentres[:1]
 	fleet.Engine = Engine{TokenTime: time.Millisecond, PrefixCapacity: 64, LoadLag: 500 * time.Millisecond}
 	return Scenario{
-		Name:     "cost",
-		Story:    "calls through a daemon and by turns directly to the engine; processor time with 16 callers at once",
-		Fleet:    fleet,
-		Measures: []string{"direct_ttft_p50", "ttft_p50", "overhead_p50", "cpu_request", "cpu_chunk"},
+		Name:        "cost",
+		Description: "calls alternately through a daemon and directly to the engine; CPU time with 16 concurrent callers",
+		Fleet:       fleet,
+		Measures:    []string{"direct_ttft_p50", "ttft_p50", "overhead_p50", "cpu_request", "cpu_chunk"},
 	}
 }
 
 const (
-	costCalls = 200
-	// shortAnswer and longAnswer, in tokens, give the slopes of processor time.
-	shortAnswer, longAnswer   = 1, 101
-	costWorkers, callsAWorker = 16, 25
+	firstTokenCalls = 200 // calls to the daemon, and as many to the engine, that measure the time to the first token
+	// shortCompletionTokens and longCompletionTokens are the two completion lengths whose CPU
+	// times give the cost per request and per chunk.
+	shortCompletionTokens, longCompletionTokens = 1, 101
+	// costCallers concurrent callers send callsPerCaller calls each while CPU time is measured.
+	costCallers, callsPerCaller = 16, 25
 )
 
-// DriveCost measures the daemon's own cost; pid is its process.
-func (w World) DriveCost(ctx context.Context, seed uint64, pid int) (Run, error) {
-	if !pause.For(ctx, settle) {
+// MeasureCost measures the overhead of the daemon in the cost scenario. pid is the daemon's
+// process ID.
+func (d Deployment) MeasureCost(ctx context.Context, seed uint64, pid int) (Run, error) {
+	if !pause.For(ctx, settleTime) {
 		return Run{}, ctx.Err()
 	}
-	c := &coster{world: w, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: costWorkers}}}
+	c := &costMeasurer{deployment: d, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: costCallers}}}
 	defer c.client.CloseIdleConnections()
-	direct, through, err := c.firstTokens(ctx)
+	direct, viaDaemon, err := c.firstTokenTimes(ctx)
 	if err != nil {
 		return Run{}, err
 	}
-	short, shortChunks, err := c.processorTime(ctx, pid, shortAnswer)
+	shortMicros, shortChunks, err := c.cpuTime(ctx, pid, shortCompletionTokens)
 	if err != nil {
 		return Run{}, err
 	}
-	long, longChunks, err := c.processorTime(ctx, pid, longAnswer)
+	longMicros, longChunks, err := c.cpuTime(ctx, pid, longCompletionTokens)
 	if err != nil {
 		return Run{}, err
 	}
-	chunk := (long - short) / max(1, longChunks-shortChunks)
-	millis := func(h *hdrhistogram.Histogram) float64 { return float64(h.ValueAtQuantile(50)) / 1000 }
-	return Run{Scenario: w.Scenario.Name, Policy: w.Policy, Seed: seed, Values: map[string]float64{
-		"direct_ttft_p50": millis(direct),
-		"ttft_p50":        millis(through),
-		"overhead_p50":    millis(through) - millis(direct),
-		"cpu_chunk":       chunk,
-		"cpu_request":     short - chunk*shortChunks,
+	microsPerChunk := (longMicros - shortMicros) / max(1, longChunks-shortChunks)
+	medianMillis := func(h *hdrhistogram.Histogram) float64 { return float64(h.ValueAtQuantile(50)) / 1000 }
+	return Run{Scenario: d.Scenario.Name, Policy: d.Policy, Seed: seed, Values: map[string]float64{
+		"direct_ttft_p50": medianMillis(direct),
+		"ttft_p50":        medianMillis(viaDaemon),
+		"overhead_p50":    medianMillis(viaDaemon) - medianMillis(direct),
+		"cpu_chunk":       microsPerChunk,
+		"cpu_request":     shortMicros - microsPerChunk*shortChunks,
 	}}, nil
 }
 
-type coster struct {
-	world  World
-	client *http.Client
-	number atomic.Int64
+// costMeasurer sends the calls of the cost scenario.
+type costMeasurer struct {
+	deployment  Deployment
+	client      *http.Client
+	lastRequest atomic.Int64 // number of the last request, which is its ID too
 }
 
-// firstTokens calls the engine and the daemon by turns.
-func (c *coster) firstTokens(ctx context.Context) (direct, through *hdrhistogram.Histogram, err error) {
-	const most, digits = 10_000_000, 3 // µs
-	direct, through = hdrhistogram.New(1, most, digits), hdrhistogram.New(1, most, digits)
-	for range costCalls {
-		for _, side := range []struct {
-			url string
-			h   *hdrhistogram.Histogram
-		}{{c.world.EngineURL(1), direct}, {c.world.CallerURL(1), through}} {
-			first, _, err := c.stream(ctx, side.url, shortAnswer)
+// firstTokenTimes calls the engine and the daemon alternately and returns the times to the first
+// token, in µs.
+func (c *costMeasurer) firstTokenTimes(ctx context.Context) (direct, viaDaemon *hdrhistogram.Histogram, err error) {
+	const maxMicros, digits = 10_000_000, 3
+	direct, viaDaemon = hdrhistogram.New(1, maxMicros, digits), hdrhistogram.New(1, maxMicros, digits)
+	for range firstTokenCalls {
+		for _, target := range []struct {
+			url       string
+			histogram *hdrhistogram.Histogram
+		}{{c.deployment.EngineURL(1), direct}, {c.deployment.CallerURL(1), viaDaemon}} {
+			first, _, err := c.streamCompletion(ctx, target.url, shortCompletionTokens)
 			if err != nil {
 				return nil, nil, err
 			}
-			_ = side.h.RecordValue(first.Microseconds())
+			_ = target.histogram.RecordValue(first.Microseconds())
 		}
 	}
-	return direct, through, nil
+	return direct, viaDaemon, nil
 }
 
-// processorTime returns the daemon's processor time and chunks a request, in µs.
-func (c *coster) processorTime(ctx context.Context, pid, tokens int) (micros, chunks float64, err error) {
-	before, err := ticksOf(pid)
+// cpuTime sends concurrent requests for completions of a length in tokens. It returns the
+// daemon's CPU time in µs and the number of chunks, both per request.
+func (c *costMeasurer) cpuTime(ctx context.Context, pid, tokens int) (micros, chunks float64, err error) {
+	ticksBefore, err := cpuTicks(pid)
 	if err != nil {
 		return 0, 0, err
 	}
-	total, err := c.manyStreams(ctx, tokens)
+	totalChunks, err := c.streamConcurrently(ctx, tokens)
 	if err != nil {
 		return 0, 0, err
 	}
-	after, err := ticksOf(pid)
+	ticksAfter, err := cpuTicks(pid)
 	if err != nil {
 		return 0, 0, err
 	}
-	const calls = costWorkers * callsAWorker
-	return (after - before) * microsPerTick / calls, float64(total) / calls, nil
+	const calls = costCallers * callsPerCaller
+	return (ticksAfter - ticksBefore) * microsPerTick / calls, float64(totalChunks) / calls, nil
 }
 
-// manyStreams runs costWorkers callers side by side and counts their chunks.
-func (c *coster) manyStreams(ctx context.Context, tokens int) (chunks int, err error) {
+// streamConcurrently runs costCallers concurrent callers and returns the number of their chunks.
+func (c *costMeasurer) streamConcurrently(ctx context.Context, tokens int) (chunks int, err error) {
 	var total atomic.Int64
-	failed := make(chan error, costWorkers)
-	for range costWorkers {
+	errs := make(chan error, costCallers)
+	for range costCallers {
 		go func() {
-			for range callsAWorker {
-				_, n, err := c.stream(ctx, c.world.CallerURL(1), tokens)
+			for range callsPerCaller {
+				_, n, err := c.streamCompletion(ctx, c.deployment.CallerURL(1), tokens)
 				if err != nil {
-					failed <- err
+					errs <- err
 					return
 				}
 				total.Add(int64(n))
 			}
-			failed <- nil
+			errs <- nil
 		}()
 	}
-	for range costWorkers {
-		err = errors.Join(err, <-failed)
+	for range costCallers {
+		err = errors.Join(err, <-errs)
 	}
 	return int(total.Load()), err
 }
 
-// stream returns the time to the first token and the number of chunks.
-func (c *coster) stream(ctx context.Context, url string, tokens int) (time.Duration, int, error) {
-	number := c.number.Add(1)
+// streamCompletion requests a completion of a length in tokens. It returns the time to the first
+// token and the number of chunks.
+func (c *costMeasurer) streamCompletion(ctx context.Context, url string, tokens int) (time.Duration, int, error) {
+	number := c.lastRequest.Add(1)
 	raw, err := json.Marshal(wire.GenerateRequest{
 		Model: modelName, Prompt: fmt.Sprintf("cost %d", number), MaxTokens: tokens, Seed: 1, Stream: true,
 	})
 	if err != nil {
 		return 0, 0, fmt.Errorf("bench: %w", err)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", bytes.NewReader(raw))
 	if err != nil {
 		return 0, 0, fmt.Errorf("bench: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(wire.HeaderRequestID, strconv.FormatInt(number, 10))
-	request.Header.Set("Authorization", "Bearer "+keyOf(c.world.Scenario.Fleet.Team.Name, config.RoleCaller))
+	request.Header.Set("Authorization", "Bearer "+apiKey(c.deployment.Scenario.Fleet.Team.Name, config.RoleCaller))
 	response, err := c.client.Do(request)
 	if err != nil {
 		return 0, 0, fmt.Errorf("bench: %w", err)
@@ -166,12 +173,14 @@
 		body, _ := io.ReadAll(io.LimitReader(response.Body, 1<<10))
 		return 0, 0, fmt.Errorf("bench: %s: %s %s", url, response.Status, body)
 	}
-	return readChunks(response.Body, begun)
+	return readChunks(response.Body, startedAt)
 }
 
-var errCut = errors.New("bench: stream without its end")
+var errTruncated = errors.New("bench: stream ended without its end marker")
 
-func readChunks(body io.Reader, begun time.Time) (first time.Duration, chunks int, err error) {
+// readChunks reads a stream to its end marker. It returns the time from startedAt to the first
+// chunk and the number of chunks.
+func readChunks(body io.Reader, startedAt time.Time) (firstChunk time.Duration, chunks int, err error) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, found := strings.CutPrefix(lines.Text(), "data:")
@@ -179,32 +188,33 @@
 			continue
 		}
 		if strings.TrimSpace(data) == wire.StreamEnd {
-			return first, chunks, nil
+			return firstChunk, chunks, nil
 		}
 		if chunks == 0 {
-			first = time.Since(begun)
+			firstChunk = time.Since(startedAt)
 		}
 		chunks++
 	}
-	return first, chunks, errCut
+	return firstChunk, chunks, errTruncated
 }
 
-// microsPerTick is Linux's USER_HZ of 100, the unit of /proc/PID/stat.
+// microsPerTick is the clock tick, the unit of times in /proc/PID/stat, for Linux's USER_HZ of
+// 100.
 const microsPerTick = 10_000
 
-// ticksOf returns a process's user and system time.
-func ticksOf(pid int) (float64, error) {
+// cpuTicks returns the user and system time of a process, in clock ticks.
+func cpuTicks(pid int) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, fmt.Errorf("bench: %w", err)
 	}
-	_, rest, _ := strings.Cut(string(raw), ") ")
-	fields := strings.Fields(rest)
-	const user, system = 11, 12 // behind the name, counted from 0
-	if len(fields) <= system {
-		return 0, fmt.Errorf("bench: /proc/%d/stat is short", pid)
+	_, afterName, _ := strings.Cut(string(raw), ") ")
+	fields := strings.Fields(afterName)
+	const userField, systemField = 11, 12 // index among the fields after the process name, counted from 0
+	if len(fields) <= systemField {
+		return 0, fmt.Errorf("bench: /proc/%d/stat has too few fields", pid)
 	}
-	u, errU := strconv.ParseFloat(fields[user], 64)
-	s, errS := strconv.ParseFloat(fields[system], 64)
-	return u + s, errors.Join(errU, errS)
+	user, errUser := strconv.ParseFloat(fields[userField], 64)
+	system, errSystem := strconv.ParseFloat(fields[systemField], 64)
+	return user + system, errors.Join(errUser, errSystem)
 }
--- a/internal/bench/counters.go
+++ b/internal/bench/counters.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// counters are the daemons' own, summed over all that answer.
+// counters are values of the daemons' counters by name, summed over daemons.
 type counters map[string]float64
 
-// counters reads /debug/vars of every daemon.
-func (w World) counters(ctx context.Context) counters {
+// readCounters reads /debug/vars of all daemons. Daemons that don't respond are left out.
+func (d Deployment) readCounters(ctx context.Context) counters {
 	sum := counters{}
-	for n := 1; n <= w.Scenario.Fleet.Daemons; n++ {
-		raw, err := send(ctx, http.MethodGet, w.AdminURL(n)+"/debug/vars", AdminToken, nil)
+	for n := 1; n <= d.Scenario.Fleet.Daemons; n++ {
+		raw, err := send(ctx, http.MethodGet, d.AdminURL(n)+"/debug/vars", AdminToken, nil)
 		if err != nil {
 			continue
 		}
@@ -30,11 +30,12 @@
 	return sum
 }
 
+// minus returns the differences from other, without those that are 0.
 func (c counters) minus(other counters) counters {
 	out := counters{}
 	for name, value := range c {
-		if grown := value - other[name]; grown != 0 {
-			out[name] = grown
+		if difference := value - other[name]; difference != 0 {
+			out[name] = difference
 		}
 	}
 	return out
--- a/internal/bench/disturb.go
+++ b/internal/bench/disturb.go
@@ -17,106 +17,109 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/pause"
 )
 
-// poisonPrompt is what crashes an engine.
+// poisonPrompt is the prompt of the request that crashes engines.
 const poisonPrompt = "poison-pill"
 
-// crashedEngine is the one that crashes in mid-step.
+// crashedEngine is the number of the engine that crashes during the last step.
 const crashedEngine = 2
 
-// oneShot never reuses a connection: what it calls may have been restarted.
-var oneShot = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// noReuseClient never reuses a connection, since the called process may have been restarted.
+var noReuseClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// startBackground starts what goes on beside the load.
-func (d *drive) startBackground(ctx context.Context) {
-	s := d.world.Scenario
-	if s.PublishEvery > 0 {
-		go d.publish(ctx, s.PublishEvery)
+// startDisturbances starts the scenario's disturbances that run beside the load: new weight
+// versions and poison requests.
+func (d *driver) startDisturbances(ctx context.Context) {
+	s := d.deployment.Scenario
+	if s.PublishInterval > 0 {
+		go d.publishVersions(ctx, s.PublishInterval)
 	}
-	if s.PoisonEvery > 0 {
-		for n := range s.Fleet.Times {
-			go d.keepArmed(ctx, d.world.EngineURL(n+1))
+	if s.PoisonInterval > 0 {
+		for n := range s.Fleet.RelativeTokenTimes {
+			go d.maintainPoisonFault(ctx, d.deployment.EngineURL(n+1))
 		}
-		go d.sendPoison(ctx, s.PoisonEvery)
+		go d.sendPoisonRequests(ctx, s.PoisonInterval)
 	}
 }
 
-// publish plays another trainer of the model.
-func (d *drive) publish(ctx context.Context, every time.Duration) {
-	for version := int64(2); pause.For(ctx, every); version++ {
-		url := d.world.WeightsURL() + "/v1/models/" + modelName + "/versions"
+// publishVersions publishes weight versions at an interval, like another trainer of the model.
+func (d *driver) publishVersions(ctx context.Context, interval time.Duration) {
+	for version := int64(2); pause.For(ctx, interval); version++ {
+		url := d.deployment.WeightsURL() + "/v1/models/" + modelName + "/versions"
 		if _, err := send(ctx, http.MethodPost, url, "", wire.PublishVersion{Version: version}); err != nil {
-			d.fault("publish: %v", err)
+			d.addFault("publish: %v", err)
 		}
 	}
 }
 
-// crashOnce returns a progress function that crashes an engine when the last
-// step has reached CrashAt.
-func (d *drive) crashOnce(ctx context.Context) func(step, samples, wanted int) {
+// crashAtProgress returns a progress function that crashes an engine once Scenario.CrashShare of
+// the last step's samples have been delivered.
+func (d *driver) crashAtProgress(ctx context.Context) func(step, samples, wanted int) {
 	var once sync.Once
-	s := d.world.Scenario
+	s := d.deployment.Scenario
 	return func(step, samples, wanted int) {
-		if step < s.Trainer.Steps || float64(samples) < s.CrashAt*float64(wanted) {
+		if step < s.Trainer.Steps || float64(samples) < s.CrashShare*float64(wanted) {
 			return
 		}
-		once.Do(func() { d.crash(ctx, crashedEngine) })
+		once.Do(func() { d.crashEngine(ctx, crashedEngine) })
 	}
 }
 
-// crash ends an engine's process by its next request, the one that asks for it.
-func (d *drive) crash(ctx context.Context, n int) {
-	url := d.world.EngineURL(n)
+// crashEngine makes engine n crash on its next request, and sends that request.
+func (d *driver) crashEngine(ctx context.Context, n int) {
+	url := d.deployment.EngineURL(n)
 	if _, err := send(ctx, http.MethodPost, url+fault.Path, "", fault.Spec{Kind: fault.Crash}); err != nil {
-		d.fault("crash: %v", err)
+		d.addFault("crash: %v", err)
 		return
 	}
-	_, _ = send(ctx, http.MethodGet, url+"/load", "", nil) // it dies of this
+	_, _ = send(ctx, http.MethodGet, url+"/load", "", nil) // the request on which the engine crashes
 }
 
-// keepArmed has an engine die of the poison request, also after its restart.
-func (d *drive) keepArmed(ctx context.Context, url string) {
-	const look = 100 * time.Millisecond
+// maintainPoisonFault makes an engine crash on the poison request. After each restart of the
+// engine, which loses this setting, it counts the crash and sets it again.
+func (d *driver) maintainPoisonFault(ctx context.Context, url string) {
+	const checkInterval = 100 * time.Millisecond
 	spec := fault.Spec{Kind: fault.Crash, Match: poisonPrompt}
-	armed := false
+	wasSet := false
 	for {
 		raw, err := send(ctx, http.MethodGet, url+fault.Path, "", nil)
 		if err == nil && !bytes.Contains(raw, []byte(poisonPrompt)) {
-			if armed {
-				d.engineDied()
+			if wasSet {
+				d.countEngineDeath()
 			}
 			_, err = send(ctx, http.MethodPost, url+fault.Path, "", spec)
-			armed = armed || err == nil
+			wasSet = wasSet || err == nil
 		}
-		if !pause.For(ctx, look) {
+		if !pause.For(ctx, checkInterval) {
 			return
 		}
 	}
 }
 
-// sendPoison plays a caller whose request crashes engines, and who sends it
-// again whatever became of it.
-func (d *drive) sendPoison(ctx context.Context, every time.Duration) {
+// sendPoisonRequests sends the poison request at an interval, regardless of the results.
+func (d *driver) sendPoisonRequests(ctx context.Context, interval time.Duration) {
 	request := wire.GenerateRequest{Model: modelName, Prompt: poisonPrompt, MaxTokens: 16, Seed: 1, Stream: true}
-	key := keyOf(d.world.Scenario.Fleet.Team.Name, config.RoleCaller)
-	for n := 0; pause.For(ctx, every); n++ {
-		url := d.world.CallerURL(1+n%d.world.Scenario.Fleet.Daemons) + "/v1/completions"
+	key := apiKey(d.deployment.Scenario.Fleet.Team.Name, config.RoleCaller)
+	for n := 0; pause.For(ctx, interval); n++ {
+		url := d.deployment.CallerURL(1+n%d.deployment.Scenario.Fleet.Daemons) + "/v1/completions"
 		go func() { _, _ = send(ctx, http.MethodPost, url, key, request) }()
 	}
 }
 
-func (d *drive) engineDied() {
+func (d *driver) countEngineDeath() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.deaths++
+	d.engineDeaths++
 }
 
-func (d *drive) fault(format string, args ...any) {
+// addFault records an event that must not happen in any run.
+func (d *driver) addFault(format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.errs = append(d.errs, fmt.Sprintf(format, args...))
+	d.faults = append(d.faults, fmt.Sprintf(format, args...))
 }
 
-// send sends one request with a JSON body (nil: none) and reads its answer.
+// send sends one request with a JSON body, nil: none, and returns the body of the response. A
+// status other than 2xx is an error. key is a bearer token, "": none.
 func send(ctx context.Context, method, url, key string, body any) ([]byte, error) {
 	var content io.Reader
 	if body != nil {
@@ -134,7 +137,7 @@
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	response, err := oneShot.Do(request)
+	response, err := noReuseClient.Do(request)
 	if err != nil {
 		return nil, fmt.Errorf("bench: %w", err)
 	}
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -9,117 +9,121 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/wire"
 )
 
-// Measure is one figure of a run.
+// Measure is one of the values that are determined for a run.
 type Measure struct {
-	Name  string
-	Unit  string
-	About string
+	Name        string
+	Unit        string
+	Description string
 }
 
-// Measures lists all, in the order of the table.
+// Measures lists all measures, in the order of the table.
 var Measures = []Measure{
-	{"idle_median", "ms", "from a step's start until it is whole, median step"},
+	{"idle_median", "ms", "from the start of a step until it is complete, median step"},
 	{"idle_worst", "ms", "the same, worst step"},
-	{"latency_p50", "ms", "production, from due to whole answer"},
+	{"latency_p50", "ms", "production, from due time to complete response"},
 	{"latency_p99", "ms", "the same"},
-	{"ttft_p50", "ms", "production, from due to first token"},
+	{"ttft_p50", "ms", "production, from due time to first token"},
 	{"ttft_p99", "ms", "the same"},
-	{"error_rate", "share", "production calls without an answer of their own"},
-	{"goodput", "1/s", "production calls answered whole within their time"},
-	{"accepted_failed", "calls", "failed after the daemon let them in"},
-	{"refused", "calls", "told not run, with Retry-After"},
+	{"error_rate", "share", "production calls without a valid response"},
+	{"goodput", "1/s", "production calls with a complete response within their timeout"},
+	{"accepted_failed", "calls", "failed after the daemon had admitted them"},
+	{"refused", "calls", "refused as not run, with Retry-After"},
 	{"staleness_mean", "versions", "of delivered samples"},
 	{"staleness_max", "versions", "of delivered samples"},
-	{"past_bound", "samples", "delivered beyond the team's bound"},
-	{"thrown_away", "share", "samples made and dropped as too old"},
-	{"mixed", "share", "samples with tokens of two versions"},
-	{"prefix_hits", "share", "answers whose prompt's prefix was cached"},
-	{"wasted", "tokens", "generated, but of no use to anybody"},
-	{"queue_time", "ms", "mean time queued in a daemon, the measured team"},
-	{"engine_deaths", "count", "engine processes that ended"},
-	{"direct_ttft_p50", "ms", "calling the engine itself"},
-	{"overhead_p50", "ms", "what the daemon adds to it"},
-	{"cpu_request", "µs", "daemon's processor time a request, without chunks"},
-	{"cpu_chunk", "µs", "daemon's processor time a streamed chunk"},
+	{"past_bound", "samples", "delivered beyond the team's staleness bound"},
+	{"thrown_away", "share", "samples generated and dropped as too stale"},
+	{"mixed", "share", "samples with tokens of more than one version"},
+	{"prefix_hits", "share", "responses whose prompt prefix was cached"},
+	{"wasted", "tokens", "generated, but not part of any result"},
+	{"queue_time", "ms", "mean time queued in a daemon, calls of the measured team"},
+	{"engine_deaths", "count", "engine processes that crashed"},
+	{"direct_ttft_p50", "ms", "time to first token of calls directly to the engine"},
+	{"overhead_p50", "ms", "added to that time by the daemon"},
+	{"cpu_request", "µs", "daemon's CPU time per request, without chunks"},
+	{"cpu_chunk", "µs", "daemon's CPU time per streamed chunk"},
 }
 
-// result derives the measures of a run.
-func (d *drive) result(c counters) Run {
+// result computes the measures of the run. c holds the increases of the daemons' counters.
+func (d *driver) result(c counters) Run {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.world.Scenario
-	run := Run{Scenario: s.Name, Policy: d.world.Policy, Seed: d.seed, Values: map[string]float64{}, Faults: d.errs}
+	s := d.deployment.Scenario
+	run := Run{Scenario: s.Name, Policy: d.deployment.Policy, Seed: d.seed, Values: map[string]float64{}, Faults: d.faults}
 	run.Counters = c
-	d.trainerValues(&run, c)
-	d.callerValues(&run)
-	d.daemonValues(&run, c)
+	d.addTrainerValues(&run, c)
+	d.addTrafficValues(&run)
+	d.addDaemonValues(&run, c)
 	return run
 }
 
-func (d *drive) trainerValues(run *Run, c counters) {
-	t := d.world.Scenario.Trainer
-	if t == nil {
+// addTrainerValues adds the measures of the rollout job.
+func (d *driver) addTrainerValues(run *Run, c counters) {
+	load := d.deployment.Scenario.Trainer
+	if load == nil {
 		return
 	}
-	sum := &d.samples
-	if counted := sum.IdleMillis[min(t.WarmUp, len(sum.IdleMillis)):]; len(counted) > 0 {
-		run.Values["idle_median"] = median(counted)
-		run.Values["idle_worst"] = float64(slices.Max(counted))
+	summary := &d.trainerSummary
+	if measured := summary.IdleMillis[min(load.WarmUpSteps, len(summary.IdleMillis)):]; len(measured) > 0 {
+		run.Values["idle_median"] = median(measured)
+		run.Values["idle_worst"] = float64(slices.Max(measured))
 	}
-	for i, idle := range sum.IdleMillis {
+	for i, idle := range summary.IdleMillis {
 		run.Values[fmt.Sprintf("idle_step_%d", i+1)] = float64(idle)
 	}
-	run.Values["pull_failures"], run.Values["resubmits"] = float64(sum.Failures), float64(sum.Resubmits)
-	run.Values["judged_old"] = float64(sum.JudgedOld)
-	run.Values["staleness_mean"] = sum.StalenessMean
-	run.Values["staleness_max"] = float64(sum.StalenessMax)
-	run.Values["past_bound"] = float64(sum.Stale)
-	samples := max(1, float64(sum.Samples))
+	run.Values["pull_failures"], run.Values["resubmits"] = float64(summary.Failures), float64(summary.Resubmits)
+	run.Values["judged_old"] = float64(summary.JudgedOld)
+	run.Values["staleness_mean"] = summary.StalenessMean
+	run.Values["staleness_max"] = float64(summary.StalenessMax)
+	run.Values["past_bound"] = float64(summary.Stale)
+	samples := max(1, float64(summary.Samples))
 	run.Values["thrown_away"] = c["rollout_samples_stale"] / (samples + c["rollout_samples_stale"])
-	run.Values["mixed"] = float64(sum.Mixed) / samples
-	if !sum.OK() {
-		run.Faults = append(run.Faults, sum.Faults...)
+	run.Values["mixed"] = float64(summary.Mixed) / samples
+	if !summary.OK() {
+		run.Faults = append(run.Faults, summary.Faults...)
 	}
 }
 
-func (d *drive) callerValues(run *Run) {
-	for _, c := range d.world.Scenario.Callers {
-		r := d.calls[c.Team]
+// addTrafficValues adds the measures of the production traffic.
+func (d *driver) addTrafficValues(run *Run) {
+	for _, traffic := range d.deployment.Scenario.Traffic {
+		r := d.callResults[traffic.Team]
 		if r == nil {
 			continue
 		}
 		if r.Wrong > 0 {
 			run.Faults = append(run.Faults, r.WrongFirst...)
 		}
-		if c.Misbehaves {
+		if traffic.Unmeasured {
 			continue
 		}
-		latency, first := r.Latency[callers.Streamed], r.FirstToken[callers.Streamed]
-		refused := r.ByOutcome[outcome.NotRun.String()]
+		latency, firstToken := r.Latency[callers.Streamed], r.FirstToken[callers.Streamed]
+		notRun := r.ByOutcome[outcome.NotRun.String()]
 		run.Values["latency_p50"], run.Values["latency_p99"] = latency.P50, latency.P99
-		run.Values["ttft_p50"], run.Values["ttft_p99"] = first.P50, first.P99
+		run.Values["ttft_p50"], run.Values["ttft_p99"] = firstToken.P50, firstToken.P99
 		run.Values["error_rate"] = float64(r.Failed+r.Wrong+r.Shed) / max(1, float64(r.Calls+r.Shed))
-		run.Values["goodput"] = float64(r.Answers) / d.world.Scenario.Duration.Seconds()
-		run.Values["accepted_failed"] = float64(r.Failed - refused)
-		run.Values["refused"] = float64(refused)
+		run.Values["goodput"] = float64(r.Answers) / d.deployment.Scenario.Duration.Seconds()
+		run.Values["accepted_failed"] = float64(r.Failed - notRun)
+		run.Values["refused"] = float64(notRun)
 	}
 }
 
-// bytesPerToken is how engines count cached prefixes in tokens.
+// bytesPerToken is the number of bytes of a prefix that engines count as one cached token.
 const bytesPerToken = 4
 
-func (d *drive) daemonValues(run *Run, c counters) {
-	answers := float64(d.samples.Samples)
-	for _, r := range d.calls {
-		answers += float64(r.Answers)
+// addDaemonValues adds the measures that the daemons' counters give.
+func (d *driver) addDaemonValues(run *Run, c counters) {
+	completions := float64(d.trainerSummary.Samples)
+	for _, r := range d.callResults {
+		completions += float64(r.Answers)
 	}
-	run.Values["prefix_hits"] = c["dispatch_prompt_tokens_cached"] / (wire.PrefixBytes / bytesPerToken) / max(1, answers)
+	run.Values["prefix_hits"] = c["dispatch_prompt_tokens_cached"] / (wire.PrefixBytes / bytesPerToken) / max(1, completions)
 	run.Values["wasted"] = c["dispatch_tokens_wasted"]
-	run.Values["engine_deaths"] = float64(d.deaths)
-	team := d.world.Scenario.Fleet.Team.Name
+	run.Values["engine_deaths"] = float64(d.engineDeaths)
+	team := d.deployment.Scenario.Fleet.Team.Name
 	run.Values["queue_time"] = c["dispatch_queue_us_"+team] / 1000 / max(1, c["dispatch_queued_"+team])
 }
 
+// median returns the median of values, 0 if there are none.
 func median[T int64 | float64](values []T) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	n := len(sorted)
@@ -129,12 +133,12 @@
 	return (float64(sorted[(n-1)/2]) + float64(sorted[n/2])) / 2
 }
 
-// unitOf returns a measure's unit.
+// unitOf returns the unit of a measure.
 func unitOf(name string) (string, error) {
 	for _, m := range Measures {
 		if m.Name == name {
 			return m.Unit, nil
 		}
 	}
-	return "", fmt.Errorf("bench: no measure %q", name)
+	return "", fmt.Errorf("bench: unknown measure %q", name)
 }
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -8,8 +8,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot writes the ratios of one measure, a bar for each scenario, to a file
-// whose name's ending gives its format (.svg, .png, .pdf).
+// Plot writes a bar chart of the ratios of one measure, with a bar for each scenario, to a file.
+// The extension of its name determines the format (.svg, .png, .pdf).
 func (r Report) Plot(measure, file string) error {
 	var values plotter.Values
 	var names []string
--- a/internal/bench/table.go
+++ b/internal/bench/table.go
@@ -8,38 +8,38 @@
 	"text/tabwriter"
 )
 
-// Spread is one measure under one policy over the repetitions.
-type Spread struct {
+// Stats summarizes the values of one measure under one policy over repeated runs.
+type Stats struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"min"`
 	Max    float64 `json:"max"`
-	Runs   int     `json:"runs"`
+	Runs   int     `json:"runs"` // number of values
 }
 
-// Row is one line of the table.
+// Row is one row of the table: one measure of one scenario under both policies.
 type Row struct {
 	Scenario string `json:"scenario"`
 	Measure  string `json:"measure"`
 	Unit     string `json:"unit"`
-	Naive    Spread `json:"naive"`
-	Ours     Spread `json:"ours"`
-	// Ratio is ours over naive by medians; nil if naive's is 0.
+	Naive    Stats  `json:"naive"`
+	Ours     Stats  `json:"ours"`
+	// Ratio is the median of Ours divided by that of Naive, nil if the latter is 0.
 	Ratio *float64 `json:"ratio"`
 }
 
-// Report is all rows and what went wrong.
+// Report holds the table, the faults of the runs and the runs themselves.
 type Report struct {
 	Rows   []Row    `json:"rows"`
 	Faults []string `json:"faults"`
 	Runs   []Run    `json:"runs"`
 }
 
-// Summarize makes the table of some runs.
+// Summarize builds the report of runs.
 func Summarize(runs []Run) (Report, error) {
 	report := Report{Runs: runs, Rows: []Row{}, Faults: []string{}}
-	for _, s := range every() {
+	for _, s := range allScenarios() {
 		for _, name := range s.Measures {
-			row, found, err := rowOf(s.Name, name, runs)
+			row, found, err := newRow(s.Name, name, runs)
 			if err != nil {
 				return Report{}, err
 			}
@@ -56,14 +56,15 @@
 	return report, nil
 }
 
-func rowOf(scenario, measure string, runs []Run) (Row, bool, error) {
+// newRow returns a row and whether any run has the measure.
+func newRow(scenario, measure string, runs []Run) (Row, bool, error) {
 	unit, err := unitOf(measure)
 	if err != nil {
 		return Row{}, false, err
 	}
 	row := Row{Scenario: scenario, Measure: measure, Unit: unit}
-	row.Naive = spreadOf(scenario, "naive", measure, runs)
-	row.Ours = spreadOf(scenario, "ours", measure, runs)
+	row.Naive = newStats(scenario, "naive", measure, runs)
+	row.Ours = newStats(scenario, "ours", measure, runs)
 	if row.Naive.Median != 0 && row.Ours.Runs > 0 {
 		ratio := row.Ours.Median / row.Naive.Median
 		row.Ratio = &ratio
@@ -71,27 +72,28 @@
 	return row, row.Naive.Runs+row.Ours.Runs > 0, nil
 }
 
-func spreadOf(scenario, policy, measure string, runs []Run) Spread {
+// newStats summarizes a measure over the runs of a scenario under a policy.
+func newStats(scenario, policy, measure string, runs []Run) Stats {
 	var values []float64
 	for _, run := range runs {
-		value, measured := run.Values[measure]
-		if run.Scenario != scenario || run.Policy != policy || !measured {
+		value, ok := run.Values[measure]
+		if run.Scenario != scenario || run.Policy != policy || !ok {
 			continue
 		}
 		values = append(values, value)
 	}
 	if len(values) == 0 {
-		return Spread{}
+		return Stats{}
 	}
-	return Spread{Median: median(values), Min: slices.Min(values), Max: slices.Max(values), Runs: len(values)}
+	return Stats{Median: median(values), Min: slices.Min(values), Max: slices.Max(values), Runs: len(values)}
 }
 
-// Write prints the table and the faults.
+// Write writes the table and the faults as text.
 func (r Report) Write(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "scenario\tmeasure\tunit\tnaive (min..max)\tours (min..max)\tratio")
 	for _, row := range r.Rows {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", row.Scenario, row.Measure, row.Unit, row.Naive, row.Ours, ratioText(row.Ratio))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", row.Scenario, row.Measure, row.Unit, row.Naive, row.Ours, formatRatio(row.Ratio))
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("bench: %w", err)
@@ -102,15 +104,16 @@
 	return nil
 }
 
-// String prints median, least and most.
-func (s Spread) String() string {
+// String returns the median, the minimum and the maximum, "-" without values.
+func (s Stats) String() string {
 	if s.Runs == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%s (%s..%s)", number(s.Median), number(s.Min), number(s.Max))
+	return fmt.Sprintf("%s (%s..%s)", formatValue(s.Median), formatValue(s.Min), formatValue(s.Max))
 }
 
-func number(v float64) string {
+// formatValue formats a value with three significant digits, or as an integer from 10 on.
+func formatValue(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
@@ -121,14 +124,15 @@
 	}
 }
 
-func ratioText(ratio *float64) string {
+// formatRatio formats a ratio, "-" for nil.
+func formatRatio(ratio *float64) string {
 	if ratio == nil {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", *ratio)
 }
 
-// WriteJSON writes the report with all runs.
+// WriteJSON writes the report as JSON.
 func (r Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -12,118 +12,119 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Names that all scenarios share.
+// Names and secrets that all scenarios share.
 const (
 	modelName = "drafts"
 	jobName   = "bench"
-	// AdminToken and PeerToken are the daemons' secrets in the bench; they guard
-	// nothing but processes on loopback that live for seconds.
+	// AdminToken and PeerToken are the daemons' secrets. They needn't be secret, since the
+	// processes listen on loopback only and run for seconds.
 	AdminToken = "admin-token-of-the-demo"
 	PeerToken  = "peer-token-of-the-demo"
 )
 
-// World says where the processes of one run listen: all ports are offsets from
-// Base, on loopback.
-type World struct {
+// Deployment describes the processes of one run. They listen on loopback, at fixed offsets from
+// BasePort.
+type Deployment struct {
 	Scenario Scenario
 	Policy   string // "naive" or "ours"
-	Base     int    // first port
+	BasePort int    // first port
 }
 
-// Offsets of ports.
+// Offsets of ports from Deployment.BasePort.
 const (
-	logPort      = 1
-	weightsPort  = 2
-	vmsPort      = 3
-	daemonPorts  = 100
-	engineBase   = 300
-	serviceBase  = 390
-	scorerBase   = 399
-	portsADaemon = 4
+	logPort         = 1
+	weightsPort     = 2
+	vmListPort      = 3
+	daemonBasePort  = 100
+	engineBasePort  = 300
+	serviceBasePort = 390
+	scorerPort      = 399
+	portsPerDaemon  = 4 // caller, trainer, admin and peer port
 )
 
-func (w World) address(offset int) string { return "127.0.0.1:" + strconv.Itoa(w.Base+offset) }
-func (w World) url(offset int) string     { return "http://" + w.address(offset) }
+func (d Deployment) address(offset int) string { return "127.0.0.1:" + strconv.Itoa(d.BasePort+offset) }
+func (d Deployment) url(offset int) string     { return "http://" + d.address(offset) }
 
-// CallerURL, TrainerURL and AdminURL are daemon n's, counted from 1.
-func (w World) CallerURL(n int) string  { return w.url(daemonPorts + portsADaemon*n) }
-func (w World) TrainerURL(n int) string { return w.url(daemonPorts + portsADaemon*n + 1) }
-func (w World) AdminURL(n int) string   { return w.url(daemonPorts + portsADaemon*n + 2) }
+// CallerURL, TrainerURL and AdminURL return URLs of daemon n, counted from 1.
+func (d Deployment) CallerURL(n int) string  { return d.url(daemonBasePort + portsPerDaemon*n) }
+func (d Deployment) TrainerURL(n int) string { return d.url(daemonBasePort + portsPerDaemon*n + 1) }
+func (d Deployment) AdminURL(n int) string   { return d.url(daemonBasePort + portsPerDaemon*n + 2) }
 
-// EngineURL is engine n's, counted from 1.
-func (w World) EngineURL(n int) string { return w.url(engineBase + n) }
+// EngineURL returns the URL of engine n, counted from 1.
+func (d Deployment) EngineURL(n int) string { return d.url(engineBasePort + n) }
 
-// WeightsURL is the weight store's.
-func (w World) WeightsURL() string { return w.url(weightsPort) }
+// WeightsURL returns the URL of the weight store.
+func (d Deployment) WeightsURL() string { return d.url(weightsPort) }
 
-// VMListURL is the VM list's.
-func (w World) VMListURL() string { return w.url(vmsPort) }
+// VMListURL returns the URL of the VM list.
+func (d Deployment) VMListURL() string { return d.url(vmListPort) }
 
-func (w World) dataCentre(n int) string {
-	centres := w.Scenario.Fleet.DataCentres
-	return centres[n%len(centres)]
+// dataCentre returns the data centre of process n of a kind.
+func (d Deployment) dataCentre(n int) string {
+	dataCentres := d.Scenario.Fleet.DataCentres
+	return dataCentres[n%len(dataCentres)]
 }
 
-// Process is one process that a run needs.
+// Process is a process that a run needs.
 type Process struct {
 	Name    string
-	Restart bool // started again after a crash
-	Args    []string
+	Restart bool     // start it again after a crash
+	Args    []string // program and its arguments
 }
 
-// Processes returns all, in the order of their start.
-func (w World) Processes() []Process {
-	fleet := w.Scenario.Fleet
+// Processes returns all processes, in the order in which they must be started.
+func (d Deployment) Processes() []Process {
+	fleet := d.Scenario.Fleet
 	list := []Process{
-		{Name: "log", Args: []string{"standin", "log", "--listen", w.address(logPort)}},
-		{Name: "weights", Args: []string{"standin", "weights", "--listen", w.address(weightsPort), "--models", modelName + "=1", "--fetch-rate", "40"}},
-		{Name: "vmlist", Args: []string{"standin", "vmlist", "--listen", w.address(vmsPort), "--lag", "500ms"}},
-		{Name: "scorer", Args: []string{"standin", "scorer", "--listen", w.address(scorerBase), "--latency", "2ms"}},
+		{Name: "log", Args: []string{"standin", "log", "--listen", d.address(logPort)}},
+		{Name: "weights", Args: []string{"standin", "weights", "--listen", d.address(weightsPort), "--models", modelName + "=1", "--fetch-rate", "40"}},
+		{Name: "vmlist", Args: []string{"standin", "vmlist", "--listen", d.address(vmListPort), "--lag", "500ms"}},
+		{Name: "scorer", Args: []string{"standin", "scorer", "--listen", d.address(scorerPort), "--latency", "2ms"}},
 	}
 	for n := range fleet.Services {
 		list = append(list, Process{Name: fmt.Sprintf("counter-%d", n+1), Args: []string{
-			"standin", "service", "--listen", w.address(serviceBase + n), "--latency", "5ms"}})
+			"standin", "service", "--listen", d.address(serviceBasePort + n), "--latency", "5ms"}})
 	}
-	for n := range fleet.Times {
-		list = append(list, w.engine(n+1))
+	for n := range fleet.RelativeTokenTimes {
+		list = append(list, d.engineProcess(n+1))
 	}
 	for n := range fleet.Daemons {
-		list = append(list, w.daemon(n+1))
+		list = append(list, d.daemonProcess(n+1))
 	}
 	return list
 }
 
-func (w World) engine(n int) Process {
-	fleet := w.Scenario.Fleet
+func (d Deployment) engineProcess(n int) Process {
+	fleet := d.Scenario.Fleet
 	e := fleet.Engine
-	return Process{Name: fmt.Sprintf("engine-%d", n), Restart: w.Scenario.PoisonEvery > 0, Args: []string{
-		"standin", "engine", "--listen", w.address(engineBase + n), "--models", modelName + "=1",
-		"--weight-store", w.WeightsURL(), "--check-fencing",
+	return Process{Name: fmt.Sprintf("engine-%d", n), Restart: d.Scenario.PoisonInterval > 0, Args: []string{
+		"standin", "engine", "--listen", d.address(engineBasePort + n), "--models", modelName + "=1",
+		"--weight-store", d.WeightsURL(), "--check-fencing",
 		"--token-time", e.TokenTime.String(), "--slowdown", fmt.Sprint(e.Slowdown),
-		"--speed", fmt.Sprint(1 / fleet.Times[n-1]), "--max-running", "4096",
+		"--speed", fmt.Sprint(1 / fleet.RelativeTokenTimes[n-1]), "--max-running", "4096",
 		"--prefix-capacity", strconv.Itoa(e.PrefixCapacity), "--prefill-per-byte", e.PrefillPerByte.String(),
 		"--load-lag", e.LoadLag.String(), "--event-lag", e.EventLag.String(), "--event-gap", fmt.Sprint(e.EventGap),
 		"--load-time", "100ms", "--switch-time", "20ms", "--seed", strconv.Itoa(n),
 	}}
 }
 
-func (w World) daemon(n int) Process {
-	first := daemonPorts + portsADaemon*n
+func (d Deployment) daemonProcess(n int) Process {
+	first := daemonBasePort + portsPerDaemon*n
 	args := []string{
-		"dogwoodflowd", "--vm", fmt.Sprintf("entry-%d", n), "--data-centre", w.dataCentre(n),
-		"--caller-address", w.address(first), "--trainer-address", w.address(first + 1),
-		"--admin-address", w.address(first + 2), "--peer-address", w.address(first + 3),
-		"--log-url", w.url(logPort), "--weights-url", w.WeightsURL(), "--vm-list-url", w.VMListURL(),
-		"--log-retention", "1h", "--log-level", "warn", "--policy", w.Policy,
+		"dogwoodflowd", "--vm", fmt.Sprintf("entry-%d", n), "--data-centre", d.dataCentre(n),
+		"--caller-address", d.address(first), "--trainer-address", d.address(first + 1),
+		"--admin-address", d.address(first + 2), "--peer-address", d.address(first + 3),
+		"--log-url", d.url(logPort), "--weights-url", d.WeightsURL(), "--vm-list-url", d.VMListURL(),
+		"--log-retention", "1h", "--log-level", "warn", "--policy", d.Policy,
 	}
-	if limit := w.Scenario.Fleet.RequestTimeout; limit > 0 {
+	if limit := d.Scenario.Fleet.RequestTimeout; limit > 0 {
 		args = append(args, "--request-timeout", limit.String())
 	}
 	return Process{Name: fmt.Sprintf("entry-%d", n), Args: args}
 }
 
-// VMs is the body that tells the VM list of the daemons.
-func (w World) VMs() ([]byte, error) {
+// VMListJSON returns the JSON document that registers the daemons with the VM list.
+func (d Deployment) VMListJSON() ([]byte, error) {
 	type vm struct {
 		Name        string `json:"name"`
 		Role        string `json:"role"`
@@ -131,17 +132,17 @@
 		PeerAddress string `json:"peer_address"`
 	}
 	var list []vm
-	for n := 1; n <= w.Scenario.Fleet.Daemons; n++ {
-		list = append(list, vm{fmt.Sprintf("entry-%d", n), "entry", w.dataCentre(n), w.address(daemonPorts + portsADaemon*n + 3)})
+	for n := 1; n <= d.Scenario.Fleet.Daemons; n++ {
+		list = append(list, vm{fmt.Sprintf("entry-%d", n), "entry", d.dataCentre(n), d.address(daemonBasePort + portsPerDaemon*n + 3)})
 	}
 	return json.Marshal(map[string]any{"vms": list})
 }
 
-// Branches returns the configuration: JSON by branch.
-func (w World) Branches() (map[config.Branch][]byte, error) {
-	values := map[config.Branch]any{"fleet": w.fleetBranch()}
-	for _, team := range w.teams() {
-		values[config.Branch("teams/"+team.Name)] = teamBranch(team)
+// Branches returns the configuration as JSON, by branch.
+func (d Deployment) Branches() (map[config.Branch][]byte, error) {
+	values := map[config.Branch]any{"fleet": d.fleetConfig()}
+	for _, team := range d.teams() {
+		values[config.Branch("teams/"+team.Name)] = teamConfig(team)
 	}
 	out := map[config.Branch][]byte{}
 	for branch, value := range values {
@@ -154,29 +155,29 @@
 	return out, nil
 }
 
-func (w World) teams() []Team {
-	fleet := w.Scenario.Fleet
-	if fleet.Other == nil {
+func (d Deployment) teams() []Team {
+	fleet := d.Scenario.Fleet
+	if fleet.OtherTeam == nil {
 		return []Team{fleet.Team}
 	}
-	return []Team{fleet.Team, *fleet.Other}
+	return []Team{fleet.Team, *fleet.OtherTeam}
 }
 
-func (w World) fleetBranch() config.Fleet {
-	fleet := w.Scenario.Fleet
+func (d Deployment) fleetConfig() config.Fleet {
+	fleet := d.Scenario.Fleet
 	engines := map[ident.Upstream]config.Upstream{}
-	for n := 1; n <= len(fleet.Times); n++ {
+	for n := 1; n <= len(fleet.RelativeTokenTimes); n++ {
 		engines[ident.Upstream(fmt.Sprintf("engine-%d", n))] = config.Upstream{
-			Address: w.address(engineBase + n), DataCentre: ident.DataCentre(w.dataCentre(n)), ChecksFencing: true,
+			Address: d.address(engineBasePort + n), DataCentre: ident.DataCentre(d.dataCentre(n)), ChecksFencing: true,
 		}
 	}
 	services := map[ident.Upstream]config.Upstream{}
 	for n := range fleet.Services {
 		services[ident.Upstream(fmt.Sprintf("counter-%d", n+1))] = config.Upstream{
-			Address: w.address(serviceBase + n), DataCentre: ident.DataCentre(w.dataCentre(n)),
+			Address: d.address(serviceBasePort + n), DataCentre: ident.DataCentre(d.dataCentre(n)),
 		}
 	}
-	scorer := config.Upstream{Address: w.address(scorerBase), DataCentre: ident.DataCentre(w.dataCentre(0))}
+	scorer := config.Upstream{Address: d.address(scorerPort), DataCentre: ident.DataCentre(d.dataCentre(0))}
 	return config.Fleet{
 		ProductionReserve: 0.3,
 		Groups: map[string]config.Group{
@@ -187,17 +188,18 @@
 	}
 }
 
+// maxTokens is the configured maximum length of a completion.
 const maxTokens = 4096
 
-func teamBranch(t Team) config.Team {
+func teamConfig(t Team) config.Team {
 	key := func(role config.Role) config.Key {
-		sum := sha256.Sum256([]byte(keyOf(t.Name, role)))
+		sum := sha256.Sum256([]byte(apiKey(t.Name, role)))
 		return config.Key{SHA256: hex.EncodeToString(sum[:]), Role: role}
 	}
 	return config.Team{
 		Keys: map[string]config.Key{"caller": key(config.RoleCaller), "trainer": key(config.RoleTrainer)},
 		Models: map[ident.Model]config.Model{
-			modelName: {Group: "engines", StalenessBound: t.Bound, MaxTokens: maxTokens},
+			modelName: {Group: "engines", StalenessBound: t.StalenessBound, MaxTokens: maxTokens},
 		},
 		Routes: map[string]config.Route{},
 		Jobs: map[ident.Job]config.Job{
@@ -208,22 +210,24 @@
 	}
 }
 
-func keyOf(team string, role config.Role) string { return "bench-" + string(role) + "-of-" + team }
+// apiKey returns a team's API key for a role.
+func apiKey(team string, role config.Role) string { return "bench-" + string(role) + "-of-" + team }
 
-// settle is the time from readiness until daemons know their peers and engines.
-const settle = 500 * time.Millisecond
+// settleTime is how long daemons need after they are ready to find their peers and engines.
+const settleTime = 500 * time.Millisecond
 
-// warmUpTime is how long unmeasured calls precede a run.
+// warmUpTime is the duration of the unmeasured calls before a run.
 const warmUpTime = 1200 * time.Millisecond
 
-// headStart is how long production runs before the first step, so that a step
-// meets daemons that know their traffic.
-const headStart = 500 * time.Millisecond
+// trainerDelay is the time from the start of the production traffic to the first rollout step,
+// so that the daemons have statistics of the traffic by then.
+const trainerDelay = 500 * time.Millisecond
 
-// BranchOrder is the order in which branches are published: teams name groups.
-func (w World) BranchOrder() []config.Branch {
+// BranchOrder returns the order in which the branches must be published: those of teams refer to
+// groups of the fleet branch.
+func (d Deployment) BranchOrder() []config.Branch {
 	order := []config.Branch{"fleet"}
-	for _, team := range w.teams() {
+	for _, team := range d.teams() {
 		order = append(order, config.Branch("teams/"+team.Name))
 	}
 	return order
