--- a/internal/upstream/api.go
+++ b/internal/upstream/api.go
@@ -120,7 +120,7 @@
 	Leaving bool // the service announced that it is shutting down
 }
 
-// Options are the timeouts and size limits of a Client. Fields that aren't positive get the
+// Options are the timeouts and size limits of a Client. Numbers that aren't positive get the
 // defaults.
 type Options struct {
 	DialTimeout time.Duration // default 2 s
--- a/internal/upstream/exchange/answer.go
+++ b/internal/upstream/exchange/answer.go
@@ -36,53 +36,53 @@
 
 // Read reads the body with a timeout for this read. An error other than io.EOF is a
 // *Failure.
-func (a *Answer) Read(p []byte) (int, error) {
-	a.attempt.watchdog.reset(a.attempt.options.Progress)
-	n, err := a.body.Read(p)
+func (r *Answer) Read(p []byte) (int, error) {
+	r.attempt.watchdog.reset(r.attempt.options.Progress)
+	n, err := r.body.Read(p)
 	// The watchdog is off between reads: a slow caller isn't a silent server.
-	a.attempt.watchdog.stop()
+	r.attempt.watchdog.stop()
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	return n, a.attempt.classify(a.ctx, err)
+	return n, r.attempt.classify(r.ctx, err)
 }
 
 // LimitProgress sets the timeout of further reads of the body, 0: only the context limits
 // them.
-func (a *Answer) LimitProgress(limit time.Duration) { a.attempt.options.Progress = limit }
+func (r *Answer) LimitProgress(limit time.Duration) { r.attempt.options.Progress = limit }
 
 // Whole reads the body to its end. It fails as Malformed if the body is longer than limit
 // bytes, and as Truncated unless the framing (Content-Length or the last chunk, which
 // net/http checks while it reads) confirms the end.
-func (a *Answer) Whole(limit int64) ([]byte, error) {
-	if a.contentLength > limit {
-		return nil, a.newFailure(Malformed, ErrTooLarge)
+func (r *Answer) Whole(limit int64) ([]byte, error) {
+	if r.contentLength > limit {
+		return nil, r.newFailure(Malformed, ErrTooLarge)
 	}
-	data, err := io.ReadAll(io.LimitReader(a, limit+1))
+	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, a.newFailure(Malformed, ErrTooLarge)
+		return nil, r.newFailure(Malformed, ErrTooLarge)
 	}
-	if !a.framed {
-		return nil, a.newFailure(Truncated, errUnframed)
+	if !r.framed {
+		return nil, r.newFailure(Truncated, errUnframed)
 	}
 	return data, nil
 }
 
-func (a *Answer) newFailure(kind Kind, err error) *Failure {
+func (r *Answer) newFailure(kind Kind, err error) *Failure {
 	return &Failure{Kind: kind, Sent: true, Err: err}
 }
 
 // Close ends the exchange. Unless the body was read to its end, the connection is closed
 // too, so that no later request can read the rest of this response.
-func (a *Answer) Close() {
-	a.attempt.watchdog.stop()
-	_ = a.body.Close()
-	a.cancel(nil)
+func (r *Answer) Close() {
+	r.attempt.watchdog.stop()
+	_ = r.body.Close()
+	r.cancel(nil)
 }
 
 // Framed reports whether the response marks its own end, by its length or by chunked
 // encoding.
-func (a *Answer) Framed() bool { return a.framed }
+func (r *Answer) Framed() bool { return r.framed }
--- a/internal/upstream/exchange/exchange.go
+++ b/internal/upstream/exchange/exchange.go
@@ -31,7 +31,7 @@
 	return [...]string{"dial", "reset", "truncated", "silent", "malformed", "cancelled"}[k]
 }
 
-// Failure is the error returned by Sender.Send and by the read methods of Answer.
+// Failure is the error of sending a request and of reading its response.
 type Failure struct {
 	Kind Kind
 	// Sent reports whether a byte of the request may have left this process. False is
@@ -54,8 +54,7 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// ErrTooLarge is the cause of the Malformed failure that Answer.Whole returns for a body
-// above its size limit.
+// ErrTooLarge is the cause of the Malformed failure for a response body above its size limit.
 var ErrTooLarge = errors.New("response body exceeds the size limit")
 
 var (
@@ -70,7 +69,7 @@
 type Options struct {
 	DialTimeout time.Duration
 	// IdleTimeout is how long an unused connection is kept open. If it is shorter than
-	// the timeouts of Plan, a request that is repeated after such a timeout can't get
+	// the timeouts of requests, a request that is repeated after such a timeout can't get
 	// another connection that stopped working at the same time as the first.
 	IdleTimeout time.Duration
 	// LongestIdle is the maximum idle time for servers that advertise an idle timeout in
@@ -86,8 +85,8 @@
 	Fresh bool
 	// FirstByte limits the wait for the response header, 0: only the context limits it.
 	FirstByte time.Duration
-	// FirstByteReused replaces FirstByte on a reused connection, which may be dead
-	// without a sign of it, 0: FirstByte applies.
+	// FirstByteReused is the limit on a reused connection, which may be dead without a sign
+	// of it, 0: the same as on a new one.
 	FirstByteReused time.Duration
 	// Progress limits the wait for each read of the response body, 0: only the context
 	// limits it.
--- a/internal/upstream/exchange/guard.go
+++ b/internal/upstream/exchange/guard.go
@@ -25,7 +25,7 @@
 //
 // Two kinds of request are sent through Sender.unpooledTransport instead, whose connections
 // are never reused, since net/http retries only after a failure of a reused connection:
-// requests with Plan.Fresh, and those for which Request.hasExplicitEmptyBody is true, since
+// requests that ask for a new connection, and those for which Request.hasExplicitEmptyBody is true, since
 // net/http would send an empty singleUseBody with chunked encoding.
 type singleUseBody struct {
 	reader     *bytes.Reader
