--- a/internal/batchrun/homes.go
+++ b/internal/batchrun/homes.go
@@ -107,7 +107,7 @@
 		p.mu.Lock()
 		assignment := p.state.Next(model)
 		p.mu.Unlock()
-		assignment.Samples = samples
+		assignment.BatchSize = samples
 		var record []byte
 		if record, err = encodeModelPartition(assignment); err != nil {
 			return 0, err
@@ -154,7 +154,7 @@
 
 // recordDemandLocked records the number of samples in a model's batches if it has changed.
 func (r *runner) recordDemandLocked(ctx context.Context, model string) {
-	assignment := loads.Home{Model: model, Part: r.partition.number, Samples: r.partition.lastBatchSize(model)}
+	assignment := loads.Home{Model: model, Partition: r.partition.number, BatchSize: r.partition.lastBatchSize(model)}
 	now := r.s.options.Now()
 	if now < r.demandNotBefore[model] || !r.s.modelPartitions.changesDemand(assignment) {
 		return
@@ -162,7 +162,7 @@
 	r.demandNotBefore[model] = now + demandInterval
 	r.tasks.Go(func() {
 		if err := r.s.modelPartitions.recordDemand(ctx, assignment); err != nil {
-			r.log.Warn().Err(err).Str("model", model).Int("samples", assignment.Samples).Msg("failed to record the model's demand")
+			r.log.Warn().Err(err).Str("model", model).Int("samples", assignment.BatchSize).Msg("failed to record the model's demand")
 		}
 	})
 }
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -72,18 +72,18 @@
 		// another for loads that fail, until the store is back.
 		return
 	}
-	in := loads.Input{Newest: r.s.options.View.Published()[model], Next: w.nextMinVersion, Waiting: len(w.waiting), Active: w.active,
+	in := loads.Input{Newest: r.s.options.View.Published()[model], NextMinVersion: w.nextMinVersion, Waiting: len(w.waiting), Active: w.active,
 		Retain: !w.singleVersion && r.s.options.Policy.Enabled(policy.Retain)}
 	if !r.s.options.Policy.Enabled(policy.SparedLoads) {
-		in.Next = 0
+		in.NextMinVersion = 0
 	}
 	for _, x := range w.waiting {
-		in.Needed = max(in.Needed, x.MinVersion)
+		in.MinVersion = max(in.MinVersion, x.MinVersion)
 	}
 	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
 		in.Engines = append(in.Engines, loads.Engine{
-			ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Loading: e.loading, Vacated: now < e.evictedUntil,
+			ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Loading: e.loading, Evicted: now < e.evictedUntil,
 			Usable: !r.isSuspect(u.Incarnation(), now) && now >= e.noOrderBefore,
 		})
 	}
@@ -92,7 +92,7 @@
 		at := slices.IndexFunc(engines, func(u registry.Upstream) bool { return u.Incarnation() == id })
 		r.startLoadLocked(ctx, engines[at], loadTarget{model, in.Newest, in.Retain, r.partition.number})
 	}
-	for _, id := range plan.Vacate {
+	for _, id := range plan.Evict {
 		r.evictLocked(id, now)
 	}
 }
--- a/internal/batchrun/policy.go
+++ b/internal/batchrun/policy.go
@@ -31,6 +31,6 @@
 func BaselinePolicy() Policy {
 	return Policy{
 		Set:         policy.Without(policy.Moves, policy.Hardware, policy.Demand, policy.Retain, policy.SparedLoads, policy.Suspicion, policy.Trials),
-		PlanSamples: batch.PlanInTurn, PlanLoads: loads.DecideAtOnce,
+		PlanSamples: batch.PlanInTurn, PlanLoads: loads.DecideWithoutLimits,
 	}
 }
--- a/internal/batchrun/scale_test.go
+++ b/internal/batchrun/scale_test.go
@@ -81,7 +81,7 @@
 		_, err = client.Append(context.Background(), modelPartitionsTopic, 0, [][]byte{data})
 		g.Expect(err).NotTo(HaveOccurred())
 		for range scaleHistory / scaleRecord {
-			_, err := client.Append(context.Background(), batchTopic, assignment.Part, [][]byte{record})
+			_, err := client.Append(context.Background(), batchTopic, assignment.Partition, [][]byte{record})
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 	}
--- a/internal/batchrun/share.go
+++ b/internal/batchrun/share.go
@@ -55,7 +55,7 @@
 		s.byModel = before.split.byModel
 		return false
 	}
-	s.byModel = loads.Share(s.addresses, s.settings.Models, s.demand, s.settings.Slots)
+	s.byModel = loads.Split(s.addresses, s.settings.Models, s.demand, s.settings.Slots)
 	return true
 }
 
@@ -92,7 +92,7 @@
 // is used again if its inputs are the same.
 func (a *engineAllocator) allocate(service string, settings *routes.Engine, demand map[string]int, before *allocation) *allocation {
 	byAddress := map[string]string{}
-	for _, u := range a.view.Sample(service, loads.Useful(settings.Models, demand, settings.Slots)) {
+	for _, u := range a.view.Sample(service, loads.MaxUsefulEngines(settings.Models, demand, settings.Slots)) {
 		byAddress[u.Address] = u.ID
 	}
 	out := &allocation{split: split{settings: settings, demand: demand, addresses: slices.Sorted(maps.Keys(byAddress))}, engineIDs: map[string][]string{}, resolved: map[string]resolvedEngines{}}
--- a/internal/batchrun/share_test.go
+++ b/internal/batchrun/share_test.go
@@ -107,7 +107,7 @@
 		}
 		s := newEngineAllocator(view)
 		first := s.enginesFor("engines", settings, demand, "m0")
-		g.Expect(first).To(HaveLen(loads.Useful([]string{"m0"}, demand, slots)))
+		g.Expect(first).To(HaveLen(loads.MaxUsefulEngines([]string{"m0"}, demand, slots)))
 		version := int64(1)
 		allocsPerCall[engines] = testing.AllocsPerRun(100, func() {
 			version++
--- a/internal/claims/batcher_test.go
+++ b/internal/claims/batcher_test.go
@@ -10,72 +10,72 @@
 
 var _ = Describe("Batcher", func() {
 	start := time.Unix(1000, 0)
-	opts := BatcherOptions{Gather: 5 * time.Millisecond, Budget: 200, Burst: time.Second, MaxClaims: 10, MaxReports: 2}
+	opts := BatcherOptions{BatchDelay: 5 * time.Millisecond, AppendsPerSecond: 200, Burst: time.Second, MaxClaims: 10, MaxOutcomes: 2}
 	claim := func(nonce string) Record { return Record{Kind: KindClaim, Key: "k", Nonce: nonce} }
 
-	It("gathers neighbours, then appends them together", func() {
+	It("appends the records queued within the batch delay together", func() {
 		b := NewBatcher(opts, start)
 		Expect(b.AddClaim(claim("a"), start)).To(Succeed())
-		_, wait := b.Next(start, 1)
+		_, wait := b.NextBatch(start, 1)
 		Expect(wait).To(Equal(5 * time.Millisecond))
 		Expect(b.AddClaim(claim("b"), start.Add(time.Millisecond))).To(Succeed())
-		batch, _ := b.Next(start.Add(5*time.Millisecond), 1)
+		batch, _ := b.NextBatch(start.Add(5*time.Millisecond), 1)
 		Expect(batch).To(HaveLen(2))
 	})
 
-	It("keeps all daemons together within the budget", func() {
+	It("keeps the appends of all daemons together within the budget", func() {
 		const daemons = 40
 		b, now, appends := NewBatcher(opts, start), start, 0
 		for now.Before(start.Add(10 * time.Second)) {
 			if b.Pending() == 0 {
 				Expect(b.AddClaim(claim("n"), now)).To(Succeed())
 			}
-			if batch, _ := b.Next(now, daemons); batch != nil {
+			if batch, _ := b.NextBatch(now, daemons); batch != nil {
 				appends++
-				b.Finished(Appended, now)
+				b.FinishAppend(Appended, now)
 			}
 			now = now.Add(time.Millisecond)
 		}
 		Expect(appends * daemons).To(BeNumerically("<=", 200*(10+1)))
 	})
 
-	// The log appends a batch and its answer is lost. Refusing the claims as "not run"
-	// would be true, but they would stand in the log; taking them as written would be a
-	// guess. They are sent again, and reading back decides.
-	It("sends claims again after a lost answer, and refuses them when nothing was written", func() {
+	// After a lost answer it is unknown whether the claims are in the log. If they were refused
+	// as not run, they might still hold their keys; if they were taken for written, they might
+	// be missing. They are sent again, and the claims read back decide.
+	It("sends claims again after a lost answer, and refuses them if they certainly weren't written", func() {
 		b := NewBatcher(opts, start)
 		Expect(b.AddClaim(claim("a"), start)).To(Succeed())
 		now := start.Add(time.Second)
-		b.Next(now, 1)
-		Expect(b.Finished(Lost, now)).To(BeEmpty())
+		b.NextBatch(now, 1)
+		Expect(b.FinishAppend(AppendUnknown, now)).To(BeEmpty())
 		now = now.Add(time.Second)
-		batch, _ := b.Next(now, 1)
+		batch, _ := b.NextBatch(now, 1)
 		Expect(batch).To(HaveLen(1))
-		Expect(b.Finished(Unavailable, now)).To(Equal([]string{"a"}))
+		Expect(b.FinishAppend(NotAppended, now)).To(Equal([]string{"a"}))
 		Expect(b.Pending()).To(BeZero())
 	})
 
-	It("never sends a claim again that was taken back in flight", func() {
+	It("doesn't resend a claim that was removed while in flight", func() {
 		b := NewBatcher(opts, start)
 		Expect(b.AddClaim(claim("a"), start)).To(Succeed())
-		b.Next(start.Add(time.Second), 1)
-		b.Remove("a")
-		Expect(b.Finished(Lost, start)).To(BeEmpty())
+		b.NextBatch(start.Add(time.Second), 1)
+		b.RemoveClaim("a")
+		Expect(b.FinishAppend(AppendUnknown, start)).To(BeEmpty())
 		Expect(b.Pending()).To(BeZero())
 	})
 
-	It("keeps releases before done records when too many wait, and retries them with backoff", func() {
+	It("drops done records before releases when too many are queued, and retries with a backoff", func() {
 		b := NewBatcher(opts, start)
 		for _, kind := range []Kind{KindRelease, KindDone, KindRelease} {
-			b.AddReport(Record{Kind: kind}, start)
+			b.AddOutcome(Record{Kind: kind}, start)
 		}
 		now := start.Add(time.Second)
-		batch, _ := b.Next(now, 1)
+		batch, _ := b.NextBatch(now, 1)
 		Expect(batch).To(HaveLen(2))
 		Expect(batch).To(HaveEach(HaveField("Kind", KindRelease)))
-		b.Finished(Unavailable, now)
-		_, wait := b.Next(now, 1)
-		Expect(wait).To(Equal(backoffBase))
+		b.FinishAppend(NotAppended, now)
+		_, wait := b.NextBatch(now, 1)
+		Expect(wait).To(Equal(minOutcomeBackoff))
 	})
 })
 
@@ -88,7 +88,7 @@
 			return
 		}
 		if _, err := EncodeBatch(records); err != nil {
-			t.Fatalf("decoded, but doesn't encode: %v", err)
+			t.Fatalf("decoded batch doesn't encode again: %v", err)
 		}
 	})
 }
