--- a/cmd/dogwoodflowctl/explain.go
+++ b/cmd/dogwoodflowctl/explain.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	story, err := explain.Walk(lines, id)
+	story, err := explain.Explain(lines, id)
 	if err != nil {
 		return err
 	}
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -6,120 +6,124 @@
 	"time"
 )
 
-// cause sums a story up in one line.
-func cause(s Story) string {
-	switch s.Kind {
+// cause summarizes an explanation's lines in one line.
+func cause(e Explanation) string {
+	switch e.Kind {
 	case "request":
-		return requestCause(s)
+		return requestCause(e)
 	case "sample":
-		return sampleCause(s)
+		return sampleCause(e)
 	case "window":
-		return windowCause(s)
+		return windowCause(e)
 	default:
-		return batchCause(s)
+		return batchCause(e)
 	}
 }
 
-func requestCause(s Story) string {
-	var sends []string
-	for _, l := range s.Lines {
-		if l.Text("request") != s.ID {
+// requestCause names the response that the caller got and the sends that failed.
+func requestCause(e Explanation) string {
+	var failedSends []string
+	for _, l := range e.Lines {
+		if l.Text("request") != e.ID {
 			continue
 		}
 		switch l.Message {
 		case "send failed":
-			sends = append(sends, fmt.Sprintf("%s: %s", l.Text("upstream"), l.Text("error")))
+			failedSends = append(failedSends, fmt.Sprintf("%s: %s", l.Text("upstream"), l.Text("error")))
 		case "upstream refused", "upstream failed the request":
-			sends = append(sends, fmt.Sprintf("%s: status %v", l.Text("upstream"), l.Fields["status"]))
+			failedSends = append(failedSends, fmt.Sprintf("%s: status %v", l.Text("upstream"), l.Fields["status"]))
 		case "no route":
 			return fmt.Sprintf("no route for %s%s in configuration %v", l.Text("host"), l.Text("path"), l.Fields["config"])
 		case "call refused":
 			out := fmt.Sprintf("answered %v (%s) after %v sends", l.Fields["status"], l.Text("reason"), l.Fields["sends"])
 			if tried := l.List("tried"); len(tried) > 0 {
-				sends = tried // the same sends, each with its load and time
+				failedSends = tried // the same sends, with the load and the duration of each
 			}
-			if len(sends) > 0 {
-				out += "; " + strings.Join(sends, "; ")
+			if len(failedSends) > 0 {
+				out += "; " + strings.Join(failedSends, "; ")
 			}
 			return out
 		}
 	}
-	return "answered in the end; " + strings.Join(sends, "; ")
+	return "answered in the end; " + strings.Join(failedSends, "; ")
 }
 
-func sampleCause(s Story) string {
-	runs, broken, last := 0, 0, ""
-	calls, noScore, why := 0, 0, ""
-	for _, l := range s.Lines {
-		if l.Text("sample") != s.ID {
+// sampleCause names why a sample was given up, or else how many of its runs and reward
+// calls failed, with the last error of each.
+func sampleCause(e Explanation) string {
+	runs, failedRuns, lastFailure := 0, 0, ""
+	rewardCalls, unscored, lastReason := 0, 0, ""
+	for _, l := range e.Lines {
+		if l.Text("sample") != e.ID {
 			continue
 		}
 		switch l.Message {
 		case "sample given up":
 			return "given up: " + l.Text("why")
 		case "reward call ended":
-			calls++
+			rewardCalls++
 			if l.Text("error") != "" {
-				noScore++
-				why = l.Text("why")
+				unscored++
+				lastReason = l.Text("why")
 			}
 		case "sample run ended":
 			runs++
 			if why := l.Text("error"); why != "" {
-				broken++
-				last = fmt.Sprintf("%s on %s after %v events", why, l.Text("upstream"), l.Fields["events"])
+				failedRuns++
+				lastFailure = fmt.Sprintf("%s on %s after %v events", why, l.Text("upstream"), l.Fields["events"])
 			}
 		}
 	}
 	if runs == 0 {
-		return "it never ran: see the batch's owner above"
+		return "it never ran: see the lines of the batch's owner above"
 	}
-	out := fmt.Sprintf("%d runs, %d broken off", runs, broken)
-	if last != "" {
-		out += "; the last: " + last
+	out := fmt.Sprintf("%d runs, %d broken off", runs, failedRuns)
+	if lastFailure != "" {
+		out += "; the last: " + lastFailure
 	}
-	if calls > 0 {
-		out += fmt.Sprintf("; %d reward calls, %d without a score", calls, noScore)
+	if rewardCalls > 0 {
+		out += fmt.Sprintf("; %d reward calls, %d without a score", rewardCalls, unscored)
 	}
-	if why != "" {
-		out += ", the last: " + why
+	if lastReason != "" {
+		out += ", the last: " + lastReason
 	}
 	return out
 }
 
-// windowCause tells what became of a window's report of usage.
-func windowCause(s Story) string {
-	lost, tries, last := 0, 0, ""
-	for _, l := range s.Lines {
+// windowCause names the outcome of the last usage report of a window, and how many
+// appends came too late for it.
+func windowCause(e Explanation) string {
+	lateAppends, reports, lastReport := 0, 0, ""
+	for _, l := range e.Lines {
 		switch l.Message {
 		case "counts lost: too late for their report", "counts lost: the store won't take them":
-			lost++
+			lateAppends++
 		case "usage reported":
-			tries++
-			after, _ := l.Fields["after_end"].(float64) // ms; a line without it says 0
-			last = fmt.Sprintf("%s by %s, %v requests of %v customers, %.1f s after the window's end", l.Text("outcome"), l.VM,
-				l.Fields["requests"], l.Fields["customers"], after/1000)
+			reports++
+			afterEndMS, _ := l.Fields["after_end"].(float64) // 0 if the line has no such field
+			lastReport = fmt.Sprintf("%s by %s, %v requests of %v customers, %.1f s after the window's end", l.Text("outcome"), l.VM,
+				l.Fields["requests"], l.Fields["customers"], afterEndMS/1000)
 		}
 	}
-	out := fmt.Sprintf("%d reports sent", tries)
-	if last != "" {
-		out += ", the last: " + last
+	out := fmt.Sprintf("%d reports sent", reports)
+	if lastReport != "" {
+		out += ", the last: " + lastReport
 	}
-	if lost > 0 {
-		out += fmt.Sprintf("; counts of %d appends came too late", lost)
+	if lateAppends > 0 {
+		out += fmt.Sprintf("; counts of %d appends came too late", lateAppends)
 	}
 	return out
 }
 
-// batchCause names what took a step's time: broken runs by reason, the owners, the
-// store, and the sample that ended last.
-func batchCause(s Story) string {
+// batchCause names what delayed a batch: the number of owners, the sample that ended
+// last, lost contacts to the store, and the most frequent error.
+func batchCause(e Explanation) string {
 	var submitted, ended time.Time
-	var final Line
+	var lastRun Line
 	reasons := map[string]int{}
 	owners := map[string]bool{}
-	store := 0
-	for _, l := range s.Lines {
+	contactLosses := 0
+	for _, l := range e.Lines {
 		switch l.Message {
 		case "batch submitted":
 			if l.Text("error") != "" {
@@ -131,28 +135,28 @@
 			ended = l.Time
 		case "sample run ended":
 			owners[l.VM] = true
-			final = l
+			lastRun = l
 			if why := l.Text("error"); why != "" {
 				reasons[firstLine(why)]++
 			}
 		case "store contact changed":
-			if up, _ := l.Fields["up"].(bool); !up {
-				store++
+			if inContact, _ := l.Fields["up"].(bool); !inContact {
+				contactLosses++
 			}
 		}
 	}
 	if submitted.IsZero() {
-		return "never accepted: " + most(reasons)
+		return "never accepted: " + mostFrequent(reasons)
 	}
-	out := fmt.Sprintf("%d owners; the last sample, %s, ended %s after submission", len(owners), final.Text("sample"), final.Time.Sub(submitted).Round(time.Millisecond))
+	out := fmt.Sprintf("%d owners; the last sample, %s, ended %s after submission", len(owners), lastRun.Text("sample"), lastRun.Time.Sub(submitted).Round(time.Millisecond))
 	if !ended.IsZero() {
 		out += fmt.Sprintf("; ended after %s", ended.Sub(submitted).Round(time.Millisecond))
 	}
-	if store > 0 {
-		out += fmt.Sprintf("; contact to the store was lost %d times", store)
+	if contactLosses > 0 {
+		out += fmt.Sprintf("; contact to the store was lost %d times", contactLosses)
 	}
 	if len(reasons) > 0 {
-		out += "; most frequent trouble: " + most(reasons)
+		out += "; most frequent trouble: " + mostFrequent(reasons)
 	}
 	return out
 }
@@ -162,12 +166,13 @@
 	return line
 }
 
-// most names the most frequent reason; of equals the first by name.
-func most(reasons map[string]int) string {
+// mostFrequent returns the reason with the highest count, and that count. Of several such
+// reasons it returns the first by name.
+func mostFrequent(reasons map[string]int) string {
 	best := ""
-	for why, n := range reasons {
-		if best == "" || n > reasons[best] || n == reasons[best] && why < best {
-			best = why
+	for reason, n := range reasons {
+		if best == "" || n > reasons[best] || n == reasons[best] && reason < best {
+			best = reason
 		}
 	}
 	if best == "" {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain finds in the daemons' log lines why a request, a sample or a
-// batch ended as it did. It is pure: lines go in, a story comes out.
+// Package explain derives from the daemons' log lines why a request, a sample, a batch
+// or a usage window ended as it did. It has no side effects: it takes log lines and
+// returns an Explanation.
 package explain
 
 import (
@@ -15,25 +16,25 @@
 	"time"
 )
 
-// ErrNotFound says that no line names the ID.
-var ErrNotFound = errors.New("no line names this ID")
+// ErrNotFound is returned for an ID that occurs in no line.
+var ErrNotFound = errors.New("no log line has this ID")
 
-// Line is one structured line of a daemon.
+// Line is one structured log line of a daemon.
 type Line struct {
 	Time    time.Time
-	VM      string
+	VM      string // name of the daemon's VM, "" if the line has none
 	Level   string
 	Message string
-	Fields  map[string]any // all others
+	Fields  map[string]any // the other fields, decoded from JSON
 }
 
-// Read takes the lines of one daemon's output. What isn't a structured line is
-// counted, not taken.
+// Read parses a daemon's output. Lines that aren't structured log lines are left out
+// and counted in skipped.
 func Read(in io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Text())
+		line, ok := parseLine(scanner.Text())
 		if !ok {
 			skipped++
 			continue
@@ -43,46 +44,49 @@
 	return lines, skipped, scanner.Err()
 }
 
-// maxLineBytes is far above what a daemon writes.
+// maxLineBytes is far above the length of the lines that daemons write.
 const maxLineBytes = 1 << 20
 
-// parse takes a line that may have a prefix of the log's collector.
-func parse(text string) (Line, bool) {
-	at := strings.IndexByte(text, '{')
-	if at < 0 {
+// parseLine parses a JSON log line, which may follow a prefix that the log collector
+// added. It returns false if the line isn't JSON or has no message or no valid time.
+func parseLine(text string) (Line, bool) {
+	start := strings.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	var fields map[string]any
-	if json.Unmarshal([]byte(text[at:]), &fields) != nil {
+	if json.Unmarshal([]byte(text[start:]), &fields) != nil {
 		return Line{}, false
 	}
 	l := Line{Fields: fields}
-	l.Message = l.move("message")
-	l.VM = l.move("vm")
-	l.Level = l.move("level")
-	when, err := time.Parse(time.RFC3339Nano, l.move("time"))
+	l.Message = l.takeText("message")
+	l.VM = l.takeText("vm")
+	l.Level = l.takeText("level")
+	timestamp, err := time.Parse(time.RFC3339Nano, l.takeText("time"))
 	if err != nil || l.Message == "" {
 		return Line{}, false
 	}
-	l.Time = when
+	l.Time = timestamp
 	return l, true
 }
 
-func (l *Line) move(name string) string {
+// takeText removes a string field and returns its value, or "" if there is none.
+func (l *Line) takeText(name string) string {
 	value, _ := l.Fields[name].(string)
 	delete(l.Fields, name)
 	return value
 }
 
-// Text is a string field, "" if there is none.
+// Text returns the value of a string field, or "" if there is none.
 func (l *Line) Text(name string) string {
 	value, _ := l.Fields[name].(string)
 	return value
 }
 
-// List returns a field that holds a list of texts.
+// List returns the elements of an array field as strings, or nil if there is no such
+// field.
 func (l Line) List(field string) []string {
-	values, _ := l.Fields[field].([]any) // a line without it has none
+	values, _ := l.Fields[field].([]any)
 	var out []string
 	for _, v := range values {
 		out = append(out, fmt.Sprint(v))
@@ -90,63 +94,65 @@
 	return out
 }
 
-// Story is what is known of an ID.
-type Story struct {
+// Explanation is what the log lines tell about an ID.
+type Explanation struct {
 	ID    string
 	Kind  string // request, sample, batch or window
-	Lines []Line // its own and those that bear on it, in order of time
-	Cause string
+	Lines []Line // lines with the ID, of a sample's batch, and for context, by time
+	Cause string // one-line summary
 }
 
-// idFields are the fields that name what a story can be about.
+// idFields are the fields whose values can be explained. Their names are the kinds of
+// an Explanation.
 var idFields = []string{"request", "sample", "batch", "window"}
 
-// keySeparator stands between the customer and the ID of a batch in lines.
-const keySeparator = ":"
+// customerSeparator separates the customer from the trainer's ID in a batch field.
+const customerSeparator = ":"
 
-// names reports whether a field of a line is an ID. A batch is asked for as its trainer
-// named it, with or without its customer; a window of usage is a number.
-func (l *Line) names(field, id string) bool {
+// hasID reports whether the field holds the ID. A batch matches with or without its
+// customer, since trainers know only the ID that they chose. Usage windows are numbers.
+func (l *Line) hasID(field, id string) bool {
 	switch value := l.Fields[field].(type) {
 	case string:
-		return value == id || field == "batch" && strings.HasSuffix(value, keySeparator+id)
+		return value == id || field == "batch" && strings.HasSuffix(value, customerSeparator+id)
 	case float64:
 		return strconv.FormatFloat(value, 'f', -1, 64) == id
 	}
 	return false
 }
 
-// Walk collects the story of an ID.
-func Walk(lines []Line, id string) (Story, error) {
-	s := Story{ID: id}
-	var own []Line
+// Explain collects the lines that concern an ID and derives the cause from them. The
+// error wraps ErrNotFound if no line has the ID.
+func Explain(lines []Line, id string) (Explanation, error) {
+	e := Explanation{ID: id}
+	var matching []Line
 	for _, l := range lines {
 		for _, field := range idFields {
-			if l.names(field, id) {
-				s.Kind = field
-				own = append(own, l)
+			if l.hasID(field, id) {
+				e.Kind = field
+				matching = append(matching, l)
 				break
 			}
 		}
 	}
-	if len(own) == 0 {
-		return Story{}, fmt.Errorf("%w: %s", ErrNotFound, id)
+	if len(matching) == 0 {
+		return Explanation{}, fmt.Errorf("%w: %s", ErrNotFound, id)
 	}
-	own = append(own, batchOf(lines, own, s.Kind)...)
-	s.Lines = append(own, circumstances(lines, own)...)
-	slices.SortStableFunc(s.Lines, func(a, b Line) int {
+	matching = append(matching, batchLines(lines, matching, e.Kind)...)
+	e.Lines = append(matching, contextLines(lines, matching)...)
+	slices.SortStableFunc(e.Lines, func(a, b Line) int {
 		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.VM, b.VM))
 	})
-	s.Cause = cause(s)
-	return s, nil
+	e.Cause = cause(e)
+	return e, nil
 }
 
-// batchOf returns the lines on a sample's batch as a whole.
-func batchOf(lines, own []Line, kind string) []Line {
+// batchLines returns, for a sample, the lines about its batch that name no sample.
+func batchLines(lines, matching []Line, kind string) []Line {
 	if kind != "sample" {
 		return nil
 	}
-	id := own[0].Text("batch")
+	id := matching[0].Text("batch")
 	var out []Line
 	for _, l := range lines {
 		if l.Text("batch") == id && l.Text("sample") == "" {
@@ -156,8 +162,9 @@
 	return out
 }
 
-// bearing are messages without an ID that tell of the VM's or an upstream's state.
-var bearing = []string{
+// contextMessages are messages without an ID that report the state of a VM or an
+// upstream.
+var contextMessages = []string{
 	"started", "stopping: not ready any more", "stopped", "settings read again", "store contact changed", "group not reached",
 	"partitions owned", "configuration read", "engine is slow, moving samples", "append failed, trying again", "load ended",
 	"load for another VM ended", "upstream registered", "upstream removed",
@@ -165,17 +172,18 @@
 	"duties' log not read to its end, nothing is done", "record of the duties not appended",
 }
 
-// margin is how long before the first own line circumstances still bear on it.
-const margin = 3 * time.Second
+// contextLead is how long before the first matching line context lines start.
+const contextLead = 3 * time.Second
 
-// circumstances returns what happened meanwhile on the VMs and upstreams involved.
-func circumstances(lines, own []Line) []Line {
+// contextLines returns the lines with contextMessages of the VMs and upstreams that the
+// matching lines name, from contextLead before the first to the last matching line.
+func contextLines(lines, matching []Line) []Line {
 	vms, upstreams := map[string]bool{}, map[string]bool{}
-	from, to := own[0].Time, own[0].Time
-	for _, l := range own {
+	from, to := matching[0].Time, matching[0].Time
+	for _, l := range matching {
 		vms[l.VM] = true
-		if u := l.Text("upstream"); u != "" {
-			upstreams[u] = true
+		if upstream := l.Text("upstream"); upstream != "" {
+			upstreams[upstream] = true
 		}
 		if l.Time.Before(from) {
 			from = l.Time
@@ -186,64 +194,68 @@
 	}
 	var out []Line
 	for _, l := range lines {
-		u := l.Text("upstream")
-		near := vms[l.VM] && u == "" || upstreams[u]
-		if near && slices.Contains(bearing, l.Message) && l.Time.After(from.Add(-margin)) && !l.Time.After(to) {
+		upstream := l.Text("upstream")
+		involved := vms[l.VM] && upstream == "" || upstreams[upstream]
+		if involved && slices.Contains(contextMessages, l.Message) && l.Time.After(from.Add(-contextLead)) && !l.Time.After(to) {
 			out = append(out, l)
 		}
 	}
-	return thin(out)
+	return dropRepeats(out)
 }
 
-// thinning is how long the same message of a VM isn't told again: what retries
-// meet during an outage is told once.
-const thinning = 5 * time.Second
+// repeatInterval is how long the same message of a VM is left out after it was kept, so
+// that the retries during an outage take one line.
+const repeatInterval = 5 * time.Second
 
-func thin(lines []Line) []Line {
-	told := map[string]time.Time{}
+// dropRepeats removes lines that repeat a line kept less than repeatInterval before.
+func dropRepeats(lines []Line) []Line {
+	lastKept := map[string]time.Time{}
 	return slices.DeleteFunc(lines, func(l Line) bool {
 		key := fmt.Sprint(l.VM, l.Message, l.Fields["up"], l.Fields["upstream"], l.Fields["generation"])
-		if at, ok := told[key]; ok && l.Time.Sub(at) < thinning {
+		if at, ok := lastKept[key]; ok && l.Time.Sub(at) < repeatInterval {
 			return true
 		}
-		told[key] = l.Time
+		lastKept[key] = l.Time
 		return false
 	})
 }
 
-// Write prints the story, one line each, with the fields in order of their names.
-func (s Story) Write(w io.Writer) error {
-	if _, err := fmt.Fprintf(w, "%s %s\n", s.Kind, s.ID); err != nil {
+// Write prints a header, one line per log line with its fields sorted by name, and the
+// cause.
+func (e Explanation) Write(w io.Writer) error {
+	if _, err := fmt.Fprintf(w, "%s %s\n", e.Kind, e.ID); err != nil {
 		return err
 	}
-	for _, l := range s.Lines {
-		if _, err := fmt.Fprintf(w, "%s %-18s %s%s\n", l.Time.UTC().Format("15:04:05.000"), l.VM, l.Message, l.fields(s.ID)); err != nil {
+	for _, l := range e.Lines {
+		if _, err := fmt.Fprintf(w, "%s %-18s %s%s\n", l.Time.UTC().Format("15:04:05.000"), l.VM, l.Message, l.formatFields(e.ID)); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "cause: %s\n", s.Cause)
+	_, err := fmt.Fprintf(w, "cause: %s\n", e.Cause)
 	return err
 }
 
-// text writes a value; whole numbers keep their digits.
-func text(value any) string {
+// formatValue formats a field's value, numbers without an exponent.
+func formatValue(value any) string {
 	if n, ok := value.(float64); ok {
 		return strconv.FormatFloat(n, 'f', -1, 64)
 	}
 	return fmt.Sprint(value)
 }
 
-func (l *Line) fields(known string) string {
+// formatFields formats the fields sorted by name, without those that hold the ID
+// already printed in the header.
+func (l *Line) formatFields(id string) string {
 	var out strings.Builder
 	names := make([]string, 0, len(l.Fields))
 	for name, value := range l.Fields {
-		if value != known {
+		if value != id {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		fmt.Fprintf(&out, " %s=%s", name, text(l.Fields[name]))
+		fmt.Fprintf(&out, " %s=%s", name, formatValue(l.Fields[name]))
 	}
 	return out.String()
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -11,13 +11,13 @@
 	. "github.com/onsi/gomega"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// recorded reads lines that daemons wrote on a day with an outage of the store, a
-// killed VM and slow engines.
-func recorded(t *testing.T) []Line { return linesOf(t, "daemons.log") }
+// recordedLines returns log lines that daemons wrote on a day with an outage of the
+// store, a killed VM and slow engines.
+func recordedLines(t *testing.T) []Line { return readTestdata(t, "daemons.log") }
 
-func linesOf(t *testing.T, name string) []Line {
+func readTestdata(t *testing.T, name string) []Line {
 	file, err := os.Open(filepath.Join("testdata", name))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	defer file.Close()
@@ -27,11 +27,10 @@
 	return lines
 }
 
-// Four complaints as they come at night: a call that got 504, a sample that took many
-// runs, a step that came late, a window of usage that was reported late. Each story has to
-// name its cause in the last line.
-func TestStoriesOfRecordedLines(t *testing.T) {
-	lines := append(recorded(t), linesOf(t, "duties.log")...)
+// Guards against an explanation that doesn't name the cause, for a request answered with
+// 504, a sample with many runs, a step that ended late and a usage window reported late.
+func TestExplainRecordedLines(t *testing.T) {
+	lines := append(recordedLines(t), readTestdata(t, "duties.log")...)
 	for _, c := range []struct{ id, kind, cause string }{
 		{"e10917fa8ca53d30", "request", "answered 504 (deadline) after 1 sends"},
 		{"0a4dda9a95d90b56", "sample", "13 runs, 12 broken off; the last: moved to another engine"},
@@ -40,12 +39,12 @@
 	} {
 		t.Run(c.kind, func(t *testing.T) {
 			g := NewWithT(t)
-			story, err := Walk(lines, c.id)
+			explanation, err := Explain(lines, c.id)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(story.Kind).To(Equal(c.kind))
-			g.Expect(story.Cause).To(ContainSubstring(c.cause))
+			g.Expect(explanation.Kind).To(Equal(c.kind))
+			g.Expect(explanation.Cause).To(ContainSubstring(c.cause))
 			var out bytes.Buffer
-			g.Expect(story.Write(&out)).To(Succeed())
+			g.Expect(explanation.Write(&out)).To(Succeed())
 			golden := filepath.Join("testdata", c.kind+".golden")
 			if *update {
 				g.Expect(os.WriteFile(golden, out.Bytes(), 0o644)).To(Succeed())
@@ -57,24 +56,25 @@
 	}
 }
 
-// A trainer complains of a batch by the ID that it gave, while lines name it with its
-// customer. Another customer's batch of the same ID is found by its whole name.
-func TestBatchIsFoundByItsTrainersID(t *testing.T) {
+// Log lines name a batch by its customer and the trainer's ID, but a trainer knows only its
+// own ID. Both must find the batch; the qualified one tells customers apart that chose the
+// same ID.
+func TestBatchIsFoundWithAndWithoutItsCustomer(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := Read(strings.NewReader(`{"batch":"koperasi:7c41","message":"batch submitted","vm":"a","time":"2026-01-01T00:00:00.5Z"}` + "\n"))
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, id := range []string{"7c41", "koperasi:7c41"} {
-		story, err := Walk(lines, id)
+		explanation, err := Explain(lines, id)
 		g.Expect(err).NotTo(HaveOccurred(), id)
-		g.Expect(story.Kind).To(Equal("batch"))
+		g.Expect(explanation.Kind).To(Equal("batch"))
 	}
-	_, err = Walk(lines, "c41")
+	_, err = Explain(lines, "c41")
 	g.Expect(err).To(MatchError(ErrNotFound))
 }
 
-func TestUnknownIDAndOtherText(t *testing.T) {
+func TestUnknownIDsAndUnstructuredLines(t *testing.T) {
 	g := NewWithT(t)
-	_, err := Walk(recorded(t), "nobody")
+	_, err := Explain(recordedLines(t), "nobody")
 	g.Expect(err).To(MatchError(ErrNotFound))
 	lines, skipped, err := Read(strings.NewReader("plain text\n{\"no\":\"message\"}\nprefix {\"message\":\"m\",\"time\":\"2026-01-01T00:00:00.5Z\"}\n"))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -82,7 +82,7 @@
 	g.Expect(lines).To(HaveLen(1))
 }
 
-func TestCausesOfRequests(t *testing.T) {
+func TestRequestCauses(t *testing.T) {
 	for _, c := range []struct{ lines, cause string }{
 		{`{"request":"r","message":"no route","host":"h","path":"/p","config":3,"time":"2026-01-01T00:00:00Z"}`, "no route for h/p in configuration 3"},
 		{`{"request":"r","message":"send failed","upstream":"u1","error":"reset","time":"2026-01-01T00:00:00Z"}
@@ -94,15 +94,15 @@
 		g := NewWithT(t)
 		lines, _, err := Read(strings.NewReader(c.lines))
 		g.Expect(err).NotTo(HaveOccurred())
-		story, err := Walk(lines, "r")
+		explanation, err := Explain(lines, "r")
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(story.Cause).To(Equal(c.cause))
+		g.Expect(explanation.Cause).To(Equal(c.cause))
 	}
 }
 
-// A sample stands without a score, and a call waited somewhere. The lines name the reward
-// calls and each upstream that was tried; the story's last line has to say so.
-func TestStoriesOfScoresAndSends(t *testing.T) {
+// Guards against causes that leave out a sample's failed reward calls, or the upstreams that
+// a request was sent to.
+func TestCausesNameRewardCallsAndSends(t *testing.T) {
 	g := NewWithT(t)
 	lines, _, err := Read(strings.NewReader(`{"time":"2026-01-01T00:00:00.1Z","vm":"a","sample":"s1","batch":"b1","message":"sample run ended"}
 {"time":"2026-01-01T00:00:00.5Z","vm":"a","sample":"s1","batch":"b1","reward_call":"r1","error":"reward call without a score","why":"status 500","message":"reward call ended"}
@@ -110,10 +110,10 @@
 {"time":"2026-01-01T00:00:01Z","vm":"a","request":"c1","status":504,"reason":"deadline","sends":2,"tried":["u0 load=9 age=80ms no answer after 780ms","u1 load=-1 age=0ms reset after 3ms"],"message":"call refused"}
 `))
 	g.Expect(err).NotTo(HaveOccurred())
-	story, err := Walk(lines, "s1")
+	explanation, err := Explain(lines, "s1")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(story.Cause).To(ContainSubstring("2 reward calls, 1 without a score, the last: status 500"))
-	story, err = Walk(lines, "c1")
+	g.Expect(explanation.Cause).To(ContainSubstring("2 reward calls, 1 without a score, the last: status 500"))
+	explanation, err = Explain(lines, "c1")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(story.Cause).To(ContainSubstring("after 2 sends; u0 load=9 age=80ms no answer after 780ms; u1"))
+	g.Expect(explanation.Cause).To(ContainSubstring("after 2 sends; u0 load=9 age=80ms no answer after 780ms; u1"))
 }
