--- a/internal/inspect/pages/pages.go
+++ b/internal/inspect/pages/pages.go
@@ -1,4 +1,4 @@
-// Package pages serves a daemon's view of itself to operators over HTTP.
+// Package pages serves the state of a daemon to operators, as JSON over HTTP.
 package pages
 
 import (
@@ -15,19 +15,21 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// Errors of an Ender.
+// Errors that a BatchEnder returns.
 var (
 	ErrNotFound = errors.New("no such batch")
-	// ErrNotRun: certain that the batch wasn't ended by this call.
+	// ErrNotRun is returned if the call certainly didn't end the batch.
 	ErrNotRun = errors.New("nothing was done")
 )
 
-// Ender ends a batch. Any other error than those above leaves the outcome open.
-type Ender interface {
+// BatchEnder ends batches.
+type BatchEnder interface {
+	// End ends the batch with the ID. The outcome is unknown after an error that wraps
+	// neither ErrNotFound nor ErrNotRun.
 	End(ctx context.Context, id string) error
 }
 
-// Paths of the pages.
+// Paths of the pages. The path of a batch is PathBatches, a slash and its ID.
 const (
 	PathStatus    = "/state"
 	PathBatches   = "/state/batches"
@@ -36,21 +38,21 @@
 	PathCustomers = "/state/customers"
 )
 
-// Register adds the pages to a router.
-func Register(r *mux.Router, s inspect.Source, e Ender, log zerolog.Logger) {
-	p := &pages{s, e, log}
-	r.HandleFunc(PathStatus, func(w http.ResponseWriter, _ *http.Request) { p.write(w, s.Status()) }).Methods(http.MethodGet)
-	r.HandleFunc(PathBatches, func(w http.ResponseWriter, _ *http.Request) { p.write(w, s.Batches()) }).Methods(http.MethodGet)
-	r.HandleFunc(PathUpstreams, func(w http.ResponseWriter, _ *http.Request) { p.write(w, s.Upstreams()) }).Methods(http.MethodGet)
-	r.HandleFunc(PathDuties, func(w http.ResponseWriter, _ *http.Request) { p.write(w, s.Duties()) }).Methods(http.MethodGet)
-	r.HandleFunc(PathCustomers, func(w http.ResponseWriter, _ *http.Request) { p.write(w, s.Customers()) }).Methods(http.MethodGet)
+// Register adds the pages of a source, and the request that ends a batch, to a router.
+func Register(r *mux.Router, source inspect.Source, ender BatchEnder, log zerolog.Logger) {
+	p := &pages{source, ender, log}
+	r.HandleFunc(PathStatus, func(w http.ResponseWriter, _ *http.Request) { p.write(w, source.Status()) }).Methods(http.MethodGet)
+	r.HandleFunc(PathBatches, func(w http.ResponseWriter, _ *http.Request) { p.write(w, source.Batches()) }).Methods(http.MethodGet)
+	r.HandleFunc(PathUpstreams, func(w http.ResponseWriter, _ *http.Request) { p.write(w, source.Upstreams()) }).Methods(http.MethodGet)
+	r.HandleFunc(PathDuties, func(w http.ResponseWriter, _ *http.Request) { p.write(w, source.Duties()) }).Methods(http.MethodGet)
+	r.HandleFunc(PathCustomers, func(w http.ResponseWriter, _ *http.Request) { p.write(w, source.Customers()) }).Methods(http.MethodGet)
 	r.HandleFunc(PathBatches+"/{id}", p.batch).Methods(http.MethodGet)
 	r.HandleFunc(PathBatches+"/{id}", p.end).Methods(http.MethodDelete)
 }
 
 type pages struct {
 	source inspect.Source
-	ender  Ender
+	ender  BatchEnder
 	log    zerolog.Logger
 }
 
@@ -67,7 +69,7 @@
 func (p *pages) end(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)["id"]
 	err := p.ender.End(r.Context(), id)
-	p.log.Info().Str("batch", id).Err(err).Msg("batch ended by an operator")
+	p.log.Info().Str("batch", id).Err(err).Msg("operator asked to end a batch")
 	switch {
 	case err == nil:
 		w.WriteHeader(http.StatusNoContent)
@@ -80,18 +82,20 @@
 	}
 }
 
+// write answers with v as JSON.
 func (p *pages) write(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		p.log.Info().Err(err).Msg("operator left before the page was whole")
+		p.log.Info().Err(err).Msg("could not write a page to an operator")
 	}
 }
 
+// problem answers with a problem document.
 func (p *pages) problem(w http.ResponseWriter, status int, detail string, o outcome.Outcome) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(status)
 	problem := httpapi.Problem{Title: http.StatusText(status), Status: status, Detail: detail, Outcome: o}
 	if err := json.NewEncoder(w).Encode(problem); err != nil {
-		p.log.Info().Err(err).Msg("operator left before the answer was whole")
+		p.log.Info().Err(err).Msg("could not write an error response to an operator")
 	}
 }
