--- a/cmd/dogwoodflowd/main.go
+++ b/cmd/dogwoodflowd/main.go
@@ -56,7 +56,7 @@
 	out := logline.New(os.Stdout)
 	defer out.Close()
 	log := zerolog.New(out).Level(level).With().Timestamp().Logger()
-	without, err := policy.Parse(d.Without)
+	without, err := policy.Parse(d.DisabledMechanisms)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dogwoodflowd:", err)
 		return app.ExitSettings
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -5,32 +5,32 @@
 	"strings"
 )
 
-// minSecretLength keeps out secrets that could be guessed.
+// minSecretLength, in bytes, excludes secrets that could be guessed.
 const minSecretLength = 16
 
-// Secret is a credential. Its printed form never shows the value, so that it
-// can't reach a log, an error or the time line by accident.
+// Secret is a credential. Its formatted and encoded forms hide the value, so that it doesn't
+// get into a log, an error or the timeline by accident.
 type Secret string
 
 // String hides the value.
 func (Secret) String() string { return "[redacted]" }
 
-// GoString hides the value from %#v.
+// GoString hides the value in %#v.
 func (Secret) GoString() string { return "[redacted]" }
 
-// MarshalText hides the value from encoders.
+// MarshalText hides the value in encoded text.
 func (Secret) MarshalText() ([]byte, error) { return []byte("[redacted]"), nil }
 
-// readSecret takes a secret from a file when one is named, else from the
-// environment variable. Secrets have no flag: flags show in process listings.
-func (c *checker) readSecret(to *Secret, setting, file, envName string) {
+// readSecret reads a secret from the file if one is named, otherwise from the environment
+// variable. Secrets have no flag, since flags are visible in process listings.
+func (v *validator) readSecret(to *Secret, setting, file, envVar string) {
 	if file == "" {
-		*to = Secret(os.Getenv(envName))
+		*to = Secret(os.Getenv(envVar))
 		return
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
-		c.add(setting, file, "must be a file that the daemon can read: "+err.Error())
+		v.add(setting, file, "must be a file that the daemon can read: "+err.Error())
 		return
 	}
 	*to = Secret(strings.TrimSpace(string(data)))
