--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -24,7 +24,7 @@
 
 const (
 	callTimeout    = 45 * time.Second // above the longest wait of the API
-	maxAnswerBytes = 64 << 20
+	maxResponseBytes = 64 << 20
 )
 
 // ErrTooLarge says that an answer is longer than this client reads.
@@ -96,22 +96,22 @@
 	req.Header.Set("Authorization", "Bearer "+c.token)
 	res, err := c.http.Do(req)
 	if err != nil {
-		return &TransportError{Base: c.base, Outcome: outcomeOf(method, err), Err: err}
+		return &TransportError{Base: c.base, Outcome: transportOutcome(method, err), Err: err}
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes+1))
-	if err == nil && len(data) > maxAnswerBytes {
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes+1))
+	if err == nil && len(data) > maxResponseBytes {
 		err = ErrTooLarge
 	}
 	if err != nil {
-		return &TransportError{Base: c.base, Outcome: outcomeOf(method, err), Err: err}
+		return &TransportError{Base: c.base, Outcome: transportOutcome(method, err), Err: err}
 	}
-	return decode(res, data, out)
+	return decodeResponse(res, data, out)
 }
 
-// outcomeOf says whether a request without a whole answer may have changed
+// transportOutcome says whether a request without a whole answer may have changed
 // something: one that reads can't have, nor one that found no connection.
-func outcomeOf(method string, err error) outcome.Outcome {
+func transportOutcome(method string, err error) outcome.Outcome {
 	var op *net.OpError
 	var certificate *tls.CertificateVerificationError
 	if method == http.MethodGet || errors.As(err, &certificate) || (errors.As(err, &op) && op.Op == "dial") {
@@ -120,9 +120,9 @@
 	return outcome.Unknown
 }
 
-func decode(res *http.Response, data []byte, out any) error {
+func decodeResponse(res *http.Response, data []byte, out any) error {
 	if res.StatusCode >= http.StatusMultipleChoices {
-		return problemIn(res, data)
+		return problemError(res, data)
 	}
 	if out == nil || len(data) == 0 {
 		return nil
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func problemIn(res *http.Response, data []byte) error {
+func problemError(res *http.Response, data []byte) error {
 	p := httpapi.Problem{Status: res.StatusCode, Title: http.StatusText(res.StatusCode)}
 	if json.Unmarshal(data, &p) != nil { // not a problem document: the status stands
 		p.Detail = "the answer is no problem document; are the URL's scheme (http or https) and port those of a daemon?"
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli runs a tool's command tree from main and turns its end into an exit code.
+// Package cli runs the command tree of a command-line tool and returns its exit code.
 package cli
 
 import (
@@ -20,9 +20,9 @@
 	ExitUsage  = 2
 )
 
-// Main parses the process's arguments, runs the command that they select and
-// returns the exit code. Flags are read from the environment too, under
-// envPrefix. SIGINT and SIGTERM end the command's context.
+// Main parses the process's arguments, runs the command that they select and returns the exit
+// code. Flags can also be set by environment variables whose names start with envPrefix.
+// SIGINT and SIGTERM cancel the command's context.
 func Main(root *ff.Command, envPrefix string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -42,7 +42,7 @@
 	}
 }
 
-// help describes the sub-command that the arguments got to, or the whole tool.
+// help returns the help of the selected subcommand, or of the tool if there is none.
 func help(root *ff.Command) ffhelp.Help {
 	if selected := root.GetSelected(); selected != nil {
 		return ffhelp.Command(selected)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a test got with a recorded file. Only tests use it.
+// Package golden compares the output of tests with golden files.
 package golden
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Expect compares with a file under testdata, which UPDATE_GOLDEN=1 writes anew.
+// Expect fails the test if got differs from the content of a file in the directory testdata.
+// With UPDATE_GOLDEN=1 in the environment it first writes got to the file.
 func Expect(file, got string) {
 	ginkgo.GinkgoHelper()
 	path := filepath.Join("testdata", file)
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline writes structured log lines to standard output without ever
-// making the caller wait, and within a bounded rate.
+// Package logline writes log lines asynchronously and at a limited rate, so that a slow reader
+// of the log never blocks the daemon.
 package logline
 
 import (
@@ -12,41 +12,42 @@
 )
 
 const (
-	// queueLines is how many lines may wait for the output. At some 300 bytes each
-	// they hold under 1 MB.
+	// queueLines is the capacity of the queue. At about 300 bytes per line, a full queue
+	// takes less than 1 MB.
 	queueLines = 2048
-	// linesPerSecond bounds the volume under load; burstLines may come at once, as
+	// linesPerSecond limits the volume under load. Up to burstLines are accepted at once, as
 	// when a batch of samples starts.
 	linesPerSecond = 400
 	burstLines     = 2000
 )
 
+// dropped counts lines that were not written.
 var dropped = metrics.Counter("log_lines_dropped")
 
-// Writer queues lines for a slower writer. A line that finds no room, or exceeds
-// the rate, is dropped and counted. It is safe for concurrent use.
+// Writer queues lines for another writer. It drops and counts lines that exceed the queue's
+// capacity or the rate. It is safe for concurrent use.
 type Writer struct {
 	out   io.Writer
-	lines chan []byte
-	done  chan struct{}
+	lines chan []byte   // nil is sent by Close and ends run
+	done  chan struct{} // closed when run returns
 	now   func() time.Time
 
-	closed atomic.Bool
-	mu     sync.Mutex
-	tokens float64
-	at     time.Time
+	closed     atomic.Bool
+	mu         sync.Mutex // guards the token bucket below
+	tokens     float64    // lines that may be written now
+	refilledAt time.Time  // when tokens was last refilled
 }
 
-// New returns a Writer that writes to out until Close.
+// New returns a Writer that writes to out until it is closed.
 func New(out io.Writer) *Writer { return newWriter(out, time.Now) }
 
 func newWriter(out io.Writer, now func() time.Time) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{}), now: now, tokens: burstLines, at: now()}
+	w := &Writer{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{}), now: now, tokens: burstLines, refilledAt: now()}
 	go w.run()
 	return w
 }
 
-// Write queues one line. It never fails and never waits.
+// Write queues one line. It never fails and never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	if w.closed.Load() || !w.allow() {
 		dropped.Add(1)
@@ -60,12 +61,13 @@
 	return len(line), nil
 }
 
+// allow takes a token and reports whether there was one.
 func (w *Writer) allow() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
-	w.tokens = min(burstLines, w.tokens+now.Sub(w.at).Seconds()*linesPerSecond)
-	w.at = now
+	w.tokens = min(burstLines, w.tokens+now.Sub(w.refilledAt).Seconds()*linesPerSecond)
+	w.refilledAt = now
 	if w.tokens < 1 {
 		return false
 	}
@@ -73,24 +75,25 @@
 	return true
 }
 
+// run writes queued lines to out until it receives nil.
 func (w *Writer) run() {
 	defer close(w.done)
 	for line := range w.lines {
 		if line == nil {
 			return
 		}
-		if _, err := w.out.Write(w.gather(line)); err != nil {
+		if _, err := w.out.Write(w.joinQueued(line)); err != nil {
 			dropped.Add(1)
 		}
 	}
 }
 
-// gather joins the lines that wait, so that a burst costs one call.
-func (w *Writer) gather(line []byte) []byte {
+// joinQueued appends all queued lines to line, so that a burst is written in one call.
+func (w *Writer) joinQueued(line []byte) []byte {
 	for range len(w.lines) {
 		next := <-w.lines
 		if next == nil {
-			w.lines <- nil // Close is waiting; it comes last
+			w.lines <- nil // from Close: run receives it next
 			return line
 		}
 		line = append(line, next...)
@@ -98,21 +101,22 @@
 	return line
 }
 
-// closeWait bounds the wait for an output that doesn't take the last lines.
-const closeWait = 200 * time.Millisecond
+// closeTimeout is how long Close waits, at each of its two steps, for an output that blocks.
+const closeTimeout = 200 * time.Millisecond
 
-// Close writes what is queued, as far as the output takes it.
+// Close writes the queued lines and stops the Writer. It gives up if the output blocks for
+// longer than closeTimeout.
 func (w *Writer) Close() {
 	if w.closed.Swap(true) {
 		return
 	}
 	select {
 	case w.lines <- nil:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 		return
 	}
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -9,22 +9,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// buffer is an output that may be stuck.
-type buffer struct {
-	stuck chan struct{} // writes wait until it is closed; nil: they don't
-	data  bytes.Buffer
+// blockingBuffer is an output whose writes can block.
+type blockingBuffer struct {
+	blocked chan struct{} // if not nil, writes block until it is closed
+	data    bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
-	if b.stuck != nil {
-		<-b.stuck
+func (b *blockingBuffer) Write(p []byte) (int, error) {
+	if b.blocked != nil {
+		<-b.blocked
 	}
 	return b.data.Write(p)
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &buffer{}
+		out := &blockingBuffer{}
 		w := New(out)
 		for _, line := range []string{"a\n", "b\n", "c\n"} {
 			_, err := w.Write([]byte(line))
@@ -37,12 +37,12 @@
 	})
 }
 
-// Whoever collects the logs stops reading. A daemon that waited for it would stop
-// answering its callers.
-func TestStuckOutputBlocksNobody(t *testing.T) {
+// The log collector stops reading. A daemon that waited for it would stop answering its
+// callers.
+func TestWriteDoesNotBlockOnBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		out := &buffer{stuck: make(chan struct{})}
+		out := &blockingBuffer{blocked: make(chan struct{})}
 		w := New(out)
 		before := dropped.Value()
 		for range burstLines + 500 {
@@ -50,15 +50,15 @@
 			g.Expect(err).NotTo(HaveOccurred())
 		}
 		g.Expect(dropped.Value() - before).To(BeNumerically(">=", 500))
-		w.Close() // gives up waiting
-		close(out.stuck)
+		w.Close() // times out
+		close(out.blocked)
 	})
 }
 
-func TestRateIsBounded(t *testing.T) {
+func TestRateIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		out := &buffer{}
+		out := &blockingBuffer{}
 		w := New(out)
 		before := dropped.Value()
 		for range 10 {
@@ -70,6 +70,6 @@
 		w.Close()
 		lines := bytes.Count(out.data.Bytes(), []byte("\n"))
 		g.Expect(lines).To(BeNumerically("<=", burstLines+10*linesPerSecond))
-		g.Expect(lines+int(dropped.Value()-before)).To(Equal(10_000), "what is dropped is counted")
+		g.Expect(lines+int(dropped.Value()-before)).To(Equal(10_000), "dropped lines are counted")
 	})
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics publishes counters and gauges through expvar.
+// Package metrics publishes counters, gauges and histograms through expvar.
 package metrics
 
 import (
@@ -6,6 +6,7 @@
 	"sync"
 )
 
+// mu guards the lookup and publication of names.
 var mu sync.Mutex
 
 // Counter returns the counter of that name and publishes it on first use.
@@ -14,7 +15,8 @@
 // Gauge returns the gauge of that name and publishes it on first use.
 func Gauge(name string) *expvar.Int { return lookup(name) }
 
-// lookup guards expvar.Publish, which ends the process when a name comes twice.
+// lookup returns the variable of that name and publishes it on first use, since expvar.Publish
+// panics if a name is published twice.
 func lookup(name string) *expvar.Int {
 	mu.Lock()
 	defer mu.Unlock()
