--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,5 +1,5 @@
-// Package adminclient speaks the daemon's administration and trainer APIs, for
-// the command-line tool.
+// Package adminclient is a client of a daemon's administration and trainer APIs for the
+// command-line tool.
 package adminclient
 
 import (
@@ -23,30 +23,29 @@
 )
 
 const (
-	callTimeout    = 45 * time.Second // above the longest wait of the API
+	callTimeout      = 45 * time.Second // longer than the longest wait of the API
 	maxResponseBytes = 64 << 20
 )
 
-// ErrTooLarge says that an answer is longer than this client reads.
-var ErrTooLarge = errors.New("the answer is too large")
+// ErrTooLarge is returned for a response longer than maxResponseBytes.
+var ErrTooLarge = errors.New("response too large")
 
 // Client calls one port of one daemon.
 type Client struct {
-	base  string
-	token string
+	base  string // URL without a trailing slash
+	token string // bearer token
 	http  *http.Client
 }
 
-// New returns a client for a base URL such as http://127.0.0.1:8082. caFile, if
-// not empty, names a PEM file with the authorities to trust instead of the
-// system's.
+// New returns a client for a base URL such as http://127.0.0.1:8082. If caFile isn't empty, it
+// names a PEM file with the certificate authorities to trust instead of the system's.
 func New(base, token, caFile string) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		return nil, fmt.Errorf("%q is no base URL, as in http://127.0.0.1:8082", base)
+		return nil, fmt.Errorf("%q is not a base URL such as http://127.0.0.1:8082", base)
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	transport.Proxy = nil // the token goes to the daemon and nobody else
+	transport.Proxy = nil // the token must reach nobody but the daemon
 	if caFile != "" {
 		pool, err := readAuthorities(caFile)
 		if err != nil {
@@ -60,9 +59,10 @@
 	}, nil
 }
 
-// Base is the URL that the client calls.
+// Base returns the base URL that the client calls.
 func (c *Client) Base() string { return c.base }
 
+// noRedirect makes the client return redirects as responses instead of following them.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func readAuthorities(file string) (*x509.CertPool, error) {
@@ -77,9 +77,9 @@
 	return pool, nil
 }
 
-// Call sends a request with a JSON body, if in isn't nil, and decodes the answer
-// into out, if it isn't nil. Errors: *Error for a problem document,
-// *TransportError when there was no whole answer.
+// Call sends a request, with in as its JSON body if in isn't nil, and decodes the response into
+// out if out isn't nil. The error is an *Error if the daemon answered with an error status, and
+// a *TransportError if there was no complete response.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -109,17 +109,19 @@
 	return decodeResponse(res, data, out)
 }
 
-// transportOutcome says whether a request without a whole answer may have changed
-// something: one that reads can't have, nor one that found no connection.
+// transportOutcome returns the outcome of a request without a complete response. It is NotRun
+// for a read, and for a request for which no connection could be opened.
 func transportOutcome(method string, err error) outcome.Outcome {
-	var op *net.OpError
-	var certificate *tls.CertificateVerificationError
-	if method == http.MethodGet || errors.As(err, &certificate) || (errors.As(err, &op) && op.Op == "dial") {
+	var opErr *net.OpError
+	var certErr *tls.CertificateVerificationError
+	if method == http.MethodGet || errors.As(err, &certErr) || (errors.As(err, &opErr) && opErr.Op == "dial") {
 		return outcome.NotRun
 	}
 	return outcome.Unknown
 }
 
+// decodeResponse decodes the body of a response into out if out isn't nil, or returns an *Error
+// for an error status.
 func decodeResponse(res *http.Response, data []byte, out any) error {
 	if res.StatusCode >= http.StatusMultipleChoices {
 		return problemError(res, data)
@@ -128,15 +130,17 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return fmt.Errorf("decode the answer (is the URL's port the right one of a daemon?): %w", err)
+		return fmt.Errorf("decode the response (is this the right port of a daemon?): %w", err)
 	}
 	return nil
 }
 
+// problemError returns the problem document in a response, or one made from the response's
+// status if there is none.
 func problemError(res *http.Response, data []byte) error {
 	p := httpapi.Problem{Status: res.StatusCode, Title: http.StatusText(res.StatusCode)}
-	if json.Unmarshal(data, &p) != nil { // not a problem document: the status stands
-		p.Detail = "the answer is no problem document; are the URL's scheme (http or https) and port those of a daemon?"
+	if json.Unmarshal(data, &p) != nil { // not a problem document: report the status
+		p.Detail = "the response is not a problem document; are the URL's scheme (http or https) and port those of a daemon?"
 	}
 	p.Status = res.StatusCode
 	if res.Request.Method == http.MethodGet {
--- a/internal/adminclient/config.go
+++ b/internal/adminclient/config.go
@@ -11,15 +11,15 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// Config returns a branch in force, or the whole tree for the empty branch.
+// Config returns the branch in force, or the whole tree if branch is empty.
 func (c *Client) Config(ctx context.Context, branch config.Branch) (httpapi.ConfigView, error) {
 	var view httpapi.ConfigView
 	err := c.Call(ctx, http.MethodGet, "/v1/config?branch="+url.QueryEscape(string(branch)), nil, &view)
 	return view, err
 }
 
-// Watch returns the branch once the configuration's version is above after, or
-// as it is after a while.
+// Watch returns the branch in force once the configuration's version is above after. If the
+// daemon's time limit passes first, it returns the branch unchanged.
 func (c *Client) Watch(ctx context.Context, branch config.Branch, after ident.Offset) (httpapi.ConfigView, error) {
 	q := url.Values{"branch": {string(branch)}, "after": {strconv.FormatInt(int64(after), 10)}}
 	var view httpapi.ConfigView
@@ -27,14 +27,14 @@
 	return view, err
 }
 
-// Publish publishes a change and returns its verdict once it is in force.
+// Publish publishes a change and returns the verdict once the change is in force.
 func (c *Client) Publish(ctx context.Context, change httpapi.ChangeRequest) (config.Verdict, error) {
 	var verdict config.Verdict
 	err := c.Call(ctx, http.MethodPost, "/v1/config/changes", change, &verdict)
 	return verdict, err
 }
 
-// Restore starts the configuration anew from a whole tree, and returns once that
+// Restore replaces a lost configuration with a whole tree, and returns the verdict once the tree
 // is in force.
 func (c *Client) Restore(ctx context.Context, r httpapi.RestoreRequest) (config.Verdict, error) {
 	var verdict config.Verdict
@@ -42,14 +42,14 @@
 	return verdict, err
 }
 
-// Diff returns what a change would do to the branch in force. Nothing is changed.
+// Diff returns what the operations would change in the branch in force. It changes nothing.
 func (c *Client) Diff(ctx context.Context, branch config.Branch, ops []config.Op) (httpapi.DiffView, error) {
 	var view httpapi.DiffView
 	err := c.Call(ctx, http.MethodPost, "/v1/config/diff", httpapi.ChangeRequest{Branch: branch, Ops: ops}, &view)
 	return view, err
 }
 
-// History returns the newest accepted changes of a branch.
+// History returns the newest accepted changes of a branch, at most limit.
 func (c *Client) History(ctx context.Context, branch config.Branch, limit int) ([]config.HistoryEntry, error) {
 	q := url.Values{"branch": {string(branch)}, "limit": {strconv.Itoa(limit)}}
 	var entries []config.HistoryEntry
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -9,11 +9,10 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// Error is a problem document that a daemon answered. Outcome is the document's,
-// or NotRun for a call that only reads.
+// Error is returned if a daemon answered with an error status.
 type Error struct {
 	Problem httpapi.Problem
-	Outcome outcome.Outcome
+	Outcome outcome.Outcome // the problem's, or NotRun for a read
 }
 
 // Error describes the problem in one line.
@@ -23,32 +22,32 @@
 		text += ": " + e.Problem.Detail
 	}
 	if e.Problem.RetryAfter > 0 {
-		text += fmt.Sprintf(" (come back in %d s)", e.Problem.RetryAfter)
+		text += fmt.Sprintf(" (retry in %d s)", e.Problem.RetryAfter)
 	}
 	return text
 }
 
-// TransportError says that no whole answer came back.
+// TransportError is returned if no complete response was received.
 type TransportError struct {
-	Base    string // URL of the daemon
+	Base    string // base URL of the daemon
 	Outcome outcome.Outcome
 	Err     error
 }
 
-// Error describes the failure and what to look at.
+// Error names the daemon and the cause.
 func (e *TransportError) Error() string {
 	cause := e.Err
-	if wrapped := (*url.Error)(nil); errors.As(e.Err, &wrapped) {
-		cause = wrapped.Err // without the method and URL
+	if urlErr := (*url.Error)(nil); errors.As(e.Err, &urlErr) {
+		cause = urlErr.Err // without the method and URL
 	}
-	return fmt.Sprintf("no whole answer from %s: %v", e.Base, cause)
+	return fmt.Sprintf("no complete response from %s: %v", e.Base, cause)
 }
 
 // Unwrap returns the cause.
 func (e *TransportError) Unwrap() error { return e.Err }
 
-// OutcomeOf reads what a failed call's error says of its effect. An error from
-// before the call is NotRun.
+// OutcomeOf returns the outcome of the failed call that err describes. It is NotRun for an error
+// that wraps neither an *Error nor a *TransportError.
 func OutcomeOf(err error) outcome.Outcome {
 	var problem *Error
 	var transport *TransportError
@@ -61,7 +60,7 @@
 	return outcome.NotRun
 }
 
-// StatusOf is the HTTP status of a problem document, 0 for any other error.
+// StatusOf returns the HTTP status of an *Error, 0 for any other error.
 func StatusOf(err error) int {
 	var problem *Error
 	if errors.As(err, &problem) {
--- a/internal/adminclient/operate.go
+++ b/internal/adminclient/operate.go
@@ -13,34 +13,36 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/timeline"
 )
 
-// Whoami says what the token opens.
+// Whoami returns whose token the client uses: the administrator's, or a team's with a role.
 func (c *Client) Whoami(ctx context.Context) (httpapi.Whoami, error) {
 	var who httpapi.Whoami
 	err := c.Call(ctx, http.MethodGet, "/v1/whoami", nil, &who)
 	return who, err
 }
 
-// Jobs lists a team's jobs.
+// Jobs returns a team's jobs.
 func (c *Client) Jobs(ctx context.Context, team ident.Team) (httpapi.JobsView, error) {
 	var view httpapi.JobsView
 	err := c.Call(ctx, http.MethodGet, teamPath(team)+"/jobs", nil, &view)
 	return view, err
 }
 
-// Job shows one of a team's jobs.
+// Job returns one of a team's jobs.
 func (c *Client) Job(ctx context.Context, team ident.Team, job ident.Job) (httpapi.JobView, error) {
 	var view httpapi.JobView
 	err := c.Call(ctx, http.MethodGet, teamPath(team)+"/jobs/"+url.PathEscape(string(job)), nil, &view)
 	return view, err
 }
 
-// Step names a step. Without a team it is the key's own, on the trainer port.
+// Step identifies a step. With an empty Team, it is a step of the key's own team, and the client
+// must call a trainer port.
 type Step struct {
 	Team   ident.Team
 	Job    ident.Job
 	Number ident.Step
 }
 
+// path returns the URL path of the step.
 func (s Step) path() string {
 	prefix := "/v1"
 	if s.Team != "" {
@@ -49,21 +51,21 @@
 	return fmt.Sprintf("%s/jobs/%s/steps/%d", prefix, url.PathEscape(string(s.Job)), s.Number)
 }
 
-// SubmitStep submits a step; a trainer port's call.
+// SubmitStep submits a step. The client must call a trainer port.
 func (c *Client) SubmitStep(ctx context.Context, s Step, r rollouts.SubmitRequest) (rollouts.SubmitResponse, error) {
-	var answer rollouts.SubmitResponse
-	err := c.Call(ctx, http.MethodPut, s.path(), r, &answer)
-	return answer, err
+	var response rollouts.SubmitResponse
+	err := c.Call(ctx, http.MethodPut, s.path(), r, &response)
+	return response, err
 }
 
-// StepStatus says where a step stands.
+// StepStatus returns the progress of a step.
 func (c *Client) StepStatus(ctx context.Context, s Step) (rollouts.StatusResponse, error) {
 	var status rollouts.StatusResponse
 	err := c.Call(ctx, http.MethodGet, s.path(), nil, &status)
 	return status, err
 }
 
-// Steps lists a team's steps that daemons hold, of one job or of all for "".
+// Steps returns a team's steps that daemons hold, those of all jobs if job is empty.
 func (c *Client) Steps(ctx context.Context, team ident.Team, job ident.Job) (httpapi.StepsView, error) {
 	path := teamPath(team) + "/steps"
 	if job != "" {
@@ -74,26 +76,26 @@
 	return view, err
 }
 
-// CancelStep gives a step up.
+// CancelStep cancels a step.
 func (c *Client) CancelStep(ctx context.Context, s Step) error {
 	return c.Call(ctx, http.MethodDelete, s.path(), nil, nil)
 }
 
-// Upstreams lists the upstreams as the daemon sees them.
+// Upstreams returns the upstreams in the daemon's view.
 func (c *Client) Upstreams(ctx context.Context) (httpapi.FleetView, error) {
 	var view httpapi.FleetView
 	err := c.Call(ctx, http.MethodGet, "/v1/upstreams", nil, &view)
 	return view, err
 }
 
-// Daemons lists the daemons as this one sees them.
+// Daemons returns the daemons in the daemon's view.
 func (c *Client) Daemons(ctx context.Context) (httpapi.FleetView, error) {
 	var view httpapi.FleetView
 	err := c.Call(ctx, http.MethodGet, "/v1/daemons", nil, &view)
 	return view, err
 }
 
-// Timeline returns the events of all daemons that a filter selects, in order.
+// Timeline returns the events of all daemons that match a filter, in order.
 func (c *Client) Timeline(ctx context.Context, f timeline.Filter) (httpapi.TimelineView, error) {
 	q := url.Values{}
 	for name, value := range map[string]string{
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -11,13 +11,13 @@
 
 // blockingBuffer is an output whose writes can block.
 type blockingBuffer struct {
-	blocked chan struct{} // if not nil, writes block until it is closed
+	unblock chan struct{} // if not nil, writes block until it is closed
 	data    bytes.Buffer
 }
 
 func (b *blockingBuffer) Write(p []byte) (int, error) {
-	if b.blocked != nil {
-		<-b.blocked
+	if b.unblock != nil {
+		<-b.unblock
 	}
 	return b.data.Write(p)
 }
@@ -42,7 +42,7 @@
 func TestWriteDoesNotBlockOnBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		out := &blockingBuffer{blocked: make(chan struct{})}
+		out := &blockingBuffer{unblock: make(chan struct{})}
 		w := New(out)
 		before := dropped.Value()
 		for range burstLines + 500 {
@@ -51,7 +51,7 @@
 		}
 		g.Expect(dropped.Value() - before).To(BeNumerically(">=", 500))
 		w.Close() // times out
-		close(out.blocked)
+		close(out.unblock)
 	})
 }
 
