--- a/cmd/dogwoodflowctl/config.go
+++ b/cmd/dogwoodflowctl/config.go
@@ -16,11 +16,11 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/ident"
 )
 
-// latest is the value of --base that stands for the branch's version in force.
+// latest is the value of --base and --after that stands for the version in force.
 const latest = "latest"
 
 func configCommand(g *globals, parent *ff.FlagSet) *ff.Command {
-	return group("config", "reads and changes the settings tree", parent,
+	return commandGroup("config", "reads and changes the settings tree", parent,
 		configGet(g, parent), configSet(g, parent), configUnset(g, parent),
 		configDiff(g, parent), configHistory(g, parent), configWatch(g, parent), configRestore(g, parent))
 }
@@ -33,7 +33,7 @@
 	fs := ff.NewFlagSet("get").SetParent(parent)
 	branch := branchFlag(fs, "; empty is the whole tree (administrators)")
 	return &ff.Command{
-		Name: "get", Usage: "dogwoodflowctl config get [--branch B]", ShortHelp: "prints a branch in force; edit it and give it to 'config set'", Flags: fs,
+		Name: "get", Usage: "dogwoodflowctl config get [--branch B]", ShortHelp: "prints a branch in force, as a file for 'config set'", Flags: fs,
 		Exec: noArgs(func(ctx context.Context) error {
 			client, err := g.client()
 			if err != nil {
@@ -48,26 +48,25 @@
 	}
 }
 
-// printBranch prints with --json the daemon's whole answer, else just the
-// branch, so that the output is a file for "config set"; its version goes to
-// the standard error.
+// printBranch prints the daemon's whole response with --json. Otherwise it prints only the
+// branch, so that the output is a file for "config set", and its version to standard error.
 func (g *globals) printBranch(view httpapi.ConfigView) error {
 	if g.json {
 		return g.printJSON(view)
 	}
-	note := func(format string, args ...any) { _, _ = fmt.Fprintf(g.progress, format+"\n", args...) }
+	printVersion := func(format string, args ...any) { _, _ = fmt.Fprintf(g.errOut, format+"\n", args...) }
 	switch {
 	case view.Tree != nil:
-		note("whole tree at version %s", view.Version)
+		printVersion("whole tree at version %s", view.Version)
 		return g.printJSON(view.Tree)
 	case view.Fleet != nil:
-		note("%s at version %s", view.Branch, view.BranchVersion)
+		printVersion("%s at version %s", view.Branch, view.BranchVersion)
 		return g.printJSON(view.Fleet)
 	case view.Team != nil:
-		note("%s at version %s", view.Branch, view.BranchVersion)
+		printVersion("%s at version %s", view.Branch, view.BranchVersion)
 		return g.printJSON(view.Team)
 	}
-	return hinted{fmt.Errorf("there is no branch %s (version %s)", view.Branch, view.BranchVersion),
+	return hintedError{fmt.Errorf("there is no branch %s (version %s)", view.Branch, view.BranchVersion),
 		fmt.Sprintf("Create it with: dogwoodflowctl config set --branch %s --file F --base %s", view.Branch, view.BranchVersion)}
 }
 
@@ -87,7 +86,7 @@
 }
 
 func (g *globals) diff(ctx context.Context, branch config.Branch, file string) error {
-	ops, err := g.readBranch(file)
+	ops, err := g.readBranchOps(file)
 	if err != nil {
 		return err
 	}
@@ -99,25 +98,27 @@
 	if err != nil {
 		return err
 	}
-	return g.show(view, func(t table) {
+	return g.printResult(view, func(t table) {
 		t.text("%s at version %s, and what the file changes:", branch, view.BranchVersion)
 		if len(view.Ops) == 0 {
 			t.text("nothing")
 		}
 		for _, op := range view.Ops {
-			t.row(sign(op), pathOf(op), string(op.Value))
+			t.row(operationName(op), displayPath(op), string(op.Value))
 		}
 	})
 }
 
-func sign(op config.Op) string {
+// operationName returns the name of an operation in a diff.
+func operationName(op config.Op) string {
 	if op.Delete {
 		return "delete"
 	}
 	return "set"
 }
 
-func pathOf(op config.Op) string {
+// displayPath returns the path of an operation, or a text if it replaces the whole branch.
+func displayPath(op config.Op) string {
 	if op.Path == "" {
 		return "(the whole branch)"
 	}
@@ -127,7 +128,7 @@
 func configHistory(g *globals, parent *ff.FlagSet) *ff.Command {
 	fs := ff.NewFlagSet("history").SetParent(parent)
 	branch := branchFlag(fs, "; empty is all (administrators)")
-	limit := fs.Int('n', "limit", 20, "how many changes at most")
+	limit := fs.Int('n', "limit", 20, "maximum number of changes")
 	return &ff.Command{
 		Name: "history", Usage: "dogwoodflowctl config history [--branch B]", ShortHelp: "lists the newest accepted changes", Flags: fs,
 		Exec: noArgs(func(ctx context.Context) error {
@@ -139,7 +140,7 @@
 			if err != nil {
 				return err
 			}
-			return g.show(entries, func(t table) { historyTable(t, entries) })
+			return g.printResult(entries, func(t table) { historyTable(t, entries) })
 		}),
 	}
 }
@@ -147,41 +148,42 @@
 func configWatch(g *globals, parent *ff.FlagSet) *ff.Command {
 	fs := ff.NewFlagSet("watch").SetParent(parent)
 	branch := branchFlag(fs, "; empty is the whole tree (administrators)")
-	after := fs.String(0, "after", latest, "first version to wait behind, or latest")
-	count := fs.Int(0, "count", 0, "end after so many changes; 0 is never")
+	after := fs.String(0, "after", latest, "print versions newer than this one; a version, or latest")
+	count := fs.Int(0, "count", 0, "exit after this number of changes; 0 means never")
 	return &ff.Command{
 		Name: "watch", Usage: "dogwoodflowctl config watch [--branch B]", ShortHelp: "prints each newer version of a branch as it comes into force", Flags: fs,
-		LongHelp: "With several daemons in --url it moves on to the next one when its daemon stops or\n" +
-			"can't be reached, and ends when none of them can.",
+		LongHelp: "If --url names several daemons, it moves on to the next one when a daemon stops or can't\n" +
+			"be reached, and exits with an error once none of them can.",
 		Exec: noArgs(func(ctx context.Context) error {
-			daemons, err := g.daemons()
+			client, err := g.newFailoverClient()
 			if err != nil {
 				return err
 			}
-			return g.watch(ctx, daemons, config.Branch(*branch), *after, *count)
+			return g.watch(ctx, client, config.Branch(*branch), *after, *count)
 		}),
 	}
 }
 
-// watch ends without an error when it is interrupted.
-func (g *globals) watch(ctx context.Context, daemons *rota, branch config.Branch, after string, count int) error {
-	start, err := daemons.ask(ctx, func(c *adminclient.Client) (httpapi.ConfigView, error) {
+// watch prints the versions of a branch that are newer than after, until it has printed count of
+// them, or without end if count is 0. It returns nil if it is interrupted.
+func (g *globals) watch(ctx context.Context, client *failoverClient, branch config.Branch, after string, count int) error {
+	start, err := client.read(ctx, func(c *adminclient.Client) (httpapi.ConfigView, error) {
 		return c.Config(ctx, branch)
 	})
 	if err != nil {
 		return err
 	}
-	seen, tree := versionOf(start), start.Version
+	printedVersion, treeVersion := watchedVersion(start), start.Version
 	if after != latest {
 		n, err := strconv.ParseUint(after, 10, 63)
 		if err != nil {
 			return usagef("--after: %q: must be a version or %s", after, latest)
 		}
-		seen, tree = ident.Offset(n), ident.Offset(n)
+		printedVersion, treeVersion = ident.Offset(n), ident.Offset(n)
 	}
 	for printed := 0; count == 0 || printed < count; {
-		view, err := daemons.ask(ctx, func(c *adminclient.Client) (httpapi.ConfigView, error) {
-			return c.Watch(ctx, branch, tree)
+		view, err := client.read(ctx, func(c *adminclient.Client) (httpapi.ConfigView, error) {
+			return c.Watch(ctx, branch, treeVersion)
 		})
 		if ctx.Err() != nil {
 			return nil
@@ -189,9 +191,9 @@
 		if err != nil {
 			return err
 		}
-		tree = max(tree, view.Version)
-		if v := versionOf(view); v > seen {
-			seen = v
+		treeVersion = max(treeVersion, view.Version)
+		if v := watchedVersion(view); v > printedVersion {
+			printedVersion = v
 			printed++
 			if err := g.printChange(view); err != nil {
 				return err
@@ -201,27 +203,30 @@
 	return nil
 }
 
-// versionOf is the version that a watcher of the view waits for.
-func versionOf(view httpapi.ConfigView) ident.Offset {
+// watchedVersion returns the version to compare when watching: the branch's, or the tree's if the
+// view is of the whole tree.
+func watchedVersion(view httpapi.ConfigView) ident.Offset {
 	if view.Branch == "" {
 		return view.Version
 	}
 	return view.BranchVersion
 }
 
+// printChange prints a version that took effect.
 func (g *globals) printChange(view httpapi.ConfigView) error {
 	if g.json {
-		return g.printLine(view)
+		return g.printJSONLine(view)
 	}
 	name := string(view.Branch)
 	if name == "" {
 		name = "the tree"
 	}
-	_, err := fmt.Fprintf(g.out, "%s is in force at version %s\n", name, versionOf(view))
+	_, err := fmt.Fprintf(g.out, "%s is in force at version %s\n", name, watchedVersion(view))
 	return err
 }
 
-func (g *globals) readBranch(file string) ([]config.Op, error) {
+// readBranchOps returns the operations that replace a branch with the one in a file.
+func (g *globals) readBranchOps(file string) ([]config.Op, error) {
 	data, err := g.readFile(file)
 	if err != nil {
 		return nil, err
@@ -233,6 +238,7 @@
 	return ops, nil
 }
 
+// readFile reads a file, or standard input for "-".
 func (g *globals) readFile(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(g.in)
@@ -244,11 +250,11 @@
 	return data, nil
 }
 
-// valueOf takes a command line's value: JSON as it stands, all else as text.
-func valueOf(text string) json.RawMessage {
+// parseValue returns a command-line value as JSON. Text that isn't valid JSON becomes a string.
+func parseValue(text string) json.RawMessage {
 	if json.Valid([]byte(text)) {
 		return json.RawMessage(text)
 	}
-	quoted, _ := json.Marshal(text) // a string: it can't fail
+	quoted, _ := json.Marshal(text) // encoding a string can't fail
 	return quoted
 }
--- a/cmd/dogwoodflowctl/ctl_test.go
+++ b/cmd/dogwoodflowctl/ctl_test.go
@@ -31,21 +31,22 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/golden"
 )
 
-// daemon is an administration and trainer API with set answers by "METHOD path".
-// A list of answers is given out in turn.
-type daemon struct {
+// fakeDaemon serves the administration and trainer APIs from canned answers by "METHOD path". Of
+// several answers to one request each is given once, in order, and the last one from then on. An
+// error as the answer closes the connection.
+type fakeDaemon struct {
 	answers  map[string][]any
-	requests []string
+	requests []string // method, path and body of each request received
 }
 
-func (d *daemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDaemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name := r.Method + " " + r.URL.RequestURI()
 	var body bytes.Buffer
 	_, _ = body.ReadFrom(r.Body)
 	d.requests = append(d.requests, strings.TrimSpace(name+" "+body.String()))
 	list := d.answers[name]
 	if len(list) == 0 {
-		write(w, http.StatusNotFound, httpapi.Problem{Title: "Not Found", Status: 404, Detail: "no endpoint " + name, Outcome: outcome.NotRun})
+		writeJSON(w, http.StatusNotFound, httpapi.Problem{Title: "Not Found", Status: 404, Detail: "no endpoint " + name, Outcome: outcome.NotRun})
 		return
 	}
 	if len(list) > 1 {
@@ -53,27 +54,29 @@
 	}
 	switch answer := list[0].(type) {
 	case httpapi.Problem:
-		write(w, answer.Status, answer)
+		writeJSON(w, answer.Status, answer)
 	case error:
 		panic(http.ErrAbortHandler)
 	default:
-		write(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, answer)
 	}
 }
 
-func write(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func team(version ident.Offset) httpapi.ConfigView {
+// teamView returns the branch of the team koperasi at a version.
+func teamView(version ident.Offset) httpapi.ConfigView {
 	return httpapi.ConfigView{Version: version, Branch: "teams/koperasi", BranchVersion: version, Team: &config.Team{
 		Models: map[ident.Model]config.Model{"drafts": {Group: "engines", StalenessBound: 1, MaxTokens: 4096}},
 		Jobs:   map[ident.Job]config.Job{"clerk": {Model: "drafts", Scorer: "scorers", GroupSize: 4, MaxTokens: 512}},
 	}}
 }
 
-func status(held, ready int) rollouts.StatusResponse {
+// stepStatus returns the status of step 3 with some groups held by the trainer and some ready.
+func stepStatus(held, ready int) rollouts.StatusResponse {
 	return rollouts.StatusResponse{Job: "clerk", Step: 3, Model: "drafts", Groups: 8, GroupSize: 4, Counts: rollout.Counts{
 		Waiting: 8, Generating: 4, Scoring: 1, Ready: 4 * ready, HeldGroups: held, Deliverable: ready, Newest: 7,
 		Tally: rollout.Tally{Attempts: 20, Failures: 1, Stale: 2},
@@ -81,13 +84,13 @@
 }
 
 var (
-	at       = time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)
-	bound    = int64(2)
-	conflict = httpapi.Problem{Title: "Conflict", Status: 409, Detail: "teams/koperasi: made on version 4, but version 5 is newer", Outcome: outcome.NotRun}
-	lost     = httpapi.Problem{Title: "Service Unavailable", Status: 503, Detail: "may still come into force", RetryAfter: 2}
-	unknown  = httpapi.Problem{Title: "Not Found", Status: 404, Detail: "step unknown, submit it again", Outcome: outcome.NotRun}
-	clerk    = httpapi.JobView{Team: "koperasi", Name: "clerk", Job: config.Job{Model: "drafts", Scorer: "scorers", GroupSize: 4, MaxTokens: 512, StalenessBound: &bound}, Bound: 2, Version: 5}
-	old      = httpapi.JobView{Team: "koperasi", Name: "old", Job: config.Job{Model: "drafts", Scorer: "scorers", GroupSize: 2, MaxTokens: 64, Cancelled: true}, Bound: 1, Version: 5}
+	eventTime             = time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)
+	stalenessBound        = int64(2)
+	conflictProblem       = httpapi.Problem{Title: "Conflict", Status: 409, Detail: "teams/koperasi: made on version 4, but version 5 is newer", Outcome: outcome.NotRun}
+	unknownOutcomeProblem = httpapi.Problem{Title: "Service Unavailable", Status: 503, Detail: "may still come into force", RetryAfter: 2}
+	unknownStepProblem    = httpapi.Problem{Title: "Not Found", Status: 404, Detail: "step unknown, submit it again", Outcome: outcome.NotRun}
+	clerkJob              = httpapi.JobView{Team: "koperasi", Name: "clerk", Job: config.Job{Model: "drafts", Scorer: "scorers", GroupSize: 4, MaxTokens: 512, StalenessBound: &stalenessBound}, Bound: 2, Version: 5}
+	cancelledJob          = httpapi.JobView{Team: "koperasi", Name: "old", Job: config.Job{Model: "drafts", Scorer: "scorers", GroupSize: 2, MaxTokens: 64, Cancelled: true}, Bound: 1, Version: 5}
 )
 
 const (
@@ -96,24 +99,24 @@
 	stepThree  = "/v1/teams/koperasi/jobs/clerk/steps/3"
 )
 
-func newDaemon() *daemon {
-	return &daemon{answers: map[string][]any{
-		getTeam:                   {team(5)},
+func newFakeDaemon() *fakeDaemon {
+	return &fakeDaemon{answers: map[string][]any{
+		getTeam:                   {teamView(5)},
 		postChange:                {config.Verdict{ChangeID: "c1", Accepted: true, Version: 6}},
 		"POST /v1/config/restore": {config.Verdict{ChangeID: "c1", Accepted: true, Version: 12}},
 		"POST /v1/config/diff": {httpapi.DiffView{Branch: "teams/koperasi", BranchVersion: 5, Ops: []config.Op{
 			{Path: "jobs/old", Delete: true}, {Path: "limits/max_queue", Value: json.RawMessage("77")}}}},
 		"GET /v1/config/history?branch=teams%2Fkoperasi&limit=20": {[]config.HistoryEntry{
-			{Version: 5, Branch: "teams/koperasi", ChangeID: "c1", Author: "ayu", At: at, Paths: []string{"limits/max_queue"}},
-			{Version: 2, Branch: "teams/koperasi", ChangeID: "c0", At: at, Paths: []string{""}}}},
-		"GET /v1/config/watch?after=5&branch=teams%2Fkoperasi": {team(5), team(6)},
-		"GET /v1/config/watch?after=6&branch=teams%2Fkoperasi": {team(8)},
+			{Version: 5, Branch: "teams/koperasi", ChangeID: "c1", Author: "ayu", At: eventTime, Paths: []string{"limits/max_queue"}},
+			{Version: 2, Branch: "teams/koperasi", ChangeID: "c0", At: eventTime, Paths: []string{""}}}},
+		"GET /v1/config/watch?after=5&branch=teams%2Fkoperasi": {teamView(5), teamView(6)},
+		"GET /v1/config/watch?after=6&branch=teams%2Fkoperasi": {teamView(8)},
 		"GET /v1/whoami":                    {httpapi.Whoami{Team: "koperasi", Role: config.RoleOperator}},
-		"GET /v1/teams/koperasi/jobs":       {httpapi.JobsView{Jobs: []httpapi.JobView{clerk, old}}},
-		"GET /v1/teams/koperasi/jobs/clerk": {clerk},
-		"GET " + stepThree:                  {status(0, 0), status(0, 0), status(2, 3), unknown},
+		"GET /v1/teams/koperasi/jobs":       {httpapi.JobsView{Jobs: []httpapi.JobView{clerkJob, cancelledJob}}},
+		"GET /v1/teams/koperasi/jobs/clerk": {clerkJob},
+		"GET " + stepThree:                  {stepStatus(0, 0), stepStatus(0, 0), stepStatus(2, 3), unknownStepProblem},
 		"GET /v1/teams/koperasi/steps": {httpapi.StepsView{Missing: []ident.VM{"entry-3"}, Steps: []peer.HeldStep{
-			{VM: "entry-1", StatusResponse: status(2, 3)}, {VM: "entry-2", StatusResponse: status(0, 0)}}}},
+			{VM: "entry-1", StatusResponse: stepStatus(2, 3)}, {VM: "entry-2", StatusResponse: stepStatus(0, 0)}}}},
 		"GET /v1/teams/koperasi/steps?job=old": {httpapi.StepsView{Steps: []peer.HeldStep{}}},
 		"DELETE " + stepThree:                  {nil},
 		"PUT /v1/jobs/clerk/steps/3":           {rollouts.SubmitResponse{Job: "clerk", Step: 3, Groups: 2, GroupSize: 4, Created: true}},
@@ -125,13 +128,15 @@
 			{VM: "entry-2", DataCentre: "bandung", Address: "127.0.0.1:4", Reason: "silent"}}}},
 		"GET /v1/timeline?limit=1000&sample=9%2F9": {httpapi.TimelineView{}},
 		"GET /v1/timeline?job=clerk&limit=1000": {httpapi.TimelineView{Missing: []ident.VM{"entry-2"}, Events: []timeline.Event{
-			{HLC: timeline.StampOf(at), VM: "entry-1", Kind: "dispatched", Request: "r1", Team: "koperasi", Job: "clerk", Step: 3, Sample: "0/1", Upstream: "engine-1"},
-			{HLC: timeline.StampOf(at) + 1, VM: "entry-3", Kind: "generated", Team: "koperasi", Job: "clerk", Step: 3, Sample: "0/1", Version: 7, Detail: "40 tokens"}}}},
+			{HLC: timeline.StampOf(eventTime), VM: "entry-1", Kind: "dispatched", Request: "r1", Team: "koperasi", Job: "clerk", Step: 3, Sample: "0/1", Upstream: "engine-1"},
+			{HLC: timeline.StampOf(eventTime) + 1, VM: "entry-3", Kind: "generated", Team: "koperasi", Job: "clerk", Step: 3, Sample: "0/1", Version: 7, Detail: "40 tokens"}}}},
 	}}
 }
 
-// ctl runs a command line against a daemon and returns what a user sees.
-func ctl(d *daemon, args ...string) (shown string, code int) {
+// runCtl runs a command line against a daemon. It returns standard output, standard error and the
+// exit code as one text, and the exit code. URL stands for the daemon's URL in args and in the
+// text.
+func runCtl(d *fakeDaemon, args ...string) (shown string, code int) {
 	server := httptest.NewServer(d)
 	defer server.Close()
 	for i, arg := range args {
@@ -155,9 +160,9 @@
 	})
 
 	const branch = "--branch=teams/koperasi"
-	DescribeTable("prints what an operator needs",
+	DescribeTable("prints the expected output",
 		func(name string, code int, args ...string) {
-			shown, got := ctl(newDaemon(), args...)
+			shown, got := runCtl(newFakeDaemon(), args...)
 			expectGolden(name, shown)
 			Expect(got).To(Equal(code))
 		},
@@ -194,75 +199,75 @@
 		Entry(nil, "argument-too-many", 2, "daemons", "entry-1"),
 	)
 
-	// Two operators work on version 4; the other one's change came first.
-	It("says after a lost race what to do, and exits with 1", func() {
-		d := newDaemon()
-		d.answers[postChange] = []any{conflict}
-		shown, code := ctl(d, "config", "set", branch, "--base=4", "--id=c1", "limits/max_queue", "77")
+	// Two operators based changes on version 4, and the other one's change was accepted first.
+	It("explains a conflict with a newer version, and exits with 1", func() {
+		d := newFakeDaemon()
+		d.answers[postChange] = []any{conflictProblem}
+		shown, code := runCtl(d, "config", "set", branch, "--base=4", "--id=c1", "limits/max_queue", "77")
 		expectGolden("lost-race", shown)
 		Expect(code).To(Equal(exitFailed))
 	})
 
-	It("says of an unknown outcome how to repeat it, and exits with 3", func() {
-		for _, answer := range []any{lost, http.ErrAbortHandler} {
-			d := newDaemon()
+	It("says how to repeat a change whose outcome is unknown, and exits with 3", func() {
+		for _, answer := range []any{unknownOutcomeProblem, http.ErrAbortHandler} {
+			d := newFakeDaemon()
 			d.answers[postChange] = []any{answer}
-			shown, code := ctl(d, "config", "set", branch, "--base=5", "--id=c1", "limits/max_queue", "77")
+			shown, code := runCtl(d, "config", "set", branch, "--base=5", "--id=c1", "limits/max_queue", "77")
 			Expect(code).To(Equal(exitUnknown), shown)
 			Expect(shown).To(ContainSubstring("--id c1 --base 5 is safe"))
 		}
 	})
 
-	It("says that restoring again is safe when it isn't known whether it took effect", func() {
-		d := newDaemon()
+	It("says that a restore whose outcome is unknown can be repeated safely", func() {
+		d := newFakeDaemon()
 		d.answers["POST /v1/config/restore"] = []any{http.ErrAbortHandler}
-		shown, code := ctl(d, "config", "restore", "--file=testdata/tree.json")
+		shown, code := runCtl(d, "config", "restore", "--file=testdata/tree.json")
 		Expect(code).To(Equal(exitUnknown), shown)
 		Expect(shown).To(ContainSubstring("Repeating the command is safe"))
 	})
 
-	It("repeats a job's creation under its ID though the job is there by now", func() {
-		_, code := ctl(newDaemon(), "job", "create", "--id=c1", "--base=4", "--model=drafts", "--scorer=scorers", "--group-size=4", "clerk")
+	It("repeats the creation of a job that exists if the change's ID is given", func() {
+		_, code := runCtl(newFakeDaemon(), "job", "create", "--id=c1", "--base=4", "--model=drafts", "--scorer=scorers", "--group-size=4", "clerk")
 		Expect(code).To(Equal(exitOK))
 	})
 
-	It("sends the change as one operation on the version that was read", func() {
-		d := newDaemon()
-		_, _ = ctl(d, "job", "create", "--id=c1", "--model=drafts", "--scorer=scorers", "--group-size=2", "new")
+	It("creates a job with one operation based on the version that it read", func() {
+		d := newFakeDaemon()
+		_, _ = runCtl(d, "job", "create", "--id=c1", "--model=drafts", "--scorer=scorers", "--group-size=2", "new")
 		Expect(d.requests).To(ContainElement(`POST /v1/config/changes {"id":"c1","branch":"teams/koperasi","base":5,"ops":[{"path":"jobs/new","value":` +
 			`{"model":"drafts","scorer":"scorers","group_size":2,"max_tokens":4096}}],"author":"ayu"}`))
 	})
 
-	It("knows that nothing ran when no daemon listens", func() {
-		shown, code := ctl(newDaemon(), "--url=http://127.0.0.1:1", "config", "set", branch, "--base=5", "a", "1")
+	It("reports that nothing was changed if no daemon listens", func() {
+		shown, code := runCtl(newFakeDaemon(), "--url=http://127.0.0.1:1", "config", "set", branch, "--base=5", "a", "1")
 		Expect(code).To(Equal(exitFailed), shown)
 	})
 
-	It("doesn't call the outcome of a read unknown, whatever answered", func() {
-		d := newDaemon()
-		d.answers["GET /v1/daemons"] = []any{lost}
-		shown, code := ctl(d, "daemons")
+	It("never reports the outcome of a read as unknown", func() {
+		d := newFakeDaemon()
+		d.answers["GET /v1/daemons"] = []any{unknownOutcomeProblem}
+		shown, code := runCtl(d, "daemons")
 		Expect(code).To(Equal(exitFailed), shown)
 	})
 
-	It("trusts only the authorities of --ca-file", func() {
-		server := httptest.NewUnstartedServer(newDaemon())
-		server.Config.ErrorLog = log.New(io.Discard, "", 0) // of the handshake refused below
+	It("trusts only the authorities in --ca-file", func() {
+		server := httptest.NewUnstartedServer(newFakeDaemon())
+		server.Config.ErrorLog = log.New(io.Discard, "", 0) // discards the error of the handshake that fails below
 		server.StartTLS()
 		defer server.Close()
 		file := filepath.Join(GinkgoT().TempDir(), "ca.pem")
 		Expect(os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw}), 0o600)).To(Succeed())
-		_, code := ctl(newDaemon(), "--url", server.URL, "--ca-file", file, "daemons")
+		_, code := runCtl(newFakeDaemon(), "--url", server.URL, "--ca-file", file, "daemons")
 		Expect(code).To(Equal(exitOK))
-		shown, code := ctl(newDaemon(), "--url", server.URL, "daemons")
+		shown, code := runCtl(newFakeDaemon(), "--url", server.URL, "daemons")
 		Expect(code).To(Equal(exitFailed))
 		Expect(shown).To(ContainSubstring("certificate"))
 	})
 
-	It("never shows the token", func() {
+	It("never prints the token", func() {
 		GinkgoT().Setenv(adminTokenEnv, "secret-of-the-administrator")
 		for _, args := range [][]string{{"daemons"}, {"--help"}, {"timeline", "--team=other"}, {"--url=http://127.0.0.1:1", "daemons"}} {
-			shown, _ := ctl(newDaemon(), args...)
+			shown, _ := runCtl(newFakeDaemon(), args...)
 			Expect(shown).NotTo(ContainSubstring("secret-of"))
 		}
 	})
--- a/cmd/dogwoodflowctl/exit.go
+++ b/cmd/dogwoodflowctl/exit.go
@@ -13,7 +13,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/outcome"
 )
 
-// Exit codes.
+// Exit codes of the tool.
 const (
 	exitOK      = 0
 	exitFailed  = 1 // refused or failed; nothing was changed
@@ -21,32 +21,32 @@
 	exitUnknown = 3 // the change may or may not have been made
 )
 
-// usageError is a fault of the command line.
+// usageError is returned for an invalid command line.
 type usageError struct{ text string }
 
 func (e usageError) Error() string { return e.text }
 
 func usagef(format string, args ...any) error { return usageError{fmt.Sprintf(format, args...)} }
 
-// hinted is an error with what to do about it.
-type hinted struct {
+// hintedError is an error with a hint for the user.
+type hintedError struct {
 	error
-	hint string
+	hint string // what was changed, and what to do now
 }
 
-func (e hinted) Unwrap() error { return e.error }
+func (e hintedError) Unwrap() error { return e.error }
 
-// hintUnknown adds a hint to an error that leaves the outcome open.
-func hintUnknown(err error, hint string) error {
+// hintIfUnknown adds a hint to an error whose outcome is unknown.
+func hintIfUnknown(err error, hint string) error {
 	if adminclient.OutcomeOf(err) != outcome.Unknown {
 		return err
 	}
-	return hinted{err, hint}
+	return hintedError{err, hint}
 }
 
-// run parses and runs a command line and returns the exit code.
+// run parses a command line, runs its command and returns the exit code.
 func run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
-	root := newRoot(&globals{in: stdin, out: stdout, progress: stderr})
+	root := newRoot(&globals{in: stdin, out: stdout, errOut: stderr})
 	if err := root.Parse(args, ff.WithEnvVarPrefix(envPrefix)); err != nil {
 		if errors.Is(err, ff.ErrHelp) {
 			_, _ = fmt.Fprintln(stdout, ffhelp.Command(root.GetSelected()))
@@ -62,20 +62,20 @@
 	return report(stderr, root, err)
 }
 
-// report prints an error and what to do about it, and returns the exit code.
+// report prints an error with its hint or the command's usage, and returns the exit code.
 func report(stderr io.Writer, root *ff.Command, err error) int {
 	if err == nil {
 		return exitOK
 	}
 	_, _ = fmt.Fprintln(stderr, "dogwoodflowctl:", err)
-	var advice hinted
-	if errors.As(err, &advice) {
-		_, _ = fmt.Fprintln(stderr, advice.hint)
+	var hinted hintedError
+	if errors.As(err, &hinted) {
+		_, _ = fmt.Fprintln(stderr, hinted.hint)
 	}
-	var usage usageError
+	var usageErr usageError
 	switch {
-	case errors.As(err, &usage):
-		_, _ = fmt.Fprintln(stderr, "usage:", selected(root).Usage)
+	case errors.As(err, &usageErr):
+		_, _ = fmt.Fprintln(stderr, "usage:", selectedCommand(root).Usage)
 		return exitUsage
 	case adminclient.OutcomeOf(err) == outcome.Unknown:
 		return exitUnknown
@@ -84,7 +84,8 @@
 	}
 }
 
-func selected(root *ff.Command) *ff.Command {
+// selectedCommand returns the command that the arguments selected, or root.
+func selectedCommand(root *ff.Command) *ff.Command {
 	if cmd := root.GetSelected(); cmd != nil {
 		return cmd
 	}
--- a/cmd/dogwoodflowctl/explain.go
+++ b/cmd/dogwoodflowctl/explain.go
@@ -12,21 +12,21 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/explain"
 )
 
-// explainCommand walks from an ID to its cause on the daemons' log lines.
+// explainCommand explains from the daemons' log lines why the subject of an ID ended as it did.
 func explainCommand(g *globals, parent *ff.FlagSet) *ff.Command {
 	fs := ff.NewFlagSet("explain").SetParent(parent)
 	var files []string
-	fs.StringListVar(&files, 'l', "log", "file with a daemon's lines, may be given several times (default: standard input)")
+	fs.StringListVar(&files, 'l', "log", "file with a daemon's log lines; may be given several times (default: standard input)")
 	return &ff.Command{
 		Name:      "explain",
 		Usage:     "dogwoodflowctl explain ID --log FILE...",
-		ShortHelp: "tells from log lines why a request, sample, batch or window of usage ended as it did",
+		ShortHelp: "explains from log lines why a request, sample, batch or usage window ended as it did",
 		Flags:     fs,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) == 0 {
-				return usagef("explain takes an ID: of a request, a sample or a batch, or the number of a window of usage")
+				return usagef("explain takes the ID of a request, sample or batch, or the number of a usage window")
 			}
-			for _, arg := range args[1:] { // flags behind the ID arrive here
+			for _, arg := range args[1:] { // flags after the ID are not parsed
 				if arg != "--log" && arg != "-l" {
 					files = append(files, arg)
 				}
@@ -41,13 +41,14 @@
 	if err != nil {
 		return err
 	}
-	story, err := explain.Explain(lines, id)
+	explanation, err := explain.Explain(lines, id)
 	if err != nil {
 		return err
 	}
-	return story.Write(g.out)
+	return explanation.Write(g.out)
 }
 
+// readLines returns the log lines in the files, or those on standard input if there are none.
 func (g *globals) readLines(files []string) ([]explain.Line, error) {
 	if len(files) == 0 {
 		lines, _, err := explain.Read(g.in)
--- a/cmd/dogwoodflowctl/fleet.go
+++ b/cmd/dogwoodflowctl/fleet.go
@@ -12,7 +12,7 @@
 
 func upstreamsCommand(g *globals, parent *ff.FlagSet) *ff.Command {
 	return &ff.Command{
-		Name: "upstreams", Usage: "dogwoodflowctl upstreams", ShortHelp: "lists the upstreams as the daemon sees them (administrators)",
+		Name: "upstreams", Usage: "dogwoodflowctl upstreams", ShortHelp: "lists the upstreams in the daemon's view (administrators)",
 		Flags: ff.NewFlagSet("upstreams").SetParent(parent),
 		Exec: noArgs(func(ctx context.Context) error {
 			client, err := g.client()
@@ -23,14 +23,14 @@
 			if err != nil {
 				return err
 			}
-			return g.show(view, func(t table) { upstreamsTable(t, view.Upstreams) })
+			return g.printResult(view, func(t table) { upstreamsTable(t, view.Upstreams) })
 		}),
 	}
 }
 
 func daemonsCommand(g *globals, parent *ff.FlagSet) *ff.Command {
 	return &ff.Command{
-		Name: "daemons", Usage: "dogwoodflowctl daemons", ShortHelp: "lists the daemons and the configuration each has in force (administrators)",
+		Name: "daemons", Usage: "dogwoodflowctl daemons", ShortHelp: "lists the daemons and the configuration that each has in force (administrators)",
 		Flags: ff.NewFlagSet("daemons").SetParent(parent),
 		Exec: noArgs(func(ctx context.Context) error {
 			client, err := g.client()
@@ -41,7 +41,7 @@
 			if err != nil {
 				return err
 			}
-			return g.show(view, func(t table) { daemonsTable(t, view.Daemons) })
+			return g.printResult(view, func(t table) { daemonsTable(t, view.Daemons) })
 		}),
 	}
 }
@@ -52,10 +52,10 @@
 	team := fs.String('t', "team", "", "only events of this team")
 	job := fs.String('j', "job", "", "only events of this job")
 	sample := fs.String('s', "sample", "", "only events of this sample, as GROUP/INDEX")
-	limit := fs.Int('n', "limit", timeline.DefaultLimit, "the newest so many")
+	limit := fs.Int('n', "limit", timeline.DefaultLimit, "maximum number of events; the newest are shown")
 	return &ff.Command{
 		Name: "timeline", Usage: "dogwoodflowctl timeline [--request R] [--job J] [--sample G/I] [--team T]", Flags: fs,
-		ShortHelp: "shows what happened, merged over all daemons in one order",
+		ShortHelp: "shows the events of all daemons in one order",
 		Exec: noArgs(func(ctx context.Context) error {
 			return g.timeline(ctx, timeline.Filter{
 				Request: ident.RequestID(*request), Team: ident.Team(*team), Job: ident.Job(*job), Sample: *sample, Limit: *limit,
@@ -73,19 +73,19 @@
 	if err != nil {
 		return err
 	}
-	if err := g.noteMissing(view.Missing); err != nil {
+	if err := g.printMissing(view.Missing); err != nil {
 		return err
 	}
 	if len(view.Events) == 0 && !g.json {
-		return g.note("no events match; each daemon keeps only its newest")
+		return g.printNote("no events match; each daemon keeps only its newest")
 	}
-	return g.show(view, func(t table) { timelineTable(t, view.Events) })
+	return g.printResult(view, func(t table) { timelineTable(t, view.Events) })
 }
 
-// noteMissing says that a result lacks what some daemons hold.
-func (g *globals) noteMissing(missing []ident.VM) error {
+// printMissing tells the user which daemons didn't answer, so that the result is incomplete.
+func (g *globals) printMissing(missing []ident.VM) error {
 	if len(missing) == 0 {
 		return nil
 	}
-	return g.note(fmt.Sprintf("incomplete: no answer from the daemons %v", missing))
+	return g.printNote(fmt.Sprintf("incomplete: no answer from the daemons %v", missing))
 }
--- a/cmd/dogwoodflowctl/keys.go
+++ b/cmd/dogwoodflowctl/keys.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	day           = 24 * time.Hour
-	authorityName = "ca" // of the authority's two files
-	secretFile    = 0o600
-	// maxSecretBytes bounds what "keys hash" reads.
+	day            = 24 * time.Hour
+	authorityName  = "ca" // base name of the authority's two files
+	secretFileMode = 0o600
+	// maxSecretBytes is the longest input that "keys hash" accepts.
 	maxSecretBytes = 64 << 10
 )
 
 func keysCommand(g *globals, parent *ff.FlagSet) *ff.Command {
-	return group("keys", "makes the keys of a small fleet; speaks to no daemon", parent,
+	return commandGroup("keys", "creates the keys of a small fleet; calls no daemon", parent,
 		keysCA(g, parent), keysIssue(g, parent), keysHash(g, parent))
 }
 
-// keyFlags are those of the commands that write a pair of files.
+// keyFlags are the flags of commands that write a certificate and its key.
 type keyFlags struct {
 	dir  string
 	days int
@@ -35,8 +35,8 @@
 
 func newKeyFlags(fs *ff.FlagSet, days int) *keyFlags {
 	f := &keyFlags{}
-	fs.StringVar(&f.dir, 'd', "dir", ".", "directory of the authority's ca.pem and ca.key, and for what is made")
-	fs.IntVar(&f.days, 0, "days", days, "how many days the certificate is good")
+	fs.StringVar(&f.dir, 'd', "dir", ".", "directory of the authority's ca.pem and ca.key, and of the files written")
+	fs.IntVar(&f.days, 0, "days", days, "number of days for which the certificate is valid")
 	return f
 }
 
@@ -49,11 +49,11 @@
 
 func keysCA(g *globals, parent *ff.FlagSet) *ff.Command {
 	fs := ff.NewFlagSet("ca").SetParent(parent)
-	name := fs.String('n', "name", "dogwoodflow peers", "the authority's name, for people")
+	name := fs.String('n', "name", "dogwoodflow peers", "name of the authority, for people only")
 	flags := newKeyFlags(fs, 3650)
 	return &ff.Command{
 		Name: "ca", Usage: "dogwoodflowctl keys ca [--dir D] [--days N]", Flags: fs,
-		ShortHelp: "makes an authority, ca.pem and ca.key; ca.pem goes to every VM, ca.key to none",
+		ShortHelp: "creates an authority, ca.pem and ca.key; copy ca.pem to every VM, ca.key to none",
 		Exec: noArgs(func(context.Context) error {
 			validity, err := flags.validity()
 			if err != nil {
@@ -73,9 +73,9 @@
 	flags := newKeyFlags(fs, 365)
 	return &ff.Command{
 		Name: "issue", Usage: "dogwoodflowctl keys issue [--dir D] [--days N] VM [NAME|IP ...]", Flags: fs,
-		ShortHelp: "makes a VM's certificate and key, VM.pem and VM.key, signed by the authority",
-		LongHelp: "VM is the daemon's --vm: its peers look for that name. Further names and IP numbers\n" +
-			"are of use if the HTTP ports serve the same certificate.",
+		ShortHelp: "creates a VM's certificate and key, VM.pem and VM.key, signed by the authority",
+		LongHelp: "VM is the daemon's --vm, the name that its peers require. Further DNS names and IP\n" +
+			"addresses are needed if the HTTP ports serve the same certificate.",
 		Exec: func(_ context.Context, names []string) error {
 			if len(names) == 0 || names[0] != filepath.Base(names[0]) || names[0] == "." || names[0] == ".." {
 				return usagef("give the VM's name first, as in: entry-1 10.0.0.1")
@@ -103,8 +103,8 @@
 func keysHash(g *globals, parent *ff.FlagSet) *ff.Command {
 	return &ff.Command{
 		Name: "hash", Usage: "dogwoodflowctl keys hash < FILE", Flags: ff.NewFlagSet("hash").SetParent(parent),
-		ShortHelp: "prints the sha256 of a secret read from the standard input, for a team's keys",
-		LongHelp:  "A line end behind the secret isn't part of it.",
+		ShortHelp: "prints the SHA-256 hash of a secret read from standard input, for a team's keys",
+		LongHelp:  "A line break at the end of the input isn't part of the secret.",
 		Exec: noArgs(func(context.Context) error {
 			secret, err := io.ReadAll(io.LimitReader(g.in, maxSecretBytes+1))
 			if err != nil {
@@ -117,17 +117,18 @@
 			if err != nil {
 				return err
 			}
-			return g.show(map[string]string{"sha256": hash}, func(t table) { t.text("%s", hash) })
+			return g.printResult(map[string]string{"sha256": hash}, func(t table) { t.text("%s", hash) })
 		}),
 	}
 }
 
-func pairFiles(dir, name string) (certificate, key string) {
+// pairPaths returns the paths of a certificate and its key.
+func pairPaths(dir, name string) (certificate, key string) {
 	return filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key")
 }
 
 func readPair(dir, name string) (pair keys.Pair, err error) {
-	certificate, key := pairFiles(dir, name)
+	certificate, key := pairPaths(dir, name)
 	if pair.Certificate, err = os.ReadFile(certificate); err != nil {
 		return pair, fmt.Errorf("--dir: %w", err)
 	}
@@ -137,23 +138,23 @@
 	return pair, nil
 }
 
-// writePair writes both files or leaves none of its own behind.
+// writePair writes a certificate and its key, or neither of them if one can't be written.
 func (g *globals) writePair(dir, name string, pair keys.Pair) error {
-	certificate, key := pairFiles(dir, name)
-	if err := writeNew(key, pair.Key); err != nil {
+	certificate, key := pairPaths(dir, name)
+	if err := writeNewFile(key, pair.Key); err != nil {
 		return err
 	}
-	if err := writeNew(certificate, pair.Certificate); err != nil {
+	if err := writeNewFile(certificate, pair.Certificate); err != nil {
 		return errors.Join(err, os.Remove(key))
 	}
-	return g.show(map[string]string{"certificate": certificate, "key": key}, func(t table) {
+	return g.printResult(map[string]string{"certificate": certificate, "key": key}, func(t table) {
 		t.text("wrote %s and %s", certificate, key)
 	})
 }
 
-// writeNew never overwrites: a key that is lost can't be made again.
-func writeNew(name string, data []byte) error {
-	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretFile)
+// writeNewFile creates a file. It never overwrites one, since a lost key can't be recreated.
+func writeNewFile(name string, data []byte) error {
+	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretFileMode)
 	if err != nil {
 		return fmt.Errorf("--dir: %w", err)
 	}
--- a/cmd/dogwoodflowctl/keys_test.go
+++ b/cmd/dogwoodflowctl/keys_test.go
@@ -9,15 +9,15 @@
 )
 
 var _ = Describe("dogwoodflowctl keys", func() {
-	// An operator runs the command a second time. The fleet's keys must survive:
-	// an authority that is gone means new certificates on every VM.
-	It("makes a fleet's keys, readable by their owner only, and overwrites none", func() {
+	// An operator runs the command a second time. It must not overwrite the fleet's keys: a lost
+	// authority would mean new certificates on every VM.
+	It("creates keys that only their owner can read, and never overwrites them", func() {
 		dir := GinkgoT().TempDir()
 		for _, args := range [][]string{{"ca"}, {"issue", "entry-1", "10.0.0.1"}} {
 			args = append([]string{"keys", args[0], "--dir", dir}, args[1:]...)
-			shown, code := ctl(newDaemon(), args...)
+			shown, code := runCtl(newFakeDaemon(), args...)
 			Expect(code).To(Equal(exitOK), shown)
-			shown, code = ctl(newDaemon(), args...)
+			shown, code = runCtl(newFakeDaemon(), args...)
 			Expect(code).To(Equal(exitFailed), shown)
 			Expect(shown).To(ContainSubstring("file exists"))
 		}
@@ -28,16 +28,16 @@
 		}
 	})
 
-	It("leaves no key behind without its certificate", func() {
+	It("removes the key if the certificate can't be written", func() {
 		dir := GinkgoT().TempDir()
 		Expect(os.WriteFile(filepath.Join(dir, "ca.pem"), nil, 0o600)).To(Succeed())
-		_, code := ctl(newDaemon(), "keys", "ca", "--dir", dir)
+		_, code := runCtl(newFakeDaemon(), "keys", "ca", "--dir", dir)
 		Expect(code).To(Equal(exitFailed))
 		Expect(filepath.Join(dir, "ca.key")).NotTo(BeAnExistingFile())
 	})
 
-	DescribeTable("prints", func(name string, code int, args ...string) {
-		shown, got := ctl(newDaemon(), args...)
+	DescribeTable("prints the expected output", func(name string, code int, args ...string) {
+		shown, got := runCtl(newFakeDaemon(), args...)
 		expectGolden(name, shown)
 		Expect(got).To(Equal(code))
 	},
--- a/cmd/dogwoodflowctl/main.go
+++ b/cmd/dogwoodflowctl/main.go
@@ -1,5 +1,6 @@
-// Command dogwoodflowctl is the operators' tool: configuration, jobs and steps,
-// upstreams, daemons and the timeline.
+// Command dogwoodflowctl is the command-line tool for operators. It manages configuration, jobs,
+// steps and keys, and shows upstreams, daemons, the timeline and the state of daemons on the
+// platform.
 package main
 
 import (
--- a/cmd/dogwoodflowctl/platform.go
+++ b/cmd/dogwoodflowctl/platform.go
@@ -19,31 +19,32 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/inspect/pages"
 )
 
-// platformCommand asks daemons that run on the platform for their own view. They
-// answer on their metrics address, without a key.
+// platformCommand shows the state of daemons that run on the platform. They serve it on their
+// metrics address, without authentication.
 func platformCommand(g *globals, parent *ff.FlagSet) *ff.Command {
 	fs := ff.NewFlagSet("platform").SetParent(parent)
 	p := &platformDaemons{g: g}
-	fs.StringVar(&p.addresses, 'd', "daemons", "http://127.0.0.1:9464", "base URLs of daemons' metrics addresses, separated by commas")
-	c := group("platform", "looks into daemons on the platform", fs,
+	fs.StringVar(&p.addresses, 'd', "daemons", "http://127.0.0.1:9464", "comma-separated base URLs of daemons' metrics addresses")
+	c := commandGroup("platform", "shows the state of daemons on the platform", fs,
 		p.command(fs, "status", "shows each daemon's readiness, configuration and view of the store", p.status),
-		p.command(fs, "upstreams", "lists upstreams by incarnation, with the holder of their orders", p.upstreams),
-		p.command(fs, "duties", "shows who does what one daemon at a time does, and the servers ordered", p.duties),
-		p.command(fs, "customers", "lists customers' keys in force, by hash", p.customers),
-		p.command(fs, "batches", "lists batches and who runs them", p.batches),
+		p.command(fs, "upstreams", "lists upstreams by incarnation, with the VM that holds the claim on each", p.upstreams),
+		p.command(fs, "duties", "shows the holders of the duties that one daemon at a time performs, and the servers ordered", p.duties),
+		p.command(fs, "customers", "lists the hashes of the customers' keys in force", p.customers),
+		p.command(fs, "batches", "lists batches and the VMs that run them", p.batches),
 		p.idCommand(fs, "batch", "shows a batch with its samples", p.batch),
-		p.idCommand(fs, "end", "ends a batch; what is listed stays listed", p.end),
+		p.idCommand(fs, "end", "ends a batch; its results so far are kept", p.end),
 	)
 	c.Flags = fs
 	return c
 }
 
-// platformDaemons are the daemons that are asked.
+// platformDaemons are the daemons that --daemons names.
 type platformDaemons struct {
 	g         *globals
-	addresses string
+	addresses string // comma-separated base URLs
 }
 
+// command returns a command without arguments.
 func (p *platformDaemons) command(parent *ff.FlagSet, name, help string, exec func(context.Context) error) *ff.Command {
 	return &ff.Command{
 		Name: name, Usage: "dogwoodflowctl platform " + name + " --daemons URL[,URL...]", ShortHelp: help,
@@ -51,6 +52,7 @@
 	}
 }
 
+// idCommand returns a command whose argument is the ID of a batch.
 func (p *platformDaemons) idCommand(parent *ff.FlagSet, name, help string, exec func(context.Context, string) error) *ff.Command {
 	return &ff.Command{
 		Name: name, Usage: "dogwoodflowctl platform " + name + " --daemons URL[,URL...] BATCH", ShortHelp: help,
@@ -64,6 +66,7 @@
 	}
 }
 
+// clients returns a client for each daemon.
 func (p *platformDaemons) clients() ([]*adminclient.Client, error) {
 	var out []*adminclient.Client
 	for base := range strings.SplitSeq(p.addresses, ",") {
@@ -76,25 +79,26 @@
 	return out, nil
 }
 
-// first asks one daemon after the other until one answers.
-func (p *platformDaemons) first(ctx context.Context, method, path string, out any) error {
+// callFirst calls the daemons in order until one answers, and decodes its response into out. It
+// calls no other daemon after an error response, nor after any error of a call that isn't a read.
+func (p *platformDaemons) callFirst(ctx context.Context, method, path string, out any) error {
 	clients, err := p.clients()
 	if err != nil {
 		return err
 	}
-	var failed []error
+	var errs []error
 	for _, c := range clients {
 		err := c.Call(ctx, method, path, nil, out)
 		if err == nil {
 			return nil
 		}
-		failed = append(failed, err)
+		errs = append(errs, err)
 		var transport *adminclient.TransportError
 		if !errors.As(err, &transport) || method != http.MethodGet {
-			break // an answer, or a change that may have been made: asking on would blur it
+			break // a response, or a change that may have been made: another call would obscure it
 		}
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
 
 func (p *platformDaemons) status(ctx context.Context) error {
@@ -102,64 +106,64 @@
 	if err != nil {
 		return err
 	}
-	var all []inspect.Status
-	var failed []error
+	var statuses []inspect.Status
+	var errs []error
 	for _, c := range clients {
 		var s inspect.Status
 		if err := c.Call(ctx, http.MethodGet, pages.PathStatus, nil, &s); err != nil {
-			failed = append(failed, err)
+			errs = append(errs, err)
 			continue
 		}
-		all = append(all, s)
+		statuses = append(statuses, s)
 	}
-	if err := p.g.show(all, func(t table) { statusTable(t, all) }); err != nil {
+	if err := p.g.printResult(statuses, func(t table) { statusTable(t, statuses) }); err != nil {
 		return err
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
 
 func (p *platformDaemons) upstreams(ctx context.Context) error {
 	var list []inspect.Upstream
-	if err := p.first(ctx, http.MethodGet, pages.PathUpstreams, &list); err != nil {
+	if err := p.callFirst(ctx, http.MethodGet, pages.PathUpstreams, &list); err != nil {
 		return err
 	}
-	return p.g.show(list, func(t table) { incarnationsTable(t, list) })
+	return p.g.printResult(list, func(t table) { incarnationsTable(t, list) })
 }
 
-// dutiesOf is a daemon's view of the duties.
-type dutiesOf struct {
-	Daemon string `json:"daemon"`
+// daemonDuties are the duties as one daemon reports them.
+type daemonDuties struct {
+	Daemon string `json:"daemon"` // base URL
 	inspect.Duties
 }
 
-// duties asks every daemon: what a daemon without a turn knows of them is little.
+// duties calls every daemon, since a daemon that isn't a candidate knows little about the duties.
 func (p *platformDaemons) duties(ctx context.Context) error {
 	clients, err := p.clients()
 	if err != nil {
 		return err
 	}
-	var all []dutiesOf
-	var failed []error
+	var all []daemonDuties
+	var errs []error
 	for i, c := range clients {
-		d := dutiesOf{Daemon: strings.TrimSpace(strings.Split(p.addresses, ",")[i])}
+		d := daemonDuties{Daemon: strings.TrimSpace(strings.Split(p.addresses, ",")[i])}
 		if err := c.Call(ctx, http.MethodGet, pages.PathDuties, nil, &d.Duties); err != nil {
-			failed = append(failed, err)
+			errs = append(errs, err)
 			continue
 		}
 		all = append(all, d)
 	}
-	if err := p.g.show(all, func(t table) { dutiesTable(t, all) }); err != nil {
+	if err := p.g.printResult(all, func(t table) { dutiesTable(t, all) }); err != nil {
 		return err
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
 
 func (p *platformDaemons) customers(ctx context.Context) error {
 	var list []customers.KeyInForce
-	if err := p.first(ctx, http.MethodGet, pages.PathCustomers, &list); err != nil {
+	if err := p.callFirst(ctx, http.MethodGet, pages.PathCustomers, &list); err != nil {
 		return err
 	}
-	return p.g.show(list, func(t table) {
+	return p.g.printResult(list, func(t table) {
 		t.row("CUSTOMER", "KEY (SHA-256, FIRST DIGITS)")
 		for _, k := range list {
 			t.row(k.Customer, k.SHA256)
@@ -169,82 +173,84 @@
 
 func (p *platformDaemons) batches(ctx context.Context) error {
 	var list []inspect.Batch
-	if err := p.first(ctx, http.MethodGet, pages.PathBatches, &list); err != nil {
+	if err := p.callFirst(ctx, http.MethodGet, pages.PathBatches, &list); err != nil {
 		return err
 	}
-	return p.g.show(list, func(t table) { batchesTable(t, list) })
+	return p.g.printResult(list, func(t table) { batchesTable(t, list) })
 }
 
 func (p *platformDaemons) batch(ctx context.Context, id string) error {
 	var b inspect.BatchDetail
-	if err := p.first(ctx, http.MethodGet, pages.PathBatches+"/"+url.PathEscape(id), &b); err != nil {
+	if err := p.callFirst(ctx, http.MethodGet, pages.PathBatches+"/"+url.PathEscape(id), &b); err != nil {
 		return err
 	}
-	return p.g.show(b, func(t table) { batchTable(t, b) })
+	return p.g.printResult(b, func(t table) { batchTable(t, b) })
 }
 
 func (p *platformDaemons) end(ctx context.Context, id string) error {
-	if err := p.first(ctx, http.MethodDelete, pages.PathBatches+"/"+url.PathEscape(id), nil); err != nil {
-		return hintUnknown(err, "ending a batch again is safe")
+	if err := p.callFirst(ctx, http.MethodDelete, pages.PathBatches+"/"+url.PathEscape(id), nil); err != nil {
+		return hintIfUnknown(err, "Ending the batch again is safe.")
 	}
-	return p.g.show(map[string]string{"ended": id}, func(t table) { t.text("ended %s", id) })
+	return p.g.printResult(map[string]string{"ended": id}, func(t table) { t.text("ended %s", id) })
 }
 
-func age(ms int64) string {
+// formatAge formats an age in ms, where -1 means never.
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "never"
 	}
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-func statusTable(t table, all []inspect.Status) {
+func statusTable(t table, statuses []inspect.Status) {
 	t.row("VM", "DATA CENTRE", "READY", "CONFIG", "IN FORCE FOR", "ROUTES", "OWNS", "OLDEST VIEW", "OUT OF CONTACT")
-	for _, s := range all {
+	for _, s := range statuses {
 		ready := "yes"
 		if s.NotReady != "" {
 			ready = "no: " + s.NotReady
 		}
-		oldest, silent := viewsOf(s.Views)
-		t.row(s.VM, s.DataCentre, ready, s.Config.Version, age(s.Config.AgeMS), s.Config.Routes, joined(s.Owns), oldest, silent)
+		oldestView, outOfContact := summarizeViews(s.Views)
+		t.row(s.VM, s.DataCentre, ready, s.Config.Version, formatAge(s.Config.AgeMS), s.Config.Routes, joinInts(s.Owns), oldestView, outOfContact)
 	}
 }
 
-// viewsOf sums views up: the age of the oldest, and those whose reads fail.
-func viewsOf(views []inspect.View) (oldest, silent string) {
-	most := int64(0)
-	var failing []string
+// summarizeViews returns the age of the oldest view, and the partitions whose reads fail.
+func summarizeViews(views []inspect.View) (oldestView, outOfContact string) {
+	maxAgeMS := int64(0)
+	var failedViews []string
 	for _, v := range views {
 		if v.AgeMS < 0 {
-			oldest = age(v.AgeMS)
+			oldestView = formatAge(v.AgeMS)
 		}
-		most = max(most, v.AgeMS)
+		maxAgeMS = max(maxAgeMS, v.AgeMS)
 		if !v.InContact {
-			failing = append(failing, fmt.Sprintf("%s/%d", v.Topic, v.Part))
+			failedViews = append(failedViews, fmt.Sprintf("%s/%d", v.Topic, v.Part))
 		}
 	}
-	if oldest == "" {
-		oldest = age(most)
+	if oldestView == "" {
+		oldestView = formatAge(maxAgeMS)
 	}
-	return oldest, strings.Join(failing, " ")
+	return oldestView, strings.Join(failedViews, " ")
 }
 
-func joined(parts []int) string {
+// joinInts formats partition numbers.
+func joinInts(numbers []int) string {
 	var out []string
-	for _, n := range parts {
+	for _, n := range numbers {
 		out = append(out, fmt.Sprint(n))
 	}
 	return strings.Join(out, " ")
 }
 
-func dutiesTable(t table, all []dutiesOf) {
+func dutiesTable(t table, duties []daemonDuties) {
 	t.row("DAEMON", "RANK", "LAST WINDOW REPORTED", "DUTY", "LAST HOLDER", "FENCE", "CLAIMED AGO")
-	for _, d := range all {
+	for _, d := range duties {
 		for _, h := range d.Held {
-			t.row(d.Daemon, d.Rank, d.LastWindow, h.Duty, h.VM, h.Fence, age(h.AgeMS))
+			t.row(d.Daemon, d.Rank, d.LastWindow, h.Duty, h.VM, h.Fence, formatAge(h.AgeMS))
 		}
 	}
 	t.row("DAEMON", "SERVICE", "DATA CENTRE", "REGULAR", "SPOT", "SPOT ORDERED")
-	for _, d := range all {
+	for _, d := range duties {
 		for _, s := range d.Servers {
 			t.row(d.Daemon, s.Service, s.DataCentre, s.Regular, s.Spot, s.SpotOrdered)
 		}
@@ -258,11 +264,12 @@
 		if u.Leaving {
 			state = "leaving"
 		}
-		t.row(u.ID, u.Service, u.Address, u.DataCentre, state, u.Slots, weightsOf(u.Models), u.Holder, u.Fence)
+		t.row(u.ID, u.Service, u.Address, u.DataCentre, state, u.Slots, formatWeights(u.Models), u.Holder, u.Fence)
 	}
 }
 
-func weightsOf(models map[string]int64) string {
+// formatWeights formats the weight versions by model.
+func formatWeights(models map[string]int64) string {
 	var out []string
 	for _, m := range slices.Sorted(maps.Keys(models)) {
 		out = append(out, fmt.Sprintf("%s:%d", m, models[m]))
@@ -273,7 +280,7 @@
 func batchesTable(t table, list []inspect.Batch) {
 	t.row("BATCH", "MODEL", "PART", "OWNER", "AGE", "STATE", "SAMPLES", "COMPLETED", "DEAD", "RUNNING HERE")
 	for _, b := range list {
-		t.row(b.ID, b.Model, b.Part, b.Owner, age(b.AgeMS), batchState(b), b.Samples, b.Completed, b.Dead, b.Running)
+		t.row(b.ID, b.Model, b.Part, b.Owner, formatAge(b.AgeMS), batchState(b), b.Samples, b.Completed, b.Dead, b.Running)
 	}
 }
 
--- a/cmd/dogwoodflowctl/restore.go
+++ b/cmd/dogwoodflowctl/restore.go
@@ -15,14 +15,14 @@
 func configRestore(g *globals, parent *ff.FlagSet) *ff.Command {
 	fs := ff.NewFlagSet("restore").SetParent(parent)
 	file := fs.String('f', "file", "", "YAML or JSON file with the whole tree, as 'config get' prints it; - is standard input (required)")
-	author := fs.String(0, "author", os.Getenv("USER"), "who restores")
+	author := fs.String(0, "author", os.Getenv("USER"), "who restores the configuration")
 	return &ff.Command{
 		Name: "restore", Usage: "dogwoodflowctl config restore --file F", Flags: fs,
-		ShortHelp: "starts the configuration anew when nothing is left of it (administrators)",
-		LongHelp: "For daemons that say 'configuration behind the log's retention' and stay so: every\n" +
-			"record of the log is too old, there is no snapshot, and no daemon has the configuration.\n" +
-			"A daemon that has it is asked first, through the log, which takes about 15 s. The\n" +
-			"daemon refuses while its own configuration is whole.",
+		ShortHelp: "restores a configuration of which no copy is left (administrators)",
+		LongHelp: "Use it if daemons keep reporting 'configuration behind the log's retention': the log's\n" +
+			"records have expired, there is no snapshot, and no daemon has the configuration. The\n" +
+			"daemon first requests it from the others through the log, which takes about 15 s. It\n" +
+			"refuses to restore if its own configuration is complete.",
 		Exec: noArgs(func(ctx context.Context) error {
 			if *file == "" {
 				return usagef("--file is required")
@@ -51,7 +51,7 @@
 	}
 	verdict, err := client.Restore(ctx, httpapi.RestoreRequest{Tree: raw, Author: author})
 	if err != nil {
-		return hintUnknown(err, "It may or may not come into force. Repeating the command is safe: it is refused once a restore is.")
+		return hintIfUnknown(err, "It may or may not take effect. Repeating the command is safe: it is refused once a restore is in force.")
 	}
-	return g.show(verdict, func(t table) { t.text("the tree is in force at version %s", verdict.Version) })
+	return g.printResult(verdict, func(t table) { t.text("the tree is in force at version %s", verdict.Version) })
 }
--- a/cmd/dogwoodflowctl/root.go
+++ b/cmd/dogwoodflowctl/root.go
@@ -14,36 +14,37 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/adminclient"
 )
 
-// envPrefix precedes a flag's name in the environment, as in DOGWOODFLOWCTL_URL.
+// envPrefix is the prefix of the environment variables that set flags, as in DOGWOODFLOWCTL_URL.
 const envPrefix = "DOGWOODFLOWCTL"
 
-// adminTokenEnv is the daemon's own variable, so that one secret file serves both.
+// adminTokenEnv is the environment variable that the daemon reads too, so that both can share one
+// file of secrets.
 const adminTokenEnv = "DOGWOODFLOW_ADMIN_TOKEN"
 
-// globals are the flags and streams of every command.
+// globals holds the flags and the streams that all commands share.
 type globals struct {
-	url        string
-	trainerURL string
+	url        string // comma-separated base URLs of administration ports
+	trainerURL string // base URL of a trainer port, "" to use the administration port
 	tokenFile  string
-	caFile     string
-	json       bool
-	version    bool
+	caFile     string // PEM, "" for the system's authorities
+	json       bool   // print results as JSON
+	version    bool   // print the version and exit
 
-	in       io.Reader
-	out      io.Writer
-	progress io.Writer // for people; never part of the result
+	in     io.Reader
+	out    io.Writer
+	errOut io.Writer // messages for people, not results
 }
 
 const longHelp = `The token is the administrator's or a team's operator key. It comes from
 --token-file or the environment variable ` + adminTokenEnv + `.
 Every flag can be set in the environment, as in ` + envPrefix + `_URL.
 
-Exit codes: 0 done; 1 refused or failed, nothing was changed; 2 the command line
-is wrong; 3 a change's outcome is unknown, repeating it with its --id is safe.`
+Exit codes: 0 done; 1 refused or failed, nothing was changed; 2 invalid command
+line; 3 a change's outcome is unknown, repeating it with its --id is safe.`
 
 func newRoot(g *globals) *ff.Command {
 	fs := ff.NewFlagSet("dogwoodflowctl")
-	fs.StringVar(&g.url, 'u', "url", "http://127.0.0.1:8082", "base URL of a daemon's administration port; several, separated by commas, for 'config watch' to move on")
+	fs.StringVar(&g.url, 'u', "url", "http://127.0.0.1:8082", "base URL of a daemon's administration port; 'config watch' uses several, separated by commas")
 	fs.StringVar(&g.trainerURL, 0, "trainer-url", "", "base URL of a daemon's trainer port, for 'step' with a team's key")
 	fs.StringVar(&g.tokenFile, 0, "token-file", "", "file with the administrator's token or a team's key")
 	fs.StringVar(&g.caFile, 0, "ca-file", "", "PEM file with the authorities to trust for https URLs (default: the system's)")
@@ -80,18 +81,18 @@
 }
 
 func (g *globals) printVersion() error {
-	return g.show(map[string]string{"version": version}, func(t table) { t.text("dogwoodflowctl %s", version) })
+	return g.printResult(map[string]string{"version": version}, func(t table) { t.text("dogwoodflowctl %s", version) })
 }
 
-// group is a command that only has sub-commands.
-func group(name, help string, parent *ff.FlagSet, children ...*ff.Command) *ff.Command {
-	names := make([]string, len(children))
-	for i, child := range children {
+// commandGroup returns a command that only has subcommands.
+func commandGroup(name, help string, parent *ff.FlagSet, subcommands ...*ff.Command) *ff.Command {
+	names := make([]string, len(subcommands))
+	for i, child := range subcommands {
 		names[i] = child.Name
 	}
 	return &ff.Command{
 		Name: name, Usage: "dogwoodflowctl " + name + " " + strings.Join(names, "|") + " ...", ShortHelp: help,
-		Flags: ff.NewFlagSet(name).SetParent(parent), Subcommands: children,
+		Flags: ff.NewFlagSet(name).SetParent(parent), Subcommands: subcommands,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) > 0 {
 				return usagef("%s has no command %q", name, args[0])
@@ -101,8 +102,8 @@
 	}
 }
 
-// noArgs is for commands that take flags only: a mistyped flag must not be
-// taken for nothing.
+// noArgs returns the Exec function of a command without arguments. It rejects arguments, so that
+// a mistyped flag isn't ignored.
 func noArgs(exec func(context.Context) error) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
@@ -112,6 +113,7 @@
 	}
 }
 
+// client returns a client for the first daemon of --url.
 func (g *globals) client() (*adminclient.Client, error) {
 	token, err := g.token()
 	if err != nil {
@@ -120,7 +122,7 @@
 	return adminclient.New(g.urls()[0], token, g.caFile)
 }
 
-// urls lists the daemons of --url. All commands but "config watch" take the first.
+// urls returns the base URLs in --url. All commands except "config watch" use only the first.
 func (g *globals) urls() []string {
 	urls := strings.Split(g.url, ",")
 	for i, u := range urls {
@@ -129,6 +131,7 @@
 	return urls
 }
 
+// token returns the token from --token-file or else from the environment.
 func (g *globals) token() (string, error) {
 	if g.tokenFile != "" {
 		data, err := os.ReadFile(g.tokenFile)
@@ -143,30 +146,30 @@
 	return "", usagef("no token: give --token-file or set %s", adminTokenEnv)
 }
 
-// show prints a result: as JSON if that was asked for, else as a table.
-func (g *globals) show(v any, human func(table)) error {
+// printResult prints a result as JSON with --json, otherwise with printTable.
+func (g *globals) printResult(v any, printTable func(table)) error {
 	if g.json {
 		return g.printJSON(v)
 	}
 	w := tabwriter.NewWriter(g.out, 0, 0, 2, ' ', 0)
-	human(table{w})
+	printTable(table{w})
 	return w.Flush()
 }
 
-// printJSON writes a value as indented JSON.
+// printJSON prints a value as indented JSON.
 func (g *globals) printJSON(v any) error {
 	enc := json.NewEncoder(g.out)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
 }
 
-// printLine writes a value as one line of JSON, for results that go on.
-func (g *globals) printLine(v any) error { return json.NewEncoder(g.out).Encode(v) }
+// printJSONLine prints a value as one line of JSON, for commands that print several results.
+func (g *globals) printJSONLine(v any) error { return json.NewEncoder(g.out).Encode(v) }
 
-// table aligns columns.
+// table prints rows with aligned columns.
 type table struct{ w *tabwriter.Writer }
 
-// row writes one line. Columns are as they print, an empty one as "-".
+// row prints one row. An empty column is printed as "-".
 func (t table) row(columns ...any) {
 	cells := make([]string, len(columns))
 	for i, c := range columns {
@@ -177,5 +180,5 @@
 	_, _ = fmt.Fprintln(t.w, strings.Join(cells, "\t"))
 }
 
-// text writes a line outside the columns.
+// text prints a line without columns.
 func (t table) text(format string, args ...any) { _, _ = fmt.Fprintf(t.w, format+"\n", args...) }
--- a/cmd/dogwoodflowctl/rota.go
+++ b/cmd/dogwoodflowctl/rota.go
@@ -10,50 +10,50 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/httpapi"
 )
 
-// rota is the daemons that may answer a read, and the one whose turn it is.
-type rota struct {
-	clients []*adminclient.Client
-	turn    int
-	note    func(string) error
+// failoverClient reads from one of several daemons, and switches to the next one if it fails.
+type failoverClient struct {
+	clients   []*adminclient.Client // one per daemon
+	current   int                   // index of the daemon to read from
+	printNote func(string) error
 }
 
-// daemons returns a rota of all that --url names.
-func (g *globals) daemons() (*rota, error) {
+// newFailoverClient returns a client for all daemons that --url names.
+func (g *globals) newFailoverClient() (*failoverClient, error) {
 	token, err := g.token()
 	if err != nil {
 		return nil, err
 	}
-	r := &rota{note: g.note}
+	f := &failoverClient{printNote: g.printNote}
 	for _, u := range g.urls() {
 		client, err := adminclient.New(u, token, g.caFile)
 		if err != nil {
 			return nil, err
 		}
-		r.clients = append(r.clients, client)
+		f.clients = append(f.clients, client)
 	}
-	return r, nil
+	return f, nil
 }
 
-// ask reads from the daemon whose turn it is, and from the next one when that one
-// stops or can't be reached. It fails once each of them did in a row.
-func (r *rota) ask(ctx context.Context, read func(*adminclient.Client) (httpapi.ConfigView, error)) (view httpapi.ConfigView, err error) {
-	for left := len(r.clients) - 1; ; left-- {
-		view, err = read(r.clients[r.turn])
-		if err == nil || ctx.Err() != nil || !goneAway(err) {
+// read calls the current daemon, and the next one if that daemon is stopping or can't be reached.
+// It returns the last error once every daemon has failed in a row.
+func (f *failoverClient) read(ctx context.Context, call func(*adminclient.Client) (httpapi.ConfigView, error)) (view httpapi.ConfigView, err error) {
+	for remaining := len(f.clients) - 1; ; remaining-- {
+		view, err = call(f.clients[f.current])
+		if err == nil || ctx.Err() != nil || !canFailOver(err) {
 			return view, err
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return view, err
 		}
-		r.turn = (r.turn + 1) % len(r.clients)
-		if noteErr := r.note(fmt.Sprintf("%v; moving on to %s", err, r.clients[r.turn].Base())); noteErr != nil {
-			return view, noteErr
+		f.current = (f.current + 1) % len(f.clients)
+		if printErr := f.printNote(fmt.Sprintf("%v; moving on to %s", err, f.clients[f.current].Base())); printErr != nil {
+			return view, printErr
 		}
 	}
 }
 
-// goneAway says that another daemon may answer what this one didn't.
-func goneAway(err error) bool {
+// canFailOver reports whether another daemon may be able to answer after this error.
+func canFailOver(err error) bool {
 	var transport *adminclient.TransportError
 	return errors.As(err, &transport) || adminclient.StatusOf(err) == http.StatusServiceUnavailable
 }
--- a/cmd/dogwoodflowctl/tables.go
+++ b/cmd/dogwoodflowctl/tables.go
@@ -16,20 +16,22 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/timeline"
 )
 
-// timeFormat shows events of one millisecond apart, in UTC.
+// timeFormat is the format of event times, in UTC and with milliseconds, since events follow each
+// other that closely.
 const timeFormat = "2006-01-02T15:04:05.000Z"
 
 func historyTable(t table, entries []config.HistoryEntry) {
 	t.row("VERSION", "BRANCH", "AT", "AUTHOR", "CHANGE", "PATHS")
 	for _, e := range entries {
-		t.row(e.Version, e.Branch, e.At.UTC().Format(time.RFC3339), e.Author, e.ChangeID, pathsOf(e.Paths))
+		t.row(e.Version, e.Branch, e.At.UTC().Format(time.RFC3339), e.Author, e.ChangeID, displayPaths(e.Paths))
 	}
 }
 
-func pathsOf(paths []string) string {
+// displayPaths formats the paths that a change set.
+func displayPaths(paths []string) string {
 	shown := make([]string, len(paths))
 	for i, p := range paths {
-		shown[i] = pathOf(config.Op{Path: p})
+		shown[i] = displayPath(config.Op{Path: p})
 	}
 	return strings.Join(shown, " ")
 }
@@ -42,7 +44,7 @@
 	t.row("scorer", j.Scorer)
 	t.row("group size", j.GroupSize)
 	t.row("max tokens", j.MaxTokens)
-	t.row("staleness bound", boundOf(j))
+	t.row("staleness bound", formatBound(j))
 	t.row("branch version", j.Version)
 }
 
@@ -60,7 +62,8 @@
 	return "open"
 }
 
-func boundOf(j httpapi.JobView) string {
+// formatBound formats a job's staleness bound and says where it is set.
+func formatBound(j httpapi.JobView) string {
 	source := "the model's"
 	if j.StalenessBound != nil {
 		source = "the job's own"
@@ -89,7 +92,7 @@
 	}
 }
 
-// progressLine is one line of "step watch".
+// progressLine returns a line of "step watch".
 func progressLine(s rollouts.StatusResponse) string {
 	c := s.Counts
 	percent := 100
@@ -107,11 +110,12 @@
 		if u.Leaving {
 			health += ", leaving"
 		}
-		t.row(u.Group, u.Name, u.DataCentre, u.Address, health, fmt.Sprintf("%.2f", u.Weight), u.InFlight, u.Limit, u.Queued, servingOf(u.Serving))
+		t.row(u.Group, u.Name, u.DataCentre, u.Address, health, fmt.Sprintf("%.2f", u.Weight), u.InFlight, u.Limit, u.Queued, formatServing(u.Serving))
 	}
 }
 
-func servingOf(serving map[ident.Model]ident.Version) string {
+// formatServing formats the weight versions by model.
+func formatServing(serving map[ident.Model]ident.Version) string {
 	var parts []string
 	for _, model := range slices.Sorted(maps.Keys(serving)) {
 		parts = append(parts, fmt.Sprintf("%s=%s", model, serving[model]))
@@ -122,7 +126,7 @@
 func daemonsTable(t table, list []peer.MemberStatus) {
 	t.row("VM", "DATA CENTRE", "ADDRESS", "STATE", "CONNECTED", "CONFIG VERSION", "LOG READ TO")
 	for _, d := range list {
-		t.row(d.VM, d.DataCentre, d.Address, daemonState(d), connected(d), d.Config.Version, d.Config.Through)
+		t.row(d.VM, d.DataCentre, d.Address, daemonState(d), formatConnected(d), d.Config.Version, d.Config.Through)
 	}
 }
 
@@ -138,7 +142,7 @@
 	return "live"
 }
 
-func connected(d peer.MemberStatus) string {
+func formatConnected(d peer.MemberStatus) string {
 	if d.Self {
 		return "this one"
 	}
@@ -148,18 +152,19 @@
 func timelineTable(t table, events []timeline.Event) {
 	t.row("TIME", "VM", "EVENT", "TEAM", "REQUEST", "JOB", "SAMPLE", "UPSTREAM", "VERSION", "DETAIL")
 	for _, e := range events {
-		t.row(e.HLC.Time().Format(timeFormat), e.VM, e.Kind, e.Team, e.Request, stepName(e), e.Sample, e.Upstream, versionText(e.Version), e.Detail)
+		t.row(e.HLC.Time().Format(timeFormat), e.VM, e.Kind, e.Team, e.Request, formatStep(e), e.Sample, e.Upstream, formatVersion(e.Version), e.Detail)
 	}
 }
 
-func stepName(e timeline.Event) string {
+// formatStep formats the step of an event as JOB/STEP, "" if the event has none.
+func formatStep(e timeline.Event) string {
 	if e.Job == "" {
 		return ""
 	}
 	return fmt.Sprintf("%s/%d", e.Job, e.Step)
 }
 
-func versionText(v ident.Version) string {
+func formatVersion(v ident.Version) string {
 	if v == 0 {
 		return ""
 	}
--- a/cmd/dogwoodflowd/main.go
+++ b/cmd/dogwoodflowd/main.go
@@ -42,11 +42,12 @@
 	return app.Run(d, newLogger(d))
 }
 
-// millisecondTime lets the lines of several daemons be put into one order.
+// millisecondTime is the time format of log lines, precise enough to sort the lines of several
+// daemons.
 const millisecondTime = "2006-01-02T15:04:05.000Z07:00"
 
-// runOnPlatform writes its lines to standard output, where the platform collects
-// them, and never waits for it.
+// runOnPlatform runs the daemon on the platform. It logs to standard output, which the platform
+// collects, and never blocks on it.
 func runOnPlatform(d *settings.Daemon) int {
 	level, err := zerolog.ParseLevel(d.LogLevel)
 	if err != nil {
@@ -56,14 +57,15 @@
 	out := logline.New(os.Stdout)
 	defer out.Close()
 	log := zerolog.New(out).Level(level).With().Timestamp().Logger()
-	without, err := policy.Parse(d.DisabledMechanisms)
+	disabled, err := policy.Parse(d.DisabledMechanisms)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dogwoodflowd:", err)
 		return app.ExitSettings
 	}
-	return platform.Run(platform.Options{Policy: without, BootPath: d.BootFile, MetricsAddress: d.MetricsAddress, Logger: log, Naive: d.Policy == settings.PolicyNaive})
+	return platform.Run(platform.Options{Policy: disabled, BootPath: d.BootFile, MetricsAddress: d.MetricsAddress, Logger: log, Naive: d.Policy == settings.PolicyNaive})
 }
 
+// newLogger returns the logger of a daemon outside the platform, which writes to standard error.
 func newLogger(d *settings.Daemon) zerolog.Logger {
 	level, err := zerolog.ParseLevel(d.LogLevel)
 	if err != nil {
