--- a/internal/batchrun/homes.go
+++ b/internal/batchrun/homes.go
@@ -71,7 +71,7 @@
 func (p *modelPartitions) lookup(model string) (part int, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Of(model)
+	return p.state.Lookup(model)
 }
 
 // partitions returns the numbers of the partitions that models are assigned to, sorted.
@@ -145,7 +145,7 @@
 func (p *modelPartitions) changesDemand(assignment loads.Home) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Differs(assignment)
+	return p.state.ChangesDemand(assignment)
 }
 
 // demandInterval is the least time between two demand records of a model by its owner:
--- a/internal/loads/homes.go
+++ b/internal/loads/homes.go
@@ -56,13 +56,13 @@
 	if _, known := a.byModel[r.Model]; !known && r.Partition >= 0 && r.Partition < a.partitions {
 		a.byModel[r.Model] = r.Partition
 	}
-	if a.Differs(r) {
+	if a.ChangesDemand(r) {
 		a.demand[r.Model] = r.BatchSize
 	}
 }
 
-// Differs reports whether a record would change the batch size of its model.
-func (a *Homes) Differs(r Home) bool {
+// ChangesDemand reports whether a record would change the batch size of its model.
+func (a *Homes) ChangesDemand(r Home) bool {
 	known := a.demand[r.Model]
 	return r.BatchSize > 0 && (known == 0 || math.Abs(float64(r.BatchSize-known)) > minDemandChange*float64(known))
 }
@@ -76,8 +76,8 @@
 	return slices.Compact(parts)
 }
 
-// Of returns a model's partition, false if none is assigned.
-func (a *Homes) Of(model string) (part int, ok bool) {
+// Lookup returns a model's partition, false if none is assigned.
+func (a *Homes) Lookup(model string) (part int, ok bool) {
 	part, ok = a.byModel[model]
 	return part, ok
 }
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -372,13 +372,13 @@
 		seen[next.Partition] = true
 		assignments.Apply(next)
 	}
-	part, ok := assignments.Of("m0")
+	part, ok := assignments.Lookup("m0")
 	g.Expect(ok).To(BeTrue())
 	assignments.Apply(Home{Model: "m0", Partition: part + 1})
-	again, _ := assignments.Of("m0")
+	again, _ := assignments.Lookup("m0")
 	g.Expect(again).To(Equal(part), "the first record counts")
 	assignments.Apply(Home{Model: "bad", Partition: 12})
-	_, ok = assignments.Of("bad")
+	_, ok = assignments.Lookup("bad")
 	g.Expect(ok).To(BeFalse())
 	g.Expect(assignments.Next("m12").Partition).To(BeNumerically("<", 12))
 	g.Expect(NewHomes(1).Next("m")).To(Equal(Home{Model: "m", Partition: 0}))
