--- a/internal/app/weights.go
+++ b/internal/app/weights.go
@@ -22,7 +22,7 @@
 		Self: d.VM, Log: log, Store: store, Orderer: c, Owners: o, Daemons: o.Daemons, Logger: logger,
 		Engines:     engines{disp, conf},
 		Targets:     func() []weightsync.Target { return targets(conf.Current().Tree()) },
-		Applied:     disp.PollNow,
+		OnApplied:   disp.PollNow,
 		Configured:  func(name ident.Upstream) bool { return configured(conf.Current().Tree(), name) },
 		StartSpread: startSpread,
 	})
--- a/internal/batchrun/claimer.go
+++ b/internal/batchrun/claimer.go
@@ -89,7 +89,7 @@
 	defer c.loader.mu.Unlock()
 	for _, x := range claims {
 		if offset, ok := c.loader.claims.Holds(x.subject, x.nonce); ok {
-			x.permit = loads.Permit{Fence: fencingToken(offset), Until: began + loads.ClaimLife}
+			x.permit = loads.Permit{Fence: fencingToken(offset), ExpiresAt: began + loads.ClaimTTL}
 			continue
 		}
 		x.err = errors.Join(errClaimedElsewhere, err)
@@ -121,7 +121,7 @@
 func (c *claimer) appendRecords(ctx context.Context, seen int64, claims []*pendingClaim) error {
 	var records [][]byte
 	for _, x := range claims {
-		data, err := loads.Encode(loads.Record{Claim: &loads.Claim{Subject: x.subject, Holder: c.loader.options.VM, Seen: seen, Token: x.nonce}})
+		data, err := loads.Encode(loads.Record{Claim: &loads.Claim{Subject: x.subject, Holder: c.loader.options.VM, NextOffset: seen, Nonce: x.nonce}})
 		if err != nil {
 			return err
 		}
--- a/internal/batchrun/homes.go
+++ b/internal/batchrun/homes.go
@@ -20,11 +20,11 @@
 	follower *follow.Follower
 
 	mu    sync.Mutex
-	state *loads.Homes // by the records read so far
+	state *loads.PartitionAssignments // by the records read so far
 }
 
 func newModelPartitions(o Options) *modelPartitions {
-	p := &modelPartitions{options: o, state: loads.NewHomes(o.Partitions)}
+	p := &modelPartitions{options: o, state: loads.NewPartitionAssignments(o.Partitions)}
 	always := func() bool { return true } // there are few models, and new ones are rare
 	p.follower = follow.New(follow.Options{Log: o.Log, Topic: modelPartitionsTopic, Keyed: true, Sink: p, Idle: always, Now: o.Now, Logger: o.Logger})
 	return p
@@ -34,7 +34,7 @@
 func (p *modelPartitions) Reset(entries []store.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state = loads.NewHomes(p.options.Partitions)
+	p.state = loads.NewPartitionAssignments(p.options.Partitions)
 	for _, e := range entries {
 		p.applyLocked(e.Offset, e.Value)
 	}
@@ -59,7 +59,7 @@
 	if len(value) == 0 {
 		return // a model's partition never changes
 	}
-	assignment, err := loads.DecodeHome(value)
+	assignment, err := loads.DecodeAssignment(value)
 	if err != nil {
 		p.options.Logger.Error().Err(err).Int64("offset", offset).Msg("skipped a malformed model partition record")
 		return
@@ -78,7 +78,7 @@
 func (p *modelPartitions) partitions() []int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Parts()
+	return p.state.Partitions()
 }
 
 // demand returns the number of samples in a batch by model, for the models where it is
@@ -105,7 +105,7 @@
 		}
 		next := p.follower.NextOffset()
 		p.mu.Lock()
-		assignment := p.state.Next(model)
+		assignment := p.state.NewAssignment(model)
 		p.mu.Unlock()
 		assignment.BatchSize = samples
 		var record []byte
@@ -123,8 +123,8 @@
 }
 
 // encodeModelPartition returns the topic's record, keyed by the model.
-func encodeModelPartition(assignment loads.Home) ([]byte, error) {
-	value, err := loads.EncodeHome(assignment)
+func encodeModelPartition(assignment loads.PartitionAssignment) ([]byte, error) {
+	value, err := loads.EncodeAssignment(assignment)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 }
 
 // recordDemand appends a record with the number of samples in a model's batches.
-func (p *modelPartitions) recordDemand(ctx context.Context, assignment loads.Home) error {
+func (p *modelPartitions) recordDemand(ctx context.Context, assignment loads.PartitionAssignment) error {
 	record, err := encodeModelPartition(assignment)
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 }
 
 // changesDemand reports whether a record would change the known demand of a model.
-func (p *modelPartitions) changesDemand(assignment loads.Home) bool {
+func (p *modelPartitions) changesDemand(assignment loads.PartitionAssignment) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.ChangesDemand(assignment)
@@ -154,7 +154,7 @@
 
 // recordDemandLocked records the number of samples in a model's batches if it has changed.
 func (r *runner) recordDemandLocked(ctx context.Context, model string) {
-	assignment := loads.Home{Model: model, Partition: r.partition.number, BatchSize: r.partition.lastBatchSize(model)}
+	assignment := loads.PartitionAssignment{Model: model, Partition: r.partition.number, BatchSize: r.partition.lastBatchSize(model)}
 	now := r.s.options.Now()
 	if now < r.demandNotBefore[model] || !r.s.modelPartitions.changesDemand(assignment) {
 		return
--- a/internal/batchrun/orders.go
+++ b/internal/batchrun/orders.go
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	claims  *loads.Claims
-	logTail *loads.Tail // past ends of the claims log
+	logTail *loads.EndHistory // past ends of the claims log
 	// ownsNothing reports whether this daemon owns no partition, and so sends no orders.
 	ownsNothing    func() bool
 	delegatedLoads map[string]bool // by ID, engines that this VM loads on another VM's request
@@ -35,8 +35,8 @@
 func newLoader(o Options) *loader {
 	// After this time a recorded load shows in the engine's own registry entry, and a claim
 	// no longer blocks any VM.
-	keep := 2 * loads.BarredFor(o.ClaimLease)
-	x := &loader{options: o, claims: loads.NewClaims(o.VM, o.ClaimLease), logTail: loads.NewTail(keep), delegatedLoads: map[string]bool{}}
+	keep := 2 * loads.BlockDuration(o.ClaimLease)
+	x := &loader{options: o, claims: loads.NewClaims(o.VM, o.ClaimLease), logTail: loads.NewEndHistory(keep), delegatedLoads: map[string]bool{}}
 	x.claimer = newClaimer(x)
 	x.follower = follow.NewOnDemand(follow.OnDemandOptions{
 		Options: follow.Options{
@@ -52,7 +52,7 @@
 func (x *loader) startOffset() int64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.logTail.From(x.options.Now())
+	return x.logTail.StartOffset(x.options.Now())
 }
 
 // discardClaims drops the known claims when the claims log is no longer followed.
@@ -60,7 +60,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.claims = loads.NewClaims(x.options.VM, x.options.ClaimLease)
-	x.logTail.Note(x.follower.NextOffset(), x.options.Now())
+	x.logTail.Add(x.follower.NextOffset(), x.options.Now())
 }
 
 // recordLogEnd notes where the claims log ends now, unless it is being followed.
@@ -82,7 +82,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.logTail.Note(page.End, x.options.Now())
+	x.logTail.Add(page.End, x.options.Now())
 }
 
 // Record applies a record of the claims log.
@@ -97,8 +97,8 @@
 		x.mu.Lock()
 		x.claims.Apply(offset, *r.Claim, x.logTail.WrittenBy(offset, x.options.Now()))
 		x.mu.Unlock()
-	case r.Wish != nil:
-		go x.runDelegatedLoad(*r.Wish) // not called here: it calls the follower, whose lock is held
+	case r.LoadRequest != nil:
+		go x.runDelegatedLoad(*r.LoadRequest) // not called here: it calls the follower, whose lock is held
 	}
 }
 
@@ -203,7 +203,7 @@
 // accepted so far. An order without an answer isn't repeated here: the engine's next report
 // shows whether it was accepted.
 func (x *loader) sendOrder(ctx context.Context, u registry.Upstream, target loadTarget, p loads.Permit, accepted int64) error {
-	if x.options.Now() >= p.Until {
+	if x.options.Now() >= p.ExpiresAt {
 		return errClaimExpired
 	}
 	ordersSent.Add(1)
--- a/internal/batchrun/scale_test.go
+++ b/internal/batchrun/scale_test.go
@@ -70,11 +70,11 @@
 // there.
 func (f *largeFleet) writeHistory(g *WithT) {
 	client := metastore.NewClient(f.store, callTimeout)
-	assignments := loads.NewHomes(scaleParts)
+	assignments := loads.NewPartitionAssignments(scaleParts)
 	record, err := batch.Encode(batch.Ended{Batch: strings.Repeat("x", scaleRecord)})
 	g.Expect(err).NotTo(HaveOccurred())
 	for n := range scaleModels {
-		assignment := assignments.Next(fmt.Sprint("m", n))
+		assignment := assignments.NewAssignment(fmt.Sprint("m", n))
 		assignments.Apply(assignment)
 		data, err := encodeModelPartition(assignment)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/batchrun/wishes.go
+++ b/internal/batchrun/wishes.go
@@ -12,7 +12,7 @@
 // runDelegatedLoad loads an engine on another VM's request if this VM holds the last claim
 // on it. Requests that were read while catching up are outdated, and the VM that made one
 // asks again.
-func (x *loader) runDelegatedLoad(request loads.Wish) {
+func (x *loader) runDelegatedLoad(request loads.LoadRequest) {
 	u, alive := x.options.View.Get(request.Engine)
 	if !alive || !x.follower.Loaded() || u.Models[request.Model] >= request.Version {
 		return
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
 	began := time.Now()
-	err := x.load(ctx, u, loadTarget{request.Model, request.Version, request.Retain, request.Part}, func(l batch.Loaded) error { return x.appendLoaded(ctx, request.Part, l) })
+	err := x.load(ctx, u, loadTarget{request.Model, request.Version, request.Retain, request.Partition}, func(l batch.Loaded) error { return x.appendLoaded(ctx, request.Partition, l) })
 	x.options.Logger.Info().Str("upstream", request.Engine).Str("model", request.Model).Int64("version", request.Version).
 		Dur("took", time.Since(began)).Err(err).Msg("load for another VM ended")
 	x.mu.Lock()
@@ -46,7 +46,7 @@
 // delegateLoad asks the VM with the last claim on an engine to load it, and waits until the
 // load is done.
 func (x *loader) delegateLoad(ctx context.Context, engine string, target loadTarget) error {
-	if err := x.appendRecord(ctx, loads.Record{Wish: &loads.Wish{Engine: engine, Model: target.model, Version: target.version, Retain: target.retain, Part: target.partition}}); err != nil {
+	if err := x.appendRecord(ctx, loads.Record{LoadRequest: &loads.LoadRequest{Engine: engine, Model: target.model, Version: target.version, Retain: target.retain, Partition: target.partition}}); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, delegationTimeout)
@@ -89,12 +89,12 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.claims.Barred(subject, x.options.Now())
+	return x.claims.BlockedFor(subject, x.options.Now())
 }
 
 // discardOldClaims drops claims that are no longer needed.
 func (x *loader) discardOldClaims() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.claims.Forget(x.options.Now())
+	x.claims.DropOld(x.options.Now())
 }
--- a/internal/duties/caller.go
+++ b/internal/duties/caller.go
@@ -29,7 +29,7 @@
 		log.Info().Str("duty", duty).Err(err).Msg("duty not claimed")
 		return Unknown, 0, false
 	}
-	if c.options.Now() >= permit.Until {
+	if c.options.Now() >= permit.ExpiresAt {
 		log.Warn().Str("duty", duty).Int64("fence", permit.Fence).Msg("claim expired before the call")
 		return Unknown, 0, false
 	}
--- a/internal/loads/claims.go
+++ b/internal/loads/claims.go
@@ -34,9 +34,9 @@
 )
 
 const (
-	// ClaimLife is the lifetime of a claim: how long after the start of its append an order
+	// ClaimTTL is the lifetime of a claim: how long after the start of its append an order
 	// may be sent. An append takes a few ms, or a few hundred when the store is slow.
-	ClaimLife = 700 * time.Millisecond
+	ClaimTTL = 700 * time.Millisecond
 	// TransitMargin is the time that an order may take to reach the engine.
 	TransitMargin = 300 * time.Millisecond
 )
@@ -49,38 +49,38 @@
 	// orders of two holders within the lease.
 	Subject string `cbor:"1,keyasint"`
 	Holder  string `cbor:"2,keyasint"` // VM that appended the claim
-	// Seen is the offset after the last record that the VM had read.
-	Seen int64 `cbor:"3,keyasint"`
-	// Token is unique to this claim. It lets the VM find the claim in the log even if the
+	// NextOffset is the offset after the last record that the VM had read.
+	NextOffset int64 `cbor:"3,keyasint"`
+	// Nonce is unique to this claim. It lets the VM find the claim in the log even if the
 	// append had no answer.
-	Token uint64 `cbor:"4,keyasint"`
+	Nonce uint64 `cbor:"4,keyasint"`
 }
 
 // Permit is the permission to send orders under a claim that this VM holds.
 type Permit struct {
 	Fence int64 // fencing token
-	// Until is the time at which the permit expires, on a clock that keeps running while the
+	// ExpiresAt is the time at which the permit expires, on a clock that keeps running while the
 	// VM is suspended. Calls under the claim must be sent before.
-	Until time.Duration
+	ExpiresAt time.Duration
 }
 
-// Wish asks the VM with the last claim on an engine to order a load. That VM may do so at
+// LoadRequest asks the VM with the last claim on an engine to order a load. That VM may do so at
 // once, while the claim blocks all others.
-type Wish struct {
+type LoadRequest struct {
 	Engine  string `cbor:"1,keyasint"` // ID
 	Model   string `cbor:"2,keyasint"`
 	Version int64  `cbor:"3,keyasint"`
 	// Retain reports whether samples keep running during the load.
 	Retain bool `cbor:"4,keyasint,omitempty"`
-	// Part is the model's partition, where the load is recorded for the partition's owner.
-	Part int `cbor:"5,keyasint,omitempty"`
+	// Partition is the model's partition, where the load is recorded for the partition's owner.
+	Partition int `cbor:"5,keyasint,omitempty"`
 }
 
 // Record is an entry of the claims log: a claim, or a request to load. Exactly one field is
 // set.
 type Record struct {
-	Claim *Claim `cbor:"1,keyasint,omitempty"`
-	Wish  *Wish  `cbor:"2,keyasint,omitempty"`
+	Claim       *Claim       `cbor:"1,keyasint,omitempty"`
+	LoadRequest *LoadRequest `cbor:"2,keyasint,omitempty"`
 }
 
 // ErrMalformed is returned for a record that can't be decoded.
@@ -98,10 +98,10 @@
 	return r, nil
 }
 
-// BarredFor returns how long a claim blocks its subject for other VMs, counted from the
+// BlockDuration returns how long a claim blocks its subject for other VMs, counted from the
 // moment they read it. lease is the time within which an engine must not get orders of two
 // holders.
-func BarredFor(lease time.Duration) time.Duration { return ClaimLife + lease + TransitMargin }
+func BlockDuration(lease time.Duration) time.Duration { return ClaimTTL + lease + TransitMargin }
 
 // Claims holds the last valid claim on each subject, computed from the claims log.
 type Claims struct {
@@ -128,20 +128,20 @@
 // at the latest the time at which it was read. A void claim changes nothing.
 func (c *Claims) Apply(offset int64, claim Claim, readAt time.Duration) {
 	last, ok := c.last[claim.Subject]
-	if ok && last.holder != claim.Holder && last.offset >= claim.Seen {
+	if ok && last.holder != claim.Holder && last.offset >= claim.NextOffset {
 		return
 	}
-	c.last[claim.Subject] = lastClaim{claim.Holder, claim.Token, offset, readAt}
+	c.last[claim.Subject] = lastClaim{claim.Holder, claim.Nonce, offset, readAt}
 }
 
-// Barred returns for how long another VM's claim still blocks a subject for this VM, 0 if
+// BlockedFor returns for how long another VM's claim still blocks a subject for this VM, 0 if
 // none does.
-func (c *Claims) Barred(subject string, now time.Duration) time.Duration {
+func (c *Claims) BlockedFor(subject string, now time.Duration) time.Duration {
 	h, ok := c.last[subject]
 	if !ok || h.holder == c.self {
 		return 0
 	}
-	return max(0, h.readAt+BarredFor(c.lease)-now)
+	return max(0, h.readAt+BlockDuration(c.lease)-now)
 }
 
 // Holder returns the VM with the last valid claim on a subject, and the claim's offset.
@@ -167,10 +167,10 @@
 // blocks its subject. It is longer than the time between two calls of a duty in an incident.
 const claimRetention = 10 * time.Minute
 
-// Forget drops the claims that no longer block their subjects and are past their retention.
-func (c *Claims) Forget(now time.Duration) {
+// DropOld drops the claims that no longer block their subjects and are past their retention.
+func (c *Claims) DropOld(now time.Duration) {
 	for subject, h := range c.last {
-		if now > h.readAt+max(claimRetention, BarredFor(c.lease)) {
+		if now > h.readAt+max(claimRetention, BlockDuration(c.lease)) {
 			delete(c.last, subject)
 		}
 	}
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -222,12 +222,12 @@
 
 func TestSmallDemandChangesAreIgnored(t *testing.T) {
 	g := NewWithT(t)
-	assignments := NewHomes(12)
-	assignments.Apply(Home{Model: "m", Partition: 1, BatchSize: 100})
-	assignments.Apply(Home{Model: "m", Partition: 1, BatchSize: 120})
-	assignments.Apply(Home{Model: "m", Partition: 1})
+	assignments := NewPartitionAssignments(12)
+	assignments.Apply(PartitionAssignment{Model: "m", Partition: 1, BatchSize: 100})
+	assignments.Apply(PartitionAssignment{Model: "m", Partition: 1, BatchSize: 120})
+	assignments.Apply(PartitionAssignment{Model: "m", Partition: 1})
 	g.Expect(assignments.Demand()).To(Equal(map[string]int{"m": 100}))
-	assignments.Apply(Home{Model: "m", Partition: 1, BatchSize: 60})
+	assignments.Apply(PartitionAssignment{Model: "m", Partition: 1, BatchSize: 60})
 	g.Expect(assignments.Demand()).To(Equal(map[string]int{"m": 60}))
 }
 
@@ -238,25 +238,25 @@
 	g := NewWithT(t)
 	const lease = 3 * time.Second
 	c := NewClaims("me", lease)
-	g.Expect(c.Barred("e", 0)).To(BeZero())
+	g.Expect(c.BlockedFor("e", 0)).To(BeZero())
 	c.Apply(4, Claim{Subject: "e", Holder: "other"}, time.Second)
-	g.Expect(c.Barred("e", time.Second)).To(Equal(ClaimLife + lease + TransitMargin))
-	g.Expect(c.Barred("e", time.Second+ClaimLife+lease+TransitMargin)).To(BeZero())
-	g.Expect(c.Barred("another", time.Second)).To(BeZero())
-	c.Apply(5, Claim{Subject: "e", Holder: "me", Seen: 5}, 2*time.Second)
-	g.Expect(c.Barred("e", 2*time.Second)).To(BeZero())
+	g.Expect(c.BlockedFor("e", time.Second)).To(Equal(ClaimTTL + lease + TransitMargin))
+	g.Expect(c.BlockedFor("e", time.Second+ClaimTTL+lease+TransitMargin)).To(BeZero())
+	g.Expect(c.BlockedFor("another", time.Second)).To(BeZero())
+	c.Apply(5, Claim{Subject: "e", Holder: "me", NextOffset: 5}, 2*time.Second)
+	g.Expect(c.BlockedFor("e", 2*time.Second)).To(BeZero())
 	holder, offset, ok := c.Holder("e")
 	g.Expect(holder).To(Equal("me"))
 	g.Expect(offset).To(Equal(int64(5)))
 	g.Expect(ok).To(BeTrue())
-	c.Forget(3 * time.Second)
+	c.DropOld(3 * time.Second)
 	_, _, ok = c.Holder("e")
 	g.Expect(ok).To(BeTrue(), "it may still block others")
-	c.Forget(time.Minute)
+	c.DropOld(time.Minute)
 	_, _, ok = c.Holder("e")
 	g.Expect(ok).To(BeTrue(), "kept for queries by operators")
 	g.Expect(c.Age("e", time.Minute)).To(Equal(58 * time.Second))
-	c.Forget(2*time.Second + claimRetention + time.Millisecond)
+	c.DropOld(2*time.Second + claimRetention + time.Millisecond)
 	_, _, ok = c.Holder("e")
 	g.Expect(ok).To(BeFalse())
 }
@@ -267,10 +267,10 @@
 	g := NewWithT(t)
 	for _, self := range []string{"a", "b", "c"} {
 		c := NewClaims(self, time.Second)
-		c.Apply(7, Claim{Subject: "e", Holder: "a", Seen: 7, Token: 1}, 0)
-		c.Apply(8, Claim{Subject: "e", Holder: "b", Seen: 7, Token: 2}, 0)
-		c.Apply(9, Claim{Subject: "f", Holder: "b", Seen: 7, Token: 3}, 0)
-		c.Apply(10, Claim{Subject: "e", Holder: "a", Seen: 7, Token: 4}, 0)
+		c.Apply(7, Claim{Subject: "e", Holder: "a", NextOffset: 7, Nonce: 1}, 0)
+		c.Apply(8, Claim{Subject: "e", Holder: "b", NextOffset: 7, Nonce: 2}, 0)
+		c.Apply(9, Claim{Subject: "f", Holder: "b", NextOffset: 7, Nonce: 3}, 0)
+		c.Apply(10, Claim{Subject: "e", Holder: "a", NextOffset: 7, Nonce: 4}, 0)
 		holder, offset, _ := c.Holder("e")
 		g.Expect(holder).To(Equal("a"), self)
 		g.Expect(offset).To(Equal(int64(10)), self)
@@ -278,7 +278,7 @@
 		g.Expect(holds).To(BeFalse(), self)
 		_, holds = c.Holds("f", 3)
 		g.Expect(holds).To(Equal(self == "b"), self)
-		c.Apply(11, Claim{Subject: "e", Holder: "b", Seen: 11, Token: 5}, 0)
+		c.Apply(11, Claim{Subject: "e", Holder: "b", NextOffset: 11, Nonce: 5}, 0)
 		_, holds = c.Holds("e", 5)
 		g.Expect(holds).To(Equal(self == "b"), self)
 	}
@@ -332,10 +332,10 @@
 			if simulation.rng.IntN(3) == 0 {
 				simulation.catchUp(v, now)
 			}
-			if simulation.rng.IntN(4) != 0 || v.claims.Barred("e", now) > 0 {
+			if simulation.rng.IntN(4) != 0 || v.claims.BlockedFor("e", now) > 0 {
 				continue
 			}
-			claim, start := Claim{Subject: "e", Holder: v.name, Seen: int64(v.next), Token: simulation.rng.Uint64()}, now
+			claim, start := Claim{Subject: "e", Holder: v.name, NextOffset: int64(v.next), Nonce: simulation.rng.Uint64()}, now
 			arrives := now + tick*time.Duration(1+simulation.rng.IntN(4))
 			if simulation.rng.IntN(5) == 0 {
 				arrives += tick * time.Duration(simulation.rng.IntN(120)) // the answer is lost and the append happens late
@@ -344,7 +344,7 @@
 			answered := arrives + tick*time.Duration(1+simulation.rng.IntN(8))
 			scheduled[answered] = append(scheduled[answered], func(now time.Duration) {
 				simulation.catchUp(v, now)
-				if _, holds := v.claims.Holds("e", claim.Token); holds && now < start+ClaimLife {
+				if _, holds := v.claims.Holds("e", claim.Nonce); holds && now < start+ClaimTTL {
 					simulation.orders = append(simulation.orders, sentOrder{v.name, now})
 				}
 			})
@@ -364,40 +364,40 @@
 // no model.
 func TestModelsGetDifferentPartitions(t *testing.T) {
 	g := NewWithT(t)
-	assignments := NewHomes(12)
+	assignments := NewPartitionAssignments(12)
 	seen := map[int]bool{}
 	for n := range 12 {
-		next := assignments.Next(fmt.Sprint("m", n))
+		next := assignments.NewAssignment(fmt.Sprint("m", n))
 		g.Expect(seen).NotTo(HaveKey(next.Partition))
 		seen[next.Partition] = true
 		assignments.Apply(next)
 	}
 	part, ok := assignments.Lookup("m0")
 	g.Expect(ok).To(BeTrue())
-	assignments.Apply(Home{Model: "m0", Partition: part + 1})
+	assignments.Apply(PartitionAssignment{Model: "m0", Partition: part + 1})
 	again, _ := assignments.Lookup("m0")
 	g.Expect(again).To(Equal(part), "the first record counts")
-	assignments.Apply(Home{Model: "bad", Partition: 12})
+	assignments.Apply(PartitionAssignment{Model: "bad", Partition: 12})
 	_, ok = assignments.Lookup("bad")
 	g.Expect(ok).To(BeFalse())
-	g.Expect(assignments.Next("m12").Partition).To(BeNumerically("<", 12))
-	g.Expect(NewHomes(1).Next("m")).To(Equal(Home{Model: "m", Partition: 0}))
+	g.Expect(assignments.NewAssignment("m12").Partition).To(BeNumerically("<", 12))
+	g.Expect(NewPartitionAssignments(1).NewAssignment("m")).To(Equal(PartitionAssignment{Model: "m", Partition: 0}))
 }
 
 func TestRecordEncoding(t *testing.T) {
 	g := NewWithT(t)
-	for _, r := range []Record{{Claim: &Claim{"e", "vm", 9, 7}}, {Wish: &Wish{"e", "m", 3, true, 2}}} {
+	for _, r := range []Record{{Claim: &Claim{"e", "vm", 9, 7}}, {LoadRequest: &LoadRequest{"e", "m", 3, true, 2}}} {
 		data, err := Encode(r)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(Decode(data)).To(Equal(r))
 	}
 	_, err := Decode([]byte{0xff})
 	g.Expect(err).To(MatchError(ErrMalformed))
-	assignment := Home{"m", 2, 64}
-	data, err := EncodeHome(assignment)
+	assignment := PartitionAssignment{"m", 2, 64}
+	data, err := EncodeAssignment(assignment)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(DecodeHome(data)).To(Equal(assignment))
-	_, err = DecodeHome([]byte{0xff})
+	g.Expect(DecodeAssignment(data)).To(Equal(assignment))
+	_, err = DecodeAssignment([]byte{0xff})
 	g.Expect(err).To(MatchError(ErrMalformed))
 }
 
--- a/internal/loads/tail.go
+++ b/internal/loads/tail.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Tail records where the claims log ended at times in the past. A daemon that doesn't follow
+// EndHistory records where the claims log ended at times in the past. A daemon that doesn't follow
 // the log records its end from time to time. When it starts to follow the log, it then knows
 // the minimum age of the records, and which of them it needs. Without that, each claim that
 // it reads would block its subject as if it had just been appended, and a daemon that takes
 // over a partition couldn't send any order while a claim blocks.
 //
 // Invariant: ends is in order of time, and the offsets in it don't decrease.
-type Tail struct {
+type EndHistory struct {
 	keep time.Duration // records older than this aren't needed
 	ends []logEnd
 }
@@ -20,11 +20,11 @@
 	offset int64
 }
 
-// NewTail returns an empty history. keep is the age above which records aren't needed.
-func NewTail(keep time.Duration) *Tail { return &Tail{keep: keep} }
+// NewEndHistory returns an empty history. keep is the age above which records aren't needed.
+func NewEndHistory(keep time.Duration) *EndHistory { return &EndHistory{keep: keep} }
 
-// Note adds the end of the log, as read in an answer that has just arrived.
-func (t *Tail) Note(end int64, now time.Duration) {
+// Add adds the end of the log, as read in an answer that has just arrived.
+func (t *EndHistory) Add(end int64, now time.Duration) {
 	if n := len(t.ends); n > 0 && (end < t.ends[n-1].offset || now < t.ends[n-1].at) {
 		return // an older answer that arrived late
 	}
@@ -35,16 +35,16 @@
 }
 
 // Last returns the newest end added, 0 if there is none.
-func (t *Tail) Last() int64 {
+func (t *EndHistory) Last() int64 {
 	if len(t.ends) == 0 {
 		return 0
 	}
 	return t.ends[len(t.ends)-1].offset
 }
 
-// From returns the offset of the first record that may still be needed, 0 if that isn't
+// StartOffset returns the offset of the first record that may still be needed, 0 if that isn't
 // known.
-func (t *Tail) From(now time.Duration) int64 {
+func (t *EndHistory) StartOffset(now time.Duration) int64 {
 	if len(t.ends) == 0 || t.ends[0].at > now-t.keep {
 		return 0
 	}
@@ -59,7 +59,7 @@
 
 // WrittenBy returns a time by which the record at an offset was in the log, which is now if
 // no earlier time is known.
-func (t *Tail) WrittenBy(offset int64, now time.Duration) time.Duration {
+func (t *EndHistory) WrittenBy(offset int64, now time.Duration) time.Duration {
 	for _, end := range t.ends {
 		if end.offset > offset {
 			return end.at
--- a/internal/weightsync/options.go
+++ b/internal/weightsync/options.go
@@ -79,10 +79,10 @@
 	// lists only some.
 	Configured func(ident.Upstream) bool
 
-	// Applied is called when an engine has applied an order, so that its load report can be
+	// OnApplied is called when an engine has applied an order, so that its load report can be
 	// requested at once; default none.
-	Applied func(group string, engine ident.Upstream)
-	Logger  zerolog.Logger
+	OnApplied func(group string, engine ident.Upstream)
+	Logger    zerolog.Logger
 	// StartSpread is the time over which daemons that start together spread their first reads
 	// of the log, 0 for none.
 	StartSpread time.Duration
@@ -139,8 +139,8 @@
 	o.SwitchTimeout = cmp.Or(o.SwitchTimeout, defaultSwitchTimeout)
 	o.CallTimeout = cmp.Or(o.CallTimeout, defaultCallTimeout)
 	o.PollWait = cmp.Or(o.PollWait, defaultPollWait)
-	if o.Applied == nil {
-		o.Applied = func(string, ident.Upstream) {}
+	if o.OnApplied == nil {
+		o.OnApplied = func(string, ident.Upstream) {}
 	}
 	if o.Daemons == nil {
 		o.Daemons = func() int { return 1 }
--- a/internal/weightsync/orders.go
+++ b/internal/weightsync/orders.go
@@ -136,7 +136,7 @@
 	defer cancel()
 	ok, retryAfter := s.sendIfPermitted(ctx, t, e, o)
 	if ok {
-		s.opts.Applied(t.Group, e.Name)
+		s.opts.OnApplied(t.Group, e.Name)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
