--- a/cmd/standin/upstreams.go
+++ b/cmd/standin/upstreams.go
@@ -45,7 +45,7 @@
 			}
 			o.Models, o.Faults = initial, fault.New()
 			if *crashOn != "" {
-				if err := o.Faults.Set(fault.Spec{Kind: fault.Crash, Match: *crashOn}); err != nil {
+				if err := o.Faults.Add(fault.Spec{Kind: fault.Crash, Match: *crashOn}); err != nil {
 					return err
 				}
 			}
--- a/internal/batchrun/answer_test.go
+++ b/internal/batchrun/answer_test.go
@@ -207,7 +207,7 @@
 		joinAndSubmit(g, w, "away", 1)
 		owner, other := ownerAndOther(w, "m0")
 		w.kill(owner)
-		other.client.SetFaults(metastore.Faults{Cut: true})
+		other.client.SetFaults(metastore.Faults{Unreachable: true})
 		_, err := other.daemon().Results(ctx, "b", 0, 0)
 		g.Expect(err).To(MatchError(ErrUnsure))
 		g.Expect(other.daemon().End(ctx, "b")).To(MatchError(ErrUnsure))
@@ -257,7 +257,7 @@
 			listed += len(page.Results)
 		}
 		for _, v := range w.vms {
-			v.client.SetFaults(metastore.Faults{Cut: true})
+			v.client.SetFaults(metastore.Faults{Unreachable: true})
 		}
 		time.Sleep(2 * ownersMaxAge)
 		began := time.Now()
@@ -305,7 +305,7 @@
 		joinAndSubmit(g, w, "dropped", 2)
 		owner, other := ownerAndOther(w, "m0")
 		peers.setSilent(owner.name, true)
-		other.client.SetFaults(metastore.Faults{Cut: true})
+		other.client.SetFaults(metastore.Faults{Unreachable: true})
 		_, err := other.daemon().Results(ctx, "b", 0, 0)
 		g.Expect(err).To(MatchError(ErrUnsure))
 		time.Sleep(2 * follow.HoldCheckInterval)
--- a/internal/batchrun/calls_test.go
+++ b/internal/batchrun/calls_test.go
@@ -25,7 +25,7 @@
 			c := v.client.Calls()
 			all.Reads += c.Reads
 			all.Writes += c.Writes
-			all.Joins += c.Joins
+			all.Membership += c.Membership
 		}
 		return all
 	}
@@ -39,7 +39,7 @@
 	<-done
 	after := total()
 	daemonSeconds := over.Seconds() * float64(len(w.vms))
-	return callRates{float64(after.Reads-before.Reads) / daemonSeconds, float64(after.Writes-before.Writes) / daemonSeconds, float64(after.Joins-before.Joins) / daemonSeconds}
+	return callRates{float64(after.Reads-before.Reads) / daemonSeconds, float64(after.Writes-before.Writes) / daemonSeconds, float64(after.Membership-before.Membership) / daemonSeconds}
 }
 
 // runSteps runs a trainer's steps of a model, one after the other.
--- a/internal/batchrun/claimer_test.go
+++ b/internal/batchrun/claimer_test.go
@@ -88,7 +88,7 @@
 		defer w.stop()
 		time.Sleep(2 * time.Second)
 		lost := false
-		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool {
+		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency, LoseResponse: func() bool {
 			defer func() { lost = true }()
 			return !lost
 		}})
--- a/internal/batchrun/promises_test.go
+++ b/internal/batchrun/promises_test.go
@@ -155,13 +155,13 @@
 		case 1:
 			w.killAll(w.vms, duration/4)
 		case 2:
-			w.applyFaults([]*testVM{v}, metastore.Faults{Cut: true}, duration)
+			w.applyFaults([]*testVM{v}, metastore.Faults{Unreachable: true}, duration)
 		case 3:
 			w.applyFaults(w.vms, metastore.Faults{Refuse: true, Latency: storeLatency}, duration)
 		case 4:
 			w.applyFaults(w.vms, metastore.Faults{Latency: 240 * time.Millisecond}, duration)
 		case 5:
-			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return w.engines.chance(0.4) }}, duration)
+			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, LoseResponse: func() bool { return w.engines.chance(0.4) }}, duration)
 		case 6:
 			late := func(string) time.Duration {
 				if w.engines.chance(0.35) {
@@ -169,9 +169,9 @@
 				}
 				return 0
 			}
-			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, Late: late}, duration)
+			w.applyFaults(w.vms, metastore.Faults{Latency: storeLatency, DelayWrite: late}, duration)
 		case 7:
-			w.store.Redeal(ownersGroup)
+			w.store.ForceRebalance(ownersGroup)
 		case 8:
 			w.drain(v)
 		}
--- a/internal/batchrun/read_test.go
+++ b/internal/batchrun/read_test.go
@@ -46,7 +46,7 @@
 		p := reader.daemon().partitionForModel("m0")
 		defer p.follower.Hold()() // as if it had just handled a call about the batch
 		time.Sleep(100 * time.Millisecond)
-		reader.client.SetFaults(metastore.Faults{Cut: true})
+		reader.client.SetFaults(metastore.Faults{Unreachable: true})
 		time.Sleep(follow.PollWait + 10*time.Millisecond) // reads hang from here on
 		resultCount := func() int {
 			page, err := owner.daemon().Results(context.Background(), "b", 0, 0)
@@ -158,7 +158,7 @@
 			delete(l.Blobs, offset)
 		}
 		s.blobs = newBlobCache(s.options.Log, w.parts)
-		w.vms[0].client.SetFaults(metastore.Faults{Cut: true})
+		w.vms[0].client.SetFaults(metastore.Faults{Unreachable: true})
 		page, err := s.readPage(ctx, l, 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Results).To(HaveLen(1))
--- a/internal/batchrun/scale_test.go
+++ b/internal/batchrun/scale_test.go
@@ -47,7 +47,7 @@
 
 func newLargeFleet(g *WithT, daemons int, wrap func(store.Log) store.Log) *largeFleet {
 	f := &largeFleet{store: metastore.New(scaleParts), start: time.Now()}
-	f.store.SetRates(metastore.Rates{ReadBytes: scaleReadRate, Reads: scaleReads, Writes: scaleWrites})
+	f.store.SetRateLimits(metastore.RateLimits{ReadBytesPerSecond: scaleReadRate, ReadsPerSecond: scaleReads, WritesPerSecond: scaleWrites})
 	f.writeHistory(g)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -181,7 +181,7 @@
 			f := newLargeFleet(g, daemons, unwrappedLog)
 			defer f.stop()
 			g.Expect(f.waitUntilCurrent(scaleRecovery)).To(BeTrue())
-			f.setFaults(1, metastore.Faults{Cut: true})
+			f.setFaults(1, metastore.Faults{Unreachable: true})
 			time.Sleep(7 * time.Second)
 			f.setFaults(1, metastore.Faults{Latency: storeLatency})
 			g.Expect(f.waitUntilCurrent(scaleRecovery/3)).To(BeTrue(), "%d daemons", daemons)
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -112,7 +112,7 @@
 		items := submitScored(g, w, "both", 4)
 		time.Sleep(1800 * time.Millisecond)
 		for range 3 {
-			w.store.Redeal(ownersGroup)
+			w.store.ForceRebalance(ownersGroup)
 			time.Sleep(200 * time.Millisecond)
 		}
 		time.Sleep(6 * time.Second)
--- a/internal/batchrun/submit_test.go
+++ b/internal/batchrun/submit_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(2 * time.Second)
 		head, items, requests := newBatch("m0", "before", 1, 2, 1)
 		g.Expect(w.vms[0].daemon().Submit(context.Background(), "a", head, items, requests)).To(Succeed())
-		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency, Late: func(topic string) time.Duration {
+		w.vms[0].client.SetFaults(metastore.Faults{Latency: storeLatency, DelayWrite: func(topic string) time.Duration {
 			if topic != batchTopic {
 				return 0 // the requests are written in time; only the batch's record is late
 			}
@@ -78,7 +78,7 @@
 		w := newTestCluster(t, 1, 2, 2, "m0")
 		defer w.stop()
 		time.Sleep(2 * time.Second)
-		w.vms[1].client.SetFaults(metastore.Faults{Cut: true})
+		w.vms[1].client.SetFaults(metastore.Faults{Unreachable: true})
 		time.Sleep(2 * time.Second)
 		w.submitBatch(g, "m0", "cut", 1, 2, 1)
 		_, err := w.vms[1].daemon().Results(context.Background(), "b", 0, 0)
@@ -128,7 +128,7 @@
 		w.publish("m0", 2)
 		time.Sleep(2 * time.Second)
 		g.Expect(w.engines.versionsOf("e0")).To(HaveKeyWithValue("m0", int64(2)))
-		w.store.Redeal(ownersGroup)
+		w.store.ForceRebalance(ownersGroup)
 		time.Sleep(500 * time.Millisecond)
 		w.publish("m0", 3)
 		w.submitBatch(g, "m0", "new", 1, 1, 3)
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -160,7 +160,7 @@
 
 // kill stops a VM's daemon and keeps it from writing anything to the store meanwhile.
 func (w *testCluster) kill(v *testVM) {
-	v.client.SetFaults(metastore.Faults{Cut: true})
+	v.client.SetFaults(metastore.Faults{Unreachable: true})
 	v.mu.Lock()
 	cancel, stopped := v.cancel, v.stopped
 	v.service = nil
--- a/internal/duties/duties_test.go
+++ b/internal/duties/duties_test.go
@@ -60,13 +60,13 @@
 
 // Each window is reported once, complete and in time, although all daemons count.
 func TestAllWindowsAreReported(t *testing.T) {
-	correct, all := runWithFault(t, dutyapi.Options{RequireFence: true}, callInterval, func(*testCluster) {})
+	correct, all := runWithFault(t, dutyapi.Options{CheckFencing: true}, callInterval, func(*testCluster) {})
 	NewWithT(t).Expect(correct).To(Equal(all))
 }
 
 // There are no calls at all. The windows are reported as empty.
 func TestWindowsWithoutCallsAreReported(t *testing.T) {
-	correct, all := runWithFault(t, dutyapi.Options{RequireFence: true}, time.Hour, func(*testCluster) {})
+	correct, all := runWithFault(t, dutyapi.Options{CheckFencing: true}, time.Hour, func(*testCluster) {})
 	NewWithT(t).Expect(correct).To(Equal(all))
 }
 
@@ -102,23 +102,23 @@
 		// nothing. What it counts in the meantime is too late for one window.
 		{"holder refused by the store", 2, func(c *testCluster) { injectStoreFaults([]*testVM{c.holder()}, storeRefuses, 8*time.Second) }},
 		{"holder cut off from the store", 2, func(c *testCluster) {
-			injectStoreFaults([]*testVM{c.holder()}, metastore.Faults{Cut: true}, 8*time.Second)
+			injectStoreFaults([]*testVM{c.holder()}, metastore.Faults{Unreachable: true}, 8*time.Second)
 		}},
 		// The holder reaches the store but not the platform, so it keeps its partition. The
 		// standbys report.
 		{"holder cut off from the platform", 0, func(c *testCluster) {
-			injectPlatformFaults([]*testVM{c.holder()}, dutyapi.Faults{Cut: true}, 20*time.Second)
+			injectPlatformFaults([]*testVM{c.holder()}, dutyapi.Faults{Unreachable: true}, 20*time.Second)
 		}},
 		// The holder is suspended between the check of its claim and the call, for longer than
 		// the claim blocks other daemons, and then continues.
 		{"holder suspended before a call", 0, func(c *testCluster) {
 			var once sync.Once
-			c.holder().platform.SetFaults(dutyapi.Faults{Hold: func() { once.Do(func() { time.Sleep(6 * time.Second) }) }})
+			c.holder().platform.SetFaults(dutyapi.Faults{BeforeSend: func() { once.Do(func() { time.Sleep(6 * time.Second) }) }})
 		}},
 		// Calls get no answer and are carried out seconds later, when other daemons act.
 		{"calls carried out late", 0, func(c *testCluster) {
 			random := newRandom(1)
-			injectPlatformFaults(c.vms, dutyapi.Faults{Late: func() time.Duration {
+			injectPlatformFaults(c.vms, dutyapi.Faults{DelayCall: func() time.Duration {
 				if random(2) == 0 {
 					return 0
 				}
@@ -131,12 +131,12 @@
 		}},
 		// No daemon reaches the platform. The windows that were due meanwhile are reported
 		// late, and none is reported twice with different counts.
-		{"platform unreachable", 2, func(c *testCluster) { injectPlatformFaults(c.vms, dutyapi.Faults{Cut: true}, 15*time.Second) }},
+		{"platform unreachable", 2, func(c *testCluster) { injectPlatformFaults(c.vms, dutyapi.Faults{Unreachable: true}, 15*time.Second) }},
 		// The store refuses all daemons. They keep their counts until it accepts them.
 		{"store refuses calls", 0, func(c *testCluster) { injectStoreFaults(c.vms, storeRefuses, 5*time.Second) }},
 		{"store's answers lost", 0, func(c *testCluster) {
 			random := newRandom(5)
-			injectStoreFaults(c.vms, metastore.Faults{Latency: storeLatency, LoseAnswer: func() bool { return random(3) == 0 }}, 8*time.Second)
+			injectStoreFaults(c.vms, metastore.Faults{Latency: storeLatency, LoseResponse: func() bool { return random(3) == 0 }}, 8*time.Second)
 		}},
 		// The log is truncated: the next holder finds no counts of the current window and
 		// can't restore them.
@@ -147,7 +147,7 @@
 		// All partitions get other owners at once, without notice.
 		{"partitions reassigned", 0, func(c *testCluster) {
 			for range 5 {
-				c.store.Redeal("batch-owners")
+				c.store.ForceRebalance("batch-owners")
 				time.Sleep(2 * time.Second)
 			}
 		}},
@@ -171,7 +171,7 @@
 				continue // the platform delays the calls itself, and only tokens show it their order
 			}
 			t.Run(name, func(t *testing.T) {
-				correct, all := runWithFault(t, dutyapi.Options{RequireFence: fenced}, callInterval, c.inject)
+				correct, all := runWithFault(t, dutyapi.Options{CheckFencing: fenced}, callInterval, c.inject)
 				NewWithT(t).Expect(correct).To(BeNumerically(">=", all-c.maxIncorrect))
 			})
 		}
@@ -182,7 +182,7 @@
 // window is complete.
 func TestDrainAppendsAllCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := newTestCluster(t, 4, dutyapi.Options{RequireFence: true})
+		cluster := newTestCluster(t, 4, dutyapi.Options{CheckFencing: true})
 		cluster.startAllDaemons()
 		var work sync.WaitGroup
 		work.Go(func() { cluster.generateCalls(2, 5*time.Millisecond, 40*time.Second) })
--- a/internal/duties/scaler_test.go
+++ b/internal/duties/scaler_test.go
@@ -14,7 +14,7 @@
 // to the 30 regular ones. It calls change after 20 s, and then check.
 func runScaling(t *testing.T, change func(*testCluster), check func(*testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := newTestCluster(t, 6, dutyapi.Options{RequireFence: true})
+		cluster := newTestCluster(t, 6, dutyapi.Options{CheckFencing: true})
 		cluster.setStepSamples(360)
 		cluster.startAllDaemons()
 		time.Sleep(20 * time.Second)
@@ -54,12 +54,12 @@
 // spot servers are available in the first one again.
 func TestSpotServersTakenAway(t *testing.T) {
 	runScaling(t, func(c *testCluster) {
-		c.api.Reclaim(service, "b")
+		c.api.ReclaimSpot(service, "b")
 		time.Sleep(12 * time.Second)
 	}, func(c *testCluster) {
 		c.g.Expect(c.spotServers()).To(Equal(map[string]int{"a": 8, "b": 0, "c": 7}))
 		before := c.api.Orders(service)
-		c.api.Reopen("b")
+		c.api.RestoreSpot("b")
 		time.Sleep(20 * time.Second)
 		c.g.Expect(c.api.Orders(service)).To(Equal(before))
 	})
@@ -69,7 +69,7 @@
 // order the servers, some seconds later.
 func TestStandbyOrdersServers(t *testing.T) {
 	runScaling(t, func(c *testCluster) {
-		c.holder().platform.SetFaults(dutyapi.Faults{Cut: true})
+		c.holder().platform.SetFaults(dutyapi.Faults{Unreachable: true})
 		c.setStepSamples(480)
 		time.Sleep(20 * time.Second)
 	}, func(c *testCluster) {
--- a/internal/duties/ways_test.go
+++ b/internal/duties/ways_test.go
@@ -83,14 +83,14 @@
 		{"none", func(*testCluster, *testVM) {}},
 		{"killed", func(c *testCluster, v *testVM) { c.killDaemon(v) }},
 		{"cut off from the store for 8 s", func(_ *testCluster, v *testVM) {
-			injectStoreFaults([]*testVM{v}, metastore.Faults{Cut: true}, 8*time.Second)
+			injectStoreFaults([]*testVM{v}, metastore.Faults{Unreachable: true}, 8*time.Second)
 		}},
 		{"cut off from the platform for 20 s", func(_ *testCluster, v *testVM) {
-			injectPlatformFaults([]*testVM{v}, dutyapi.Faults{Cut: true}, 20*time.Second)
+			injectPlatformFaults([]*testVM{v}, dutyapi.Faults{Unreachable: true}, 20*time.Second)
 		}},
 		{"cut off from the store and the platform for 8 s", func(_ *testCluster, v *testVM) {
-			v.store.SetFaults(metastore.Faults{Cut: true})
-			injectPlatformFaults([]*testVM{v}, dutyapi.Faults{Cut: true}, 8*time.Second)
+			v.store.SetFaults(metastore.Faults{Unreachable: true})
+			injectPlatformFaults([]*testVM{v}, dutyapi.Faults{Unreachable: true}, 8*time.Second)
 			v.store.SetFaults(metastore.Faults{Latency: storeLatency})
 		}},
 		{"calls refused by the store for 5 s", func(c *testCluster, _ *testVM) { injectStoreFaults(c.vms, storeRefuses, 5*time.Second) }},
@@ -103,7 +103,7 @@
 	for _, election := range []string{"partition", "claim"} {
 		for _, fault := range faults {
 			synctest.Test(t, func(t *testing.T) {
-				cluster := newTestCluster(t, 6, dutyapi.Options{RequireFence: true})
+				cluster := newTestCluster(t, 6, dutyapi.Options{CheckFencing: true})
 				if election == "claim" {
 					cluster.newRank = rankByClaim
 				}
@@ -119,7 +119,7 @@
 				calls := 0
 				for _, v := range cluster.vms {
 					n := v.store.Calls()
-					calls += n.Reads + n.Writes + n.Joins
+					calls += n.Reads + n.Writes + n.Membership
 				}
 				t.Logf("%-10s %-40s correct %d of %d, latest %6v after its window, %d calls", election, fault.name, correct, all, cluster.maxReportDelay().Round(100*time.Millisecond), calls)
 				cluster.killAllDaemons()
@@ -133,7 +133,7 @@
 func (c *testCluster) lastReporter() *testVM {
 	var last dutyapi.Report
 	for _, r := range c.api.Reports() {
-		if r.At.After(last.At) {
+		if r.AcceptedAt.After(last.AcceptedAt) {
 			last = r
 		}
 	}
@@ -151,7 +151,7 @@
 	longest := time.Duration(0)
 	for k, r := range c.api.Reports() {
 		if end := timing.Windows.End(k); end.Sub(c.start) > 10*time.Second {
-			longest = max(longest, r.At.Sub(end))
+			longest = max(longest, r.AcceptedAt.Sub(end))
 		}
 	}
 	return longest
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -85,7 +85,7 @@
 }
 
 func newTestCluster(t *testing.T, vms int, o dutyapi.Options) *testCluster {
-	o.Lease = lease
+	o.LeaseDuration = lease
 	c := &testCluster{t: t, g: NewWithT(t), start: time.Now(), store: metastore.New(parts), api: dutyapi.New(o), truth: map[int64]map[string]int{}, newRank: rankByPartition}
 	for i := range vms {
 		v := &testVM{name: fmt.Sprint("vm", i), store: metastore.NewClient(c.store, 1500*time.Millisecond), platform: dutyapi.NewClient(c.api, callTimeout)}
@@ -257,11 +257,11 @@
 	for k := timing.Windows.IndexAt(c.start.Add(from)) + 1; !timing.Windows.End(k).After(c.start.Add(to)); k++ {
 		all++
 		r, ok := reports[k]
-		if ok && maps.Equal(r.Counts, orEmpty(c.truth[k])) && r.At.Sub(timing.Windows.End(k)) <= timing.Due {
+		if ok && maps.Equal(r.Counts, orEmpty(c.truth[k])) && r.AcceptedAt.Sub(timing.Windows.End(k)) <= timing.Due {
 			correct++
 			continue
 		}
-		c.t.Logf("window %d, ended at %v: reported %v, with counts %v, true counts %v, %v after its end", k, timing.Windows.End(k).Sub(c.start), ok, r.Counts, c.truth[k], r.At.Sub(timing.Windows.End(k)))
+		c.t.Logf("window %d, ended at %v: reported %v, with counts %v, true counts %v, %v after its end", k, timing.Windows.End(k).Sub(c.start), ok, r.Counts, c.truth[k], r.AcceptedAt.Sub(timing.Windows.End(k)))
 	}
 	return correct, all
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -101,7 +101,7 @@
 		g.Expect(s.store.Put("keyed.x", "config", []byte("1"))).To(Succeed())
 		s.run(t)
 		time.Sleep(time.Second)
-		s.client.SetFaults(metastore.Faults{Cut: true})
+		s.client.SetFaults(metastore.Faults{Unreachable: true})
 		time.Sleep(2 * time.Second)
 		for n := range 5 {
 			g.Expect(s.store.Put("keyed.x", "config", fmt.Append(nil, n+2))).To(Succeed())
@@ -143,7 +143,7 @@
 		s.run(t)
 		time.Sleep(5 * time.Second)
 		g.Expect(s.follower.Age()).To(BeNumerically("<", StaleAfter))
-		s.client.SetFaults(metastore.Faults{Cut: true})
+		s.client.SetFaults(metastore.Faults{Unreachable: true})
 		time.Sleep(PollWait + StaleAfter)
 		g.Expect(s.follower.Age()).To(BeNumerically(">", StaleAfter))
 		g.Expect(s.follower.CatchUp(context.Background())).NotTo(Succeed())
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -197,7 +197,7 @@
 // that many upstreams for calls and engines, 500 per second.
 func newTestFleet(daemons, calls, engines int) *testFleet {
 	f := &testFleet{store: metastore.New(testParts), start: time.Now()}
-	f.store.SetRates(metastore.Rates{ReadBytes: testReadRate, Reads: 16_000, Writes: 4_000})
+	f.store.SetRateLimits(metastore.RateLimits{ReadBytesPerSecond: testReadRate, ReadsPerSecond: 16_000, WritesPerSecond: 4_000})
 	f.putConfig(1)
 	for i := range daemons {
 		f.nodes = append(f.nodes, f.startNode(i))
@@ -276,7 +276,7 @@
 
 // kill cuts the daemon off the store and stops it.
 func (n *node) kill() {
-	n.client.SetFaults(metastore.Faults{Cut: true})
+	n.client.SetFaults(metastore.Faults{Unreachable: true})
 	n.cancel()
 	<-n.done
 }
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -75,9 +75,9 @@
 	return uint16(sum.Sum64())
 }
 
-// Wanted returns the number of tokens of the complete completion: maxTokens, or the N of
+// CompletionLength returns the number of tokens of the complete completion: maxTokens, or the N of
 // "tokens=N" in the prompt if that is less.
-func Wanted(prompt string, maxTokens int) int {
+func CompletionLength(prompt string, maxTokens int) int {
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
 	}
--- a/internal/standin/answer/answer_test.go
+++ b/internal/standin/answer/answer_test.go
@@ -23,7 +23,7 @@
 
 	It("accepts a complete completion with correct labels", func() {
 		Expect(answer.Check(prompt, text, labels)).To(Succeed())
-		Expect(answer.CheckWhole(prompt, text, 100)).To(Succeed())
+		Expect(answer.CheckComplete(prompt, text, 100)).To(Succeed())
 		Expect(answer.SegmentsOf(prompt, text)).To(Equal(labels))
 	})
 
@@ -41,6 +41,6 @@
 	)
 
 	It("detects by the length that the text ends between two tokens", func() {
-		Expect(answer.CheckWhole(prompt, g.Text(0, 3, 1), 100)).To(MatchError(answer.ErrLength))
+		Expect(answer.CheckComplete(prompt, g.Text(0, 3, 1), 100)).To(MatchError(answer.ErrLength))
 	})
 })
--- a/internal/standin/answer/check.go
+++ b/internal/standin/answer/check.go
@@ -33,7 +33,7 @@
 // index 0, and that segments label each of them with its version. The error wraps one of
 // this package's errors.
 func Check(prompt, text string, segments []Segment) error {
-	versions, err := Versions(prompt, text)
+	versions, err := TokenVersions(prompt, text)
 	if err != nil {
 		return err
 	}
@@ -55,32 +55,32 @@
 	return nil
 }
 
-// CheckWhole verifies that text is the complete completion of prompt.
-func CheckWhole(prompt, text string, maxTokens int) error {
-	versions, err := Versions(prompt, text)
+// CheckComplete verifies that text is the complete completion of prompt.
+func CheckComplete(prompt, text string, maxTokens int) error {
+	versions, err := TokenVersions(prompt, text)
 	if err != nil {
 		return err
 	}
-	if want := Wanted(prompt, maxTokens); len(versions) != want {
+	if want := CompletionLength(prompt, maxTokens); len(versions) != want {
 		return fmt.Errorf("%w: %d tokens, want %d", ErrLength, len(versions), want)
 	}
 	return nil
 }
 
-// Versions returns the weight version of each token of a completion of prompt. Not every
+// TokenVersions returns the weight version of each token of a completion of prompt. Not every
 // checker knows the seed, so it is only verified to be the same in all tokens.
-func Versions(prompt, text string) ([]int64, error) {
+func TokenVersions(prompt, text string) ([]int64, error) {
 	return parseTokens(prompt, text)
 }
 
-// SameSeed reports whether the first token of text was generated with a seed.
-func SameSeed(prompt string, seed int64, text string) bool {
+// HasSeed reports whether the first token of text was generated with a seed.
+func HasSeed(prompt string, seed int64, text string) bool {
 	return strings.HasPrefix(text, tokenPrefix(prompt, seed))
 }
 
 // SegmentsOf returns the correct segments of a completion of prompt, read from its text.
 func SegmentsOf(prompt, text string) ([]Segment, error) {
-	versions, err := Versions(prompt, text)
+	versions, err := TokenVersions(prompt, text)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/balance/balance.go
+++ b/internal/standin/balance/balance.go
@@ -82,8 +82,8 @@
 	b.down[daemon] = down
 }
 
-// Failed excludes a daemon until its next successful readiness check.
-func (b *Balancer) Failed(daemon string) { b.setDown(daemon, true) }
+// MarkDown excludes a daemon until its next successful readiness check.
+func (b *Balancer) MarkDown(daemon string) { b.setDown(daemon, true) }
 
 // Next returns the base URL of the next ready daemon, or ErrNoDaemon if there is none.
 func (b *Balancer) Next() (string, error) {
--- a/internal/standin/callers/attempt.go
+++ b/internal/standin/callers/attempt.go
@@ -65,7 +65,7 @@
 	began := time.Now()
 	response, err := d.client.Do(request)
 	if err != nil {
-		d.balancer.Failed(daemon)
+		d.balancer.MarkDown(daemon)
 		return time.Time{}, sendError(err)
 	}
 	defer response.Body.Close()
@@ -81,14 +81,14 @@
 
 func (d *driver) setHeaders(request *http.Request, c *call, attempt string) {
 	request.Header.Set("Authorization", "Bearer "+d.options.Key)
-	request.Header.Set(service.HeaderCall, c.id)
-	request.Header.Set(service.HeaderAttempt, attempt)
+	request.Header.Set(service.HeaderCallID, c.id)
+	request.Header.Set(service.HeaderAttemptID, attempt)
 	request.Header.Set("Content-Type", "application/octet-stream")
 	if c.generates() {
 		request.Header.Set("Content-Type", "application/json")
 	}
 	if c.kind == Keyed {
-		request.Header.Set(service.HeaderKey, "key-"+c.id)
+		request.Header.Set(service.HeaderIdempotencyKey, "key-"+c.id)
 	}
 }
 
@@ -213,7 +213,7 @@
 }
 
 func check(c *call, text string) error {
-	if err := answer.CheckWhole(c.prompt, text, c.maxTokens); err != nil {
+	if err := answer.CheckComplete(c.prompt, text, c.maxTokens); err != nil {
 		return fmt.Errorf("%w: %s: %w", errWrong, c.id, err)
 	}
 	return nil
--- a/internal/standin/callers/callers_test.go
+++ b/internal/standin/callers/callers_test.go
@@ -88,7 +88,7 @@
 	})
 
 	It("notice answers that end early, streamed or whole", func() {
-		Expect(faults.Set(fault.Spec{Kind: fault.EndEarly, Match: "POST"})).To(Succeed())
+		Expect(faults.Add(fault.Spec{Kind: fault.EndEarly, Match: "POST"})).To(Succeed())
 		result := run()
 		Expect(result.Answers).To(BeZero())
 		Expect(result.Wrong + result.Failed).To(Equal(200))
@@ -96,7 +96,7 @@
 
 	It("notice crossed answers", func() {
 		options.CompletionShare = 1
-		Expect(faults.Set(fault.Spec{Kind: fault.Crossed, Match: "POST", Count: 2, Value: 60_000})).To(Succeed())
+		Expect(faults.Add(fault.Spec{Kind: fault.Crossed, Match: "POST", Count: 2, Value: 60_000})).To(Succeed())
 		Expect(run().Wrong).To(Equal(2))
 	})
 
--- a/internal/standin/dutyapi/api.go
+++ b/internal/standin/dutyapi/api.go
@@ -15,13 +15,13 @@
 
 // Options configure an API.
 type Options struct {
-	// RequireFence refuses calls whose fencing token is lower than the highest one seen.
+	// CheckFencing refuses calls whose fencing token is lower than the highest one seen.
 	// Without it they are accepted and recorded as violations.
-	RequireFence bool
-	// Lease is the time within which holders must not alternate.
-	Lease time.Duration
-	// PerSecond limits the calls per second of all daemons together; 0: no limit.
-	PerSecond int
+	CheckFencing bool
+	// LeaseDuration is the time within which holders must not alternate.
+	LeaseDuration time.Duration
+	// MaxCallsPerSecond limits the calls per second of all daemons together; 0: no limit.
+	MaxCallsPerSecond int
 }
 
 // API is the simulated API. It is safe for concurrent use.
@@ -51,7 +51,7 @@
 // Report is the first accepted report of a window.
 type Report struct {
 	Counts     map[string]int
-	At         time.Time // when it was accepted
+	AcceptedAt time.Time // when it was accepted
 	Holder     string    // that sent it
 	Duplicates int       // identical reports accepted later
 }
@@ -74,7 +74,7 @@
 	report, exists := a.reports[window]
 	switch {
 	case !exists:
-		report = Report{Counts: maps.Clone(counts), At: time.Now(), Holder: holder}
+		report = Report{Counts: maps.Clone(counts), AcceptedAt: time.Now(), Holder: holder}
 	case !maps.Equal(report.Counts, counts):
 		a.addViolation("window %d was reported as %v by %s and as %v by %s", window, report.Counts, report.Holder, counts, holder)
 	default:
@@ -84,9 +84,9 @@
 	return http.StatusOK
 }
 
-// NoneAvailable is the status of an order if no server of its kind is available now. On the
+// StatusNoneAvailable is the status of an order if no server of its kind is available now. On the
 // wire it has the same status as a refused fencing token.
-const NoneAvailable = http.StatusGone
+const StatusNoneAvailable = http.StatusGone
 
 // Scale accepts an order for servers and returns the HTTP status, which is 410 if no server
 // of the kind is available.
@@ -100,7 +100,7 @@
 		a.orders[service] = map[scaling.Pool][]acceptedOrder{}
 	}
 	if o.Spot && a.spotReclaimed[o.DataCentre] && o.Count > lastCount(a.orders[service][o.Pool]) {
-		return NoneAvailable
+		return StatusNoneAvailable
 	}
 	a.orders[service][o.Pool] = append(a.orders[service][o.Pool], acceptedOrder{o.Count, time.Now()})
 	return http.StatusOK
@@ -155,9 +155,9 @@
 	return n
 }
 
-// Reclaim removes all spot servers of a service in a data centre. No more spot servers are
+// ReclaimSpot removes all spot servers of a service in a data centre. No more spot servers are
 // available there until the reclaim is ended.
-func (a *API) Reclaim(service, dataCentre string) {
+func (a *API) ReclaimSpot(service, dataCentre string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.spotReclaimed[dataCentre] = true
@@ -167,8 +167,8 @@
 	}
 }
 
-// Reopen makes spot servers available again in a data centre where they were reclaimed.
-func (a *API) Reopen(dataCentre string) {
+// RestoreSpot makes spot servers available again in a data centre where they were reclaimed.
+func (a *API) RestoreSpot(dataCentre string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.spotReclaimed, dataCentre)
@@ -192,14 +192,14 @@
 	}
 	s.holderByFence[fence] = holder
 	if fence < s.highestFence {
-		if a.options.RequireFence {
+		if a.options.CheckFencing {
 			return http.StatusConflict
 		}
 		a.addViolation("%s: %s used fencing token %d after %d was seen", scope, holder, fence, s.highestFence)
 	}
 	s.highestFence = max(s.highestFence, fence)
 	now := time.Now()
-	if previous, called := s.lastCallAt[holder]; called && s.lastHolder != holder && now.Sub(previous) < a.options.Lease {
+	if previous, called := s.lastCallAt[holder]; called && s.lastHolder != holder && now.Sub(previous) < a.options.LeaseDuration {
 		a.addViolation("%s: calls by %s, %s and %s again within %v", scope, holder, s.lastHolder, holder, now.Sub(previous))
 	}
 	s.lastHolder = holder
@@ -214,7 +214,7 @@
 		a.currentSecond, a.callsThisSecond = second, 0
 	}
 	a.callsThisSecond++
-	return a.options.PerSecond == 0 || a.callsThisSecond <= a.options.PerSecond
+	return a.options.MaxCallsPerSecond == 0 || a.callsThisSecond <= a.options.MaxCallsPerSecond
 }
 
 func (a *API) addViolation(format string, args ...any) {
--- a/internal/standin/dutyapi/client.go
+++ b/internal/standin/dutyapi/client.go
@@ -15,16 +15,16 @@
 
 // Faults are the faults currently injected into a client's calls.
 type Faults struct {
-	Latency time.Duration // added to each call
-	Refuse  bool          // every call is refused
-	Cut     bool          // calls don't reach the API and time out
-	// Hold, if set, is called before each call and delays it until it returns. It
+	Latency     time.Duration // added to each call
+	Refuse      bool          // every call is refused
+	Unreachable bool          // calls don't reach the API and time out
+	// BeforeSend, if set, is called before each call and delays it until it returns. It
 	// simulates a process that is suspended between checking its claim and sending the
 	// call.
-	Hold func()
-	// Late, if set, returns by how much a call is delayed; 0: not at all. A delayed call is
+	BeforeSend func()
+	// DelayCall, if set, returns by how much a call is delayed; 0: not at all. A delayed call is
 	// executed at the end of the delay and never answered.
-	Late func() time.Duration
+	DelayCall func() time.Duration
 }
 
 // Client is one VM's connection to an API. It implements duties.Platform.
@@ -61,7 +61,7 @@
 // Reachable implements duties.Platform.
 func (c *Client) Reachable(ctx context.Context) bool {
 	c.mu.Lock()
-	cut := c.faults.Cut
+	cut := c.faults.Unreachable
 	c.mu.Unlock()
 	if cut {
 		pause.For(ctx, dialTimeout)
@@ -81,15 +81,15 @@
 	c.mu.Lock()
 	f := c.faults
 	c.mu.Unlock()
-	if f.Hold != nil {
-		f.Hold()
+	if f.BeforeSend != nil {
+		f.BeforeSend()
 	}
-	if f.Cut {
+	if f.Unreachable {
 		<-ctx.Done()
 		return duties.Unknown, errNoResponse
 	}
-	if f.Late != nil {
-		if delay := f.Late(); delay > 0 {
+	if f.DelayCall != nil {
+		if delay := f.DelayCall(); delay > 0 {
 			time.AfterFunc(delay, func() { execute() }) // nobody waits for the result
 			<-ctx.Done()
 			return duties.Unknown, errNoResponse
@@ -104,7 +104,7 @@
 		return duties.Done, nil
 	case http.StatusConflict:
 		return duties.Fenced, errors.New("fenced")
-	case NoneAvailable:
+	case StatusNoneAvailable:
 		return duties.Unavailable, errors.New("no server of this kind is available")
 	default:
 		return duties.Refused, errors.New("rate limit exceeded")
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -122,7 +122,7 @@
 
 // waitThawed stops the loop during a freeze; false means that the engine closes.
 func (e *Engine) waitThawed() bool {
-	thawed := e.faults.Frozen()
+	thawed := e.faults.FreezeDone()
 	if thawed == nil {
 		return true
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -19,7 +19,7 @@
 	options Options
 	bootID  string
 	faults  *fault.Injector
-	leaving host.Leaving
+	leaving host.LeavingState
 	handler http.Handler
 	orders  *orders
 
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -70,7 +70,7 @@
 		begun := time.Now()
 		whole, _ := generate(e, "alone", wire.GenerateRequest{Prompt: "p tokens=10", MaxTokens: 100})
 		g.Expect(time.Since(begun)).To(Equal(100 * time.Millisecond))
-		g.Expect(answer.CheckWhole("p tokens=10", whole.Choices[0].Text, 100)).To(Succeed())
+		g.Expect(answer.CheckComplete("p tokens=10", whole.Choices[0].Text, 100)).To(Succeed())
 		g.Expect(*whole.Choices[0].FinishReason).To(Equal("stop"))
 
 		begun = time.Now()
@@ -158,7 +158,7 @@
 // engine still generates with the old one.
 func TestReportBeforeServing(t *testing.T) {
 	in(t, engine.Options{}, func(g *WithT, e *engine.Engine) {
-		g.Expect(e.Faults().Set(fault.Spec{Kind: fault.ReportEarly, Count: 1, Value: 200})).To(Succeed())
+		g.Expect(e.Faults().Add(fault.Spec{Kind: fault.ReportBeforeServing, Count: 1, Value: 200})).To(Succeed())
 		var result wire.OrderResult
 		post(e, "/orders", "", wire.Order{Kind: wire.OrderLoad, Model: "drafts", Version: 2}, &result)
 		post(e, "/orders", "", wire.Order{Kind: wire.OrderSwitch, Model: "drafts", Version: 2}, &result)
@@ -177,7 +177,7 @@
 		request := wire.GenerateRequest{Prompt: "p", Seed: 7, MaxTokens: 10, ResumeText: before, ResumeTokens: 4}
 		whole, _ := generate(e, "r", request)
 		g.Expect(whole.Tokens).To(Equal(6))
-		g.Expect(answer.CheckWhole("p", before+whole.Choices[0].Text, 10)).To(Succeed())
+		g.Expect(answer.CheckComplete("p", before+whole.Choices[0].Text, 10)).To(Succeed())
 		request.ResumeTokens = 3
 		_, status := generate(e, "r", request)
 		g.Expect(status).To(Equal(http.StatusBadRequest))
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -41,7 +41,7 @@
 		host.WriteError(w, status, err)
 		return
 	}
-	e.leaving.Begin()
+	e.leaving.RecordStart()
 	e.submit(g.stream)
 	defer e.abandon(g.stream)
 	if g.Stream {
@@ -80,7 +80,7 @@
 		model:   g.Model,
 		from:    g.ResumeTokens,
 		next:    g.ResumeTokens,
-		end:     answer.Wanted(g.prompt, g.MaxTokens),
+		end:     answer.CompletionLength(g.prompt, g.MaxTokens),
 		prefill: e.options.prefillTime(uncached),
 		notify:  make(chan struct{}, 1),
 	}
@@ -89,17 +89,17 @@
 
 // checkResume makes sure that what is resumed is an answer to this prompt.
 func checkResume(g *generation) error {
-	got, err := answer.Versions(g.prompt, g.ResumeText)
+	got, err := answer.TokenVersions(g.prompt, g.ResumeText)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errResume, err)
 	}
 	if len(got) != g.ResumeTokens {
 		return fmt.Errorf("%w: %d tokens", errResume, len(got))
 	}
-	if g.ResumeTokens >= answer.Wanted(g.prompt, g.MaxTokens) {
+	if g.ResumeTokens >= answer.CompletionLength(g.prompt, g.MaxTokens) {
 		return fmt.Errorf("%w: nothing left to generate", errResume)
 	}
-	if g.ResumeTokens > 0 && !answer.SameSeed(g.prompt, g.Seed, g.ResumeText) {
+	if g.ResumeTokens > 0 && !answer.HasSeed(g.prompt, g.Seed, g.ResumeText) {
 		return fmt.Errorf("%w: another seed", errResume)
 	}
 	return nil
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -34,7 +34,7 @@
 }
 
 func (e *Engine) sample() {
-	leaving := e.leaving.Active()
+	leaving := e.leaving.IsLeaving()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	report := wire.LoadReport{
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -126,7 +126,7 @@
 	if known {
 		return nil
 	}
-	if _, hit := e.faults.Take(fault.SwapFails, string(order.Kind)); hit {
+	if _, hit := e.faults.Consume(fault.SwapFails, string(order.Kind)); hit {
 		return errSwapFails
 	}
 	if err := e.fetch(ctx, order.Model, order.Version); err != nil {
@@ -145,11 +145,11 @@
 	if err != nil {
 		return err
 	}
-	if _, hit := e.faults.Take(fault.SwapFails, string(order.Kind)); hit {
+	if _, hit := e.faults.Consume(fault.SwapFails, string(order.Kind)); hit {
 		return errSwapFails
 	}
 	time.Sleep(e.options.SwitchTime)
-	early, isEarly := e.faults.Take(fault.ReportEarly)
+	early, isEarly := e.faults.Consume(fault.ReportBeforeServing)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err := m.check(order.Version); err != nil {
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -174,7 +174,7 @@
 	})
 
 	It("rejects an unknown kind and a freeze without a duration", func() {
-		Expect(faults.Set(fault.Spec{Kind: "gremlin"})).NotTo(Succeed())
-		Expect(faults.Set(fault.Spec{Kind: fault.Freeze})).NotTo(Succeed())
+		Expect(faults.Add(fault.Spec{Kind: "gremlin"})).NotTo(Succeed())
+		Expect(faults.Add(fault.Spec{Kind: fault.Freeze})).NotTo(Succeed())
 	})
 })
--- a/internal/standin/fault/injector.go
+++ b/internal/standin/fault/injector.go
@@ -44,8 +44,8 @@
 	return in.crashCount
 }
 
-// Set adds a fault. Silence and Freeze take effect immediately.
-func (in *Injector) Set(s Spec) error { return in.applyExcept(s, nil) }
+// Add adds a fault. Silence and Freeze take effect immediately.
+func (in *Injector) Add(s Spec) error { return in.applyExcept(s, nil) }
 
 // applyExcept adds a fault. Silence doesn't affect the exempt connection, if there is one.
 func (in *Injector) applyExcept(s Spec, exempt *faultyConn) error {
@@ -93,9 +93,9 @@
 	return specs
 }
 
-// Take returns the oldest active fault of a kind that matches one of a request's texts,
+// Consume returns the oldest active fault of a kind that matches one of a request's texts,
 // and counts the request against the fault's Count.
-func (in *Injector) Take(kind Kind, texts ...string) (Spec, bool) {
+func (in *Injector) Consume(kind Kind, texts ...string) (Spec, bool) {
 	return in.find(kind, texts, true)
 }
 
@@ -173,9 +173,9 @@
 	}
 }
 
-// Frozen returns a channel that is closed when the current freeze ends, or nil if there
+// FreezeDone returns a channel that is closed when the current freeze ends, or nil if there
 // is no freeze.
-func (in *Injector) Frozen() <-chan struct{} {
+func (in *Injector) FreezeDone() <-chan struct{} {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.unfreeze == nil {
@@ -186,7 +186,7 @@
 
 // waitWhileFrozen blocks until the current freeze ends or stop is closed.
 func (in *Injector) waitWhileFrozen(stop <-chan struct{}) {
-	unfrozen := in.Frozen()
+	unfrozen := in.FreezeDone()
 	if unfrozen == nil {
 		return
 	}
--- a/internal/standin/fault/middleware.go
+++ b/internal/standin/fault/middleware.go
@@ -50,24 +50,24 @@
 // It returns false if the request must not be executed. texts are the request line and
 // the body, for Spec.Match.
 func (in *Injector) applyRequestFaults(w http.ResponseWriter, r *http.Request, texts []string) bool {
-	if _, hit := in.Take(Crash, texts...); hit {
+	if _, hit := in.Consume(Crash, texts...); hit {
 		in.crash()
 		panic(http.ErrAbortHandler)
 	}
-	if _, hit := in.Take(Outage, texts...); hit {
+	if _, hit := in.Consume(Outage, texts...); hit {
 		http.Error(w, "stand-in: injected outage", http.StatusServiceUnavailable)
 		return false
 	}
-	if _, hit := in.Take(Refuse, texts...); hit {
+	if _, hit := in.Consume(Refuse, texts...); hit {
 		w.Header().Set(wire.HeaderNotRun, "true")
 		w.Header().Set(wire.HeaderRequestID, r.Header.Get(wire.HeaderRequestID))
 		http.Error(w, "stand-in: injected refusal", http.StatusServiceUnavailable)
 		return false
 	}
-	if _, hit := in.Take(Reset, texts...); hit {
+	if _, hit := in.Consume(Reset, texts...); hit {
 		abortConnection(w, true)
 	}
-	if s, hit := in.Take(Slow, texts...); hit {
+	if s, hit := in.Consume(Slow, texts...); hit {
 		sleep(r, s.delay(0))
 	}
 	return true
@@ -76,30 +76,30 @@
 // runWithResponseFault executes the request and applies at most one fault to its
 // response.
 func (in *Injector) runWithResponseFault(w http.ResponseWriter, r *http.Request, next http.Handler, texts []string) {
-	if s, hit := in.Take(Crossed, texts...); hit {
+	if s, hit := in.Consume(Crossed, texts...); hit {
 		in.swapResponse(w, r, next, s)
 		return
 	}
-	if _, hit := in.Take(AnswerLost, texts...); hit {
+	if _, hit := in.Consume(AnswerLost, texts...); hit {
 		recordResponse(next, r)
 		abortConnection(w, true)
 	}
-	if s, hit := in.Take(Late, texts...); hit {
+	if s, hit := in.Consume(Late, texts...); hit {
 		const defaultDelay = time.Second
 		response := recordResponse(next, r)
 		sleep(r, s.delay(defaultDelay))
 		response.writeTo(w)
 		return
 	}
-	if s, hit := in.Take(ResetBody, texts...); hit {
+	if s, hit := in.Consume(ResetBody, texts...); hit {
 		next.ServeHTTP(&limitedWriter{ResponseWriter: w, remaining: s.bodyBytes(), onLimit: func() { abortConnection(w, true) }}, r)
 		return
 	}
-	if s, hit := in.Take(Truncate, texts...); hit {
+	if s, hit := in.Consume(Truncate, texts...); hit {
 		next.ServeHTTP(&limitedWriter{ResponseWriter: w, remaining: s.bodyBytes(), onLimit: func() { abortConnection(w, false) }}, r)
 		return
 	}
-	if s, hit := in.Take(EndEarly, texts...); hit {
+	if s, hit := in.Consume(EndEarly, texts...); hit {
 		next.ServeHTTP(&limitedWriter{ResponseWriter: w, remaining: s.bodyBytes()}, r)
 		return
 	}
--- a/internal/standin/fault/spec.go
+++ b/internal/standin/fault/spec.go
@@ -19,26 +19,26 @@
 
 // The kinds of fault. The comments say what Spec.Value means for the kinds that use it.
 const (
-	Crash       Kind = "crash"                 // the process exits on a matching request
-	Refuse      Kind = "refuse"                // 503 with X-Not-Run; the request isn't executed
-	Reset       Kind = "reset"                 // connection reset before the first byte; the request isn't executed
-	ResetBody   Kind = "reset_body"            // connection reset after Value bytes of the body
-	Truncate    Kind = "truncate"              // connection closed after Value bytes of the body
-	EndEarly    Kind = "end_early"             // body ends cleanly after Value bytes, without its end marker
-	Freeze      Kind = "freeze"                // the whole process is suspended for DurationMillis
-	Silence     Kind = "silence"               // open connections transfer nothing any more; new ones work
-	Slow        Kind = "slow"                  // delays each request by Value ms; on an engine, multiplies the time per token by Value
-	Late        Kind = "late"                  // executes the request at once and responds Value ms later
-	AnswerLost  Kind = "answer_lost"           // executes the request, then resets the connection
-	Crossed     Kind = "crossed"               // swaps the responses of two concurrent requests, including their ids
-	Outage      Kind = "outage"                // 503 on every request
-	SwapFails   Kind = "swap_fails"            // engine: load and switch orders fail
-	ReportEarly Kind = "report_before_serving" // engine: reports a version Value ms before serving it
+	Crash               Kind = "crash"                 // the process exits on a matching request
+	Refuse              Kind = "refuse"                // 503 with X-Not-Run; the request isn't executed
+	Reset               Kind = "reset"                 // connection reset before the first byte; the request isn't executed
+	ResetBody           Kind = "reset_body"            // connection reset after Value bytes of the body
+	Truncate            Kind = "truncate"              // connection closed after Value bytes of the body
+	EndEarly            Kind = "end_early"             // body ends cleanly after Value bytes, without its end marker
+	Freeze              Kind = "freeze"                // the whole process is suspended for DurationMillis
+	Silence             Kind = "silence"               // open connections transfer nothing any more; new ones work
+	Slow                Kind = "slow"                  // delays each request by Value ms; on an engine, multiplies the time per token by Value
+	Late                Kind = "late"                  // executes the request at once and responds Value ms later
+	AnswerLost          Kind = "answer_lost"           // executes the request, then resets the connection
+	Crossed             Kind = "crossed"               // swaps the responses of two concurrent requests, including their ids
+	Outage              Kind = "outage"                // 503 on every request
+	SwapFails           Kind = "swap_fails"            // engine: load and switch orders fail
+	ReportBeforeServing Kind = "report_before_serving" // engine: reports a version Value ms before serving it
 )
 
 var kinds = []Kind{
 	Crash, Refuse, Reset, ResetBody, Truncate, EndEarly, Freeze, Silence, Slow,
-	Late, AnswerLost, Crossed, Outage, SwapFails, ReportEarly,
+	Late, AnswerLost, Crossed, Outage, SwapFails, ReportBeforeServing,
 }
 
 // Spec describes one fault. It is the body of POST on Path.
--- a/internal/standin/host/leaving.go
+++ b/internal/standin/host/leaving.go
@@ -11,9 +11,9 @@
 // LeavingPath is the path at which a checker sets and reads the leaving state.
 const LeavingPath = "/_standin/leaving"
 
-// Leaving says whether an upstream is leaving. It also records the work that still arrives
+// LeavingState says whether an upstream is leaving. It also records the work that still arrives
 // afterwards, for checkers. It is safe for concurrent use.
-type Leaving struct {
+type LeavingState struct {
 	mu           sync.Mutex
 	leavingSince time.Time // zero: not leaving
 	lastStart    time.Time // start of the last work since leavingSince
@@ -30,7 +30,7 @@
 }
 
 // Set sets whether the upstream is leaving, and clears the record of work.
-func (l *Leaving) Set(leaving bool) {
+func (l *LeavingState) Set(leaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leavingSince, l.lastStart, l.started = time.Time{}, time.Time{}, 0
@@ -39,15 +39,15 @@
 	}
 }
 
-// Active reports whether the upstream is leaving.
-func (l *Leaving) Active() bool {
+// IsLeaving reports whether the upstream is leaving.
+func (l *LeavingState) IsLeaving() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.leavingSince.IsZero()
 }
 
-// Begin records the start of a piece of work if the upstream is leaving.
-func (l *Leaving) Begin() {
+// RecordStart records the start of a piece of work if the upstream is leaving.
+func (l *LeavingState) RecordStart() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leavingSince.IsZero() {
@@ -58,7 +58,7 @@
 }
 
 // Report returns the work started since the upstream began to leave.
-func (l *Leaving) Report() LeavingReport {
+func (l *LeavingState) Report() LeavingReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	report := LeavingReport{Leaving: !l.leavingSince.IsZero(), StartedSince: l.started}
@@ -70,13 +70,13 @@
 
 // Wrap returns a handler that adds the leaving state and the request's id to the headers of
 // every response, and serves LeavingPath.
-func (l *Leaving) Wrap(next http.Handler) http.Handler {
+func (l *LeavingState) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == LeavingPath {
 			l.serve(w, r)
 			return
 		}
-		if l.Active() {
+		if l.IsLeaving() {
 			w.Header().Set(wire.HeaderLeaving, "true")
 		}
 		if id := r.Header.Get(wire.HeaderRequestID); id != "" {
@@ -88,7 +88,7 @@
 
 // serve sets the leaving state (POST) and responds with the report. A POST without a body
 // starts leaving.
-func (l *Leaving) serve(w http.ResponseWriter, r *http.Request) {
+func (l *LeavingState) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		body := struct {
 			Leaving bool `json:"leaving"`
--- a/internal/standin/metastore/client.go
+++ b/internal/standin/metastore/client.go
@@ -14,20 +14,20 @@
 
 // Faults are the faults currently injected into a client's calls.
 type Faults struct {
-	Latency time.Duration // added to each call
-	Refuse  bool          // every call is refused
-	Cut     bool          // calls don't reach the store and time out
-	Reset   bool          // calls don't reach the store and fail at once with an unknown outcome
+	Latency     time.Duration // added to each call
+	Refuse      bool          // every call is refused
+	Unreachable bool          // calls don't reach the store and time out
+	Reset       bool          // calls don't reach the store and fail at once with an unknown outcome
 	// ReadDelay returns the time that a read of a partition is delayed, in addition to
 	// Latency.
 	ReadDelay func(topic string, part int) time.Duration
-	// LoseAnswer is called for each write and reports whether its response is lost. The
+	// LoseResponse is called for each write and reports whether its response is lost. The
 	// write is executed; the call times out.
-	LoseAnswer func() bool
-	// Late is called for each write and returns by how much it is delayed; 0: not at all.
+	LoseResponse func() bool
+	// DelayWrite is called for each write and returns by how much it is delayed; 0: not at all.
 	// A delayed write is executed at the end of the delay and never answered; the call
 	// times out.
-	Late func(topic string) time.Duration
+	DelayWrite func(topic string) time.Duration
 }
 
 // Client is one VM's connection to the store. It implements store.Log and
@@ -43,9 +43,9 @@
 
 // Calls counts the calls of a client, including the refused ones.
 type Calls struct {
-	Reads  int // reads of records and of newest records
-	Writes int
-	Joins  int // joins, leaves and queries of owners
+	Reads      int // reads of records and of newest records
+	Writes     int
+	Membership int // joins, leaves and queries of owners
 }
 
 // Calls returns the number of calls so far.
@@ -60,7 +60,7 @@
 	defer c.mu.Unlock()
 	c.calls.Reads += delta.Reads
 	c.calls.Writes += delta.Writes
-	c.calls.Joins += delta.Joins
+	c.calls.Membership += delta.Membership
 }
 
 // NewClient returns a client without faults.
@@ -83,7 +83,7 @@
 // returns the client's current faults, and an error if the call doesn't reach the store.
 func (c *Client) applyCallFaults(ctx context.Context) (Faults, error) {
 	f := c.currentFaults()
-	if f.Cut {
+	if f.Unreachable {
 		pause.For(ctx, c.timeout)
 		return f, fmt.Errorf("%w: injected timeout", store.ErrUnknown)
 	}
@@ -110,15 +110,15 @@
 	if !c.store.limiter.admitWrite(time.Now()) {
 		return 0, fmt.Errorf("%w: write rate limit exceeded", store.ErrNotDone)
 	}
-	if f.Late != nil {
-		if delay := f.Late(topic); delay > 0 {
+	if f.DelayWrite != nil {
+		if delay := f.DelayWrite(topic); delay > 0 {
 			time.AfterFunc(delay, func() { _, _ = execute() }) // nobody waits for the result
 			pause.For(ctx, c.timeout)
 			return 0, fmt.Errorf("%w: injected delay of the write", store.ErrUnknown)
 		}
 	}
 	offset, err := execute()
-	if f.LoseAnswer != nil && f.LoseAnswer() {
+	if f.LoseResponse != nil && f.LoseResponse() {
 		pause.For(ctx, c.timeout)
 		return 0, fmt.Errorf("%w: injected loss of the response", store.ErrUnknown)
 	}
@@ -209,7 +209,7 @@
 
 // Join implements store.Membership.
 func (c *Client) Join(ctx context.Context, group, member, _ string, ttl time.Duration, generation int64) (store.Assignment, error) {
-	c.addCalls(Calls{Joins: 1})
+	c.addCalls(Calls{Membership: 1})
 	if _, err := c.applyCallFaults(ctx); err != nil {
 		return store.Assignment{}, err
 	}
@@ -218,7 +218,7 @@
 
 // Owners implements store.Membership.
 func (c *Client) Owners(ctx context.Context, group string) ([]store.Owned, error) {
-	c.addCalls(Calls{Joins: 1})
+	c.addCalls(Calls{Membership: 1})
 	if _, err := c.applyCallFaults(ctx); err != nil {
 		return nil, err
 	}
@@ -227,7 +227,7 @@
 
 // Leave implements store.Membership.
 func (c *Client) Leave(ctx context.Context, group, member string) error {
-	c.addCalls(Calls{Joins: 1})
+	c.addCalls(Calls{Membership: 1})
 	if _, err := c.applyCallFaults(ctx); err != nil {
 		return err
 	}
--- a/internal/standin/metastore/rates.go
+++ b/internal/standin/metastore/rates.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Rates are the rate limits of a store, shared by all clients. 0: unlimited.
-type Rates struct {
-	ReadBytes int // bytes per second, over all reads; reads are transferred one after the other
-	Reads     int // calls per second; further calls are refused
-	Writes    int // calls per second; further calls are refused
+// RateLimits are the rate limits of a store, shared by all clients. 0: unlimited.
+type RateLimits struct {
+	ReadBytesPerSecond int // bytes per second, over all reads; reads are transferred one after the other
+	ReadsPerSecond     int // calls per second; further calls are refused
+	WritesPerSecond    int // calls per second; further calls are refused
 }
 
 // rateLimiter enforces a store's rate limits. It is safe for concurrent use.
 type rateLimiter struct {
 	mu           sync.Mutex
-	rates        Rates
+	rates        RateLimits
 	transfersEnd time.Time      // when the last transfer booked so far ends
 	windowStart  time.Time      // of the second in which reads and writes are counted
 	reads        int            // calls since windowStart
@@ -23,8 +23,8 @@
 	bytesRead    map[string]int // by topic, since the start
 }
 
-// SetRates replaces the store's rate limits.
-func (s *Store) SetRates(r Rates) {
+// SetRateLimits replaces the store's rate limits.
+func (s *Store) SetRateLimits(r RateLimits) {
 	s.limiter.mu.Lock()
 	defer s.limiter.mu.Unlock()
 	s.limiter.rates = r
@@ -47,13 +47,13 @@
 		l.bytesRead = map[string]int{}
 	}
 	l.bytesRead[topic] += bytes
-	if l.rates.ReadBytes == 0 {
+	if l.rates.ReadBytesPerSecond == 0 {
 		return 0
 	}
 	if now.After(l.transfersEnd) {
 		l.transfersEnd = now
 	}
-	l.transfersEnd = l.transfersEnd.Add(time.Duration(bytes) * time.Second / time.Duration(l.rates.ReadBytes))
+	l.transfersEnd = l.transfersEnd.Add(time.Duration(bytes) * time.Second / time.Duration(l.rates.ReadBytesPerSecond))
 	return l.transfersEnd.Sub(now)
 }
 
@@ -63,7 +63,7 @@
 	defer l.mu.Unlock()
 	l.rollWindowLocked(now)
 	l.reads++
-	return l.rates.Reads == 0 || l.reads <= l.rates.Reads
+	return l.rates.ReadsPerSecond == 0 || l.reads <= l.rates.ReadsPerSecond
 }
 
 // admitWrite counts a write and reports whether the rate limit allows it.
@@ -72,7 +72,7 @@
 	defer l.mu.Unlock()
 	l.rollWindowLocked(now)
 	l.writes++
-	return l.rates.Writes == 0 || l.writes <= l.rates.Writes
+	return l.rates.WritesPerSecond == 0 || l.writes <= l.rates.WritesPerSecond
 }
 
 // rollWindowLocked starts a new counting window if the current one is over. The caller
--- a/internal/standin/metastore/store.go
+++ b/internal/standin/metastore/store.go
@@ -306,9 +306,9 @@
 	}
 }
 
-// Redeal moves every partition of a group to another member immediately, although no
+// ForceRebalance moves every partition of a group to another member immediately, although no
 // member has released it.
-func (s *Store) Redeal(name string) {
+func (s *Store) ForceRebalance(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.groups[name]
--- a/internal/standin/scorer/scorer.go
+++ b/internal/standin/scorer/scorer.go
@@ -26,7 +26,7 @@
 type Scorer struct {
 	options Options
 	bootID  string // reported as LoadReport.BootID
-	leaving host.Leaving
+	leaving host.LeavingState
 	handler http.Handler
 
 	mu            sync.Mutex
@@ -76,7 +76,7 @@
 }
 
 func (s *Scorer) startScore(id string) {
-	s.leaving.Begin()
+	s.leaving.RecordStart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
@@ -94,7 +94,7 @@
 	s.mu.Lock()
 	running := s.running
 	s.mu.Unlock()
-	host.WriteJSON(w, http.StatusOK, wire.LoadReport{BootID: s.bootID, Running: running, Leaving: s.leaving.Active()})
+	host.WriteJSON(w, http.StatusOK, wire.LoadReport{BootID: s.bootID, Running: running, Leaving: s.leaving.IsLeaving()})
 }
 
 // Counts is the response to GET /counts. It counts executed requests.
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -17,12 +17,12 @@
 const (
 	// CountsPath is the path that serves Counts.
 	CountsPath = "/_standin/counts"
-	// HeaderCall is a checker's own id of a call, which is the same for all attempts.
-	HeaderCall = "X-Call"
-	// HeaderAttempt is a checker's own id of one attempt of a call.
-	HeaderAttempt = "X-Attempt"
-	// HeaderKey is the caller's idempotency key.
-	HeaderKey = "Idempotency-Key"
+	// HeaderCallID is a checker's own id of a call, which is the same for all attempts.
+	HeaderCallID = "X-Call"
+	// HeaderAttemptID is a checker's own id of one attempt of a call.
+	HeaderAttemptID = "X-Attempt"
+	// HeaderIdempotencyKey is the caller's idempotency key.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderEcho returns the request's "METHOD path?query" in the response.
 	HeaderEcho = "X-Echo"
 )
@@ -50,7 +50,7 @@
 type Service struct {
 	options Options
 	bootID  string // reported as LoadReport.BootID
-	leaving host.Leaving
+	leaving host.LeavingState
 	handler http.Handler
 
 	mu      sync.Mutex
@@ -116,7 +116,7 @@
 func (s *Service) load() wire.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return wire.LoadReport{BootID: s.bootID, Running: s.running, Leaving: s.leaving.Active()}
+	return wire.LoadReport{BootID: s.bootID, Running: s.running, Leaving: s.leaving.IsLeaving()}
 }
 
 // echo executes a request and responds with its body.
@@ -142,15 +142,15 @@
 
 // startExecution counts an execution and returns its duration.
 func (s *Service) startExecution(r *http.Request) time.Duration {
-	s.leaving.Begin()
+	s.leaving.RecordStart()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
 	s.counts.Total++
 	increment(s.counts.ByRequest, r.Header.Get(wire.HeaderRequestID))
-	increment(s.counts.ByKey, r.Header.Get(HeaderKey))
-	increment(s.counts.ByCall, r.Header.Get(HeaderCall))
-	increment(s.counts.ByAttempt, r.Header.Get(HeaderAttempt))
+	increment(s.counts.ByKey, r.Header.Get(HeaderIdempotencyKey))
+	increment(s.counts.ByCall, r.Header.Get(HeaderCallID))
+	increment(s.counts.ByAttempt, r.Header.Get(HeaderAttemptID))
 	factor := 1 + s.options.Slowdown*float64(s.running-1)
 	return time.Duration(float64(s.options.Latency) * factor)
 }
--- a/internal/standin/trainer/client.go
+++ b/internal/standin/trainer/client.go
@@ -128,7 +128,7 @@
 	call.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(call)
 	if err != nil {
-		c.balancer.Failed(daemon)
+		c.balancer.MarkDown(daemon)
 		return fmt.Errorf("trainer: %w", err)
 	}
 	defer response.Body.Close()
--- a/internal/standin/trainer/summary.go
+++ b/internal/standin/trainer/summary.go
@@ -89,7 +89,7 @@
 	}
 	if err == nil {
 		const unlimited = 1 << 30
-		err = answer.CheckWhole(prompt, sample.Completion, unlimited)
+		err = answer.CheckComplete(prompt, sample.Completion, unlimited)
 	}
 	if err == nil && sample.Prompt != prompt {
 		err = fmt.Errorf("prompt %q isn't the submitted one", sample.Prompt)
--- a/internal/standin/trainer/trainer_test.go
+++ b/internal/standin/trainer/trainer_test.go
@@ -79,7 +79,7 @@
 func makeGroup(number int, prompt string, version ident.Version) rollout.Group {
 	group := rollout.Group{Number: number}
 	for i := range groupSize {
-		n := answer.Wanted(prompt, 1000)
+		n := answer.CompletionLength(prompt, 1000)
 		text := answer.Text(prompt, int64(i), n, int64(version))
 		group.Samples = append(group.Samples, rollout.Sample{
 			Group: number, Index: i, Prompt: prompt, Completion: text,
