--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -17,7 +17,7 @@
 
 func newStore(d *settings.Daemon, log infra.Log, logger zerolog.Logger, o *ownership) *confsync.Store {
 	return confsync.New(log, logger, confsync.Options{
-		StartSpread:      startSpread,
+		StartJitter:      startSpread,
 		Retention:        config.Retention{Age: d.LogRetention},
 		IsSnapshotWriter: func() bool { _, self := o.Owner(snapshotKey); return self },
 	})
--- a/internal/app/keyed.go
+++ b/internal/app/keyed.go
@@ -18,7 +18,7 @@
 func newKeyed(d *settings.Daemon, log infra.Log, logger zerolog.Logger, o *ownership) *keyed.Service {
 	return keyed.New(keyed.Options{
 		Log: log, VM: d.VM, Logger: logger, Daemons: o.Daemons, OutcomeOf: outcomeOf,
-		StartSpread: startSpread,
+		StartJitter: startSpread,
 	})
 }
 
--- a/internal/app/weights.go
+++ b/internal/app/weights.go
@@ -24,7 +24,7 @@
 		Targets:     func() []weightsync.Target { return targets(conf.Current().Tree()) },
 		OnApplied:   disp.PollNow,
 		Configured:  func(name ident.Upstream) bool { return configured(conf.Current().Tree(), name) },
-		StartSpread: startSpread,
+		StartJitter: startSpread,
 	})
 }
 
--- a/internal/batch/blob.go
+++ b/internal/batch/blob.go
@@ -40,8 +40,8 @@
 	for name, value := range r.Header {
 		n += len(name) + len(value) + 6
 	}
-	if r.Reward != nil {
-		n += overheadBytes + len(r.Reward.ID) + len(r.Reward.Host) + len(r.Reward.Path) + len(r.Reward.Body)
+	if r.RewardCall != nil {
+		n += overheadBytes + len(r.RewardCall.ID) + len(r.RewardCall.Host) + len(r.RewardCall.Path) + len(r.RewardCall.Body)
 	}
 	return n
 }
@@ -57,10 +57,10 @@
 
 // RequestBlob returns the offset of the blob that holds an item's request, and the index of
 // the request in it. If there is none, the offset is math.MaxInt64.
-func (h Head) RequestBlob(item int) (offset int64, index int) {
+func (h Header) RequestBlob(item int) (offset int64, index int) {
 	for i, n := range h.RequestCounts {
 		if item < n {
-			return h.RequestsAt + int64(i), item
+			return h.RequestsOffset + int64(i), item
 		}
 		item -= n
 	}
@@ -98,15 +98,15 @@
 	return out
 }
 
-// Split returns the records that accept a batch, each of at most limit bytes.
-func Split(id, submissionID string, head Head, items []Item, limit int) []Accepted {
-	parts := []Accepted{{Batch: id, Copy: submissionID, Head: &head}}
+// SplitAccepted returns the records that accept a batch, each of at most limit bytes.
+func SplitAccepted(id, submissionID string, head Header, items []Item, limit int) []Accepted {
+	parts := []Accepted{{Batch: id, SubmissionID: submissionID, Header: &head}}
 	capacity := limit - len(head.Host) - len(head.Path) - len(head.Model) - 9*len(head.RequestCounts) - 2*overheadBytes
 	free := capacity
 	for _, item := range items {
-		size := overheadBytes + len(item.ID) + len(item.Group) + len(item.Reward)
+		size := overheadBytes + len(item.ID) + len(item.Group) + len(item.RewardCallID)
 		if size > free {
-			parts = append(parts, Accepted{Batch: id, Copy: submissionID})
+			parts = append(parts, Accepted{Batch: id, SubmissionID: submissionID})
 			free = capacity
 		}
 		last := &parts[len(parts)-1]
--- a/internal/batch/chains.go
+++ b/internal/batch/chains.go
@@ -29,18 +29,18 @@
 // add adds a segment and returns its node. It returns nil if the segment continues none of the
 // chains or was added before. inherited is the text that the sample inherited from an earlier
 // batch; only the first call uses it.
-func (c *segmentChains) add(inherited Text, link Link, segment Segment) *chainNode {
+func (c *segmentChains) add(inherited Text, link TextPosition, segment Segment) *chainNode {
 	if c.ends == nil {
 		c.ends = map[textEnd]*chainNode{{inherited.Writer, inherited.Events}: {inherited: inherited, events: inherited.Events, writer: inherited.Writer}}
 	}
-	previous := c.ends[textEnd{link.Writer, link.From}]
-	if previous == nil && link.From == link.Base {
-		previous = c.ends[textEnd{link.After, link.Base}]
+	previous := c.ends[textEnd{link.Writer, link.Events}]
+	if previous == nil && link.Events == link.BaseEvents {
+		previous = c.ends[textEnd{link.BaseWriter, link.BaseEvents}]
 	}
 	if previous == nil {
 		return nil
 	}
-	end := textEnd{link.Writer, link.From + segment.Events}
+	end := textEnd{link.Writer, link.Events + segment.Events}
 	if known := c.ends[end]; known != nil && segment.Events > 0 {
 		return nil // the record was read twice
 	}
--- a/internal/batch/estimate_test.go
+++ b/internal/batch/estimate_test.go
@@ -52,15 +52,15 @@
 // totalDelay simulates two steps of 40 samples on 24 slots, where the second step arrives one
 // second after the first. It returns the sum of the two steps' delays beyond their due times,
 // in seconds. compare orders the waiting samples.
-func totalDelay(seed uint64, compare func(a, b Waiting) int) float64 {
+func totalDelay(seed uint64, compare func(a, b WaitingSample) int) float64 {
 	l := workload{rand.New(rand.NewPCG(seed, 5))}
 	const slots, size, due = 24, 40, 7.5
-	var waiting []Waiting
+	var waiting []WaitingSample
 	var runs []float64
 	for step := range 2 {
 		r, estimates := l.samples(size)
 		for i := range r {
-			waiting = append(waiting, Waiting{Batch: string(rune('a' + step)), Index: len(runs) + i, Remaining: seconds(estimates[i]), Due: seconds(float64(step) + due)})
+			waiting = append(waiting, WaitingSample{Batch: string(rune('a' + step)), Index: len(runs) + i, Remaining: seconds(estimates[i]), Due: seconds(float64(step) + due)})
 		}
 		runs = append(runs, r...)
 	}
@@ -71,14 +71,14 @@
 		now := free[slot]
 		available := slices.Clone(waiting)
 		if now < 1 {
-			available = slices.DeleteFunc(available, func(w Waiting) bool { return w.Batch == "b" })
+			available = slices.DeleteFunc(available, func(w WaitingSample) bool { return w.Batch == "b" })
 		}
 		if len(available) == 0 {
 			free[slot] = 1
 			continue
 		}
 		next := slices.MinFunc(available, compare)
-		waiting = slices.DeleteFunc(waiting, func(w Waiting) bool { return w.Index == next.Index })
+		waiting = slices.DeleteFunc(waiting, func(w WaitingSample) bool { return w.Index == next.Index })
 		free[slot] = now + runs[next.Index]
 		ends[next.Batch] = max(ends[next.Batch], free[slot])
 	}
@@ -91,13 +91,13 @@
 // the order of latest starts they start together with the long samples of the earlier step.
 func TestLatestStartOrderOfTwoOpenSteps(t *testing.T) {
 	g := NewWithT(t)
-	byDue := func(a, b Waiting) int {
+	byDue := func(a, b WaitingSample) int {
 		if a.Due != b.Due {
 			return int(a.Due - b.Due)
 		}
 		return int(b.Remaining - a.Remaining)
 	}
-	byLatestStart := func(a, b Waiting) int { return int(a.latestStart() - b.latestStart()) }
+	byLatestStart := func(a, b WaitingSample) int { return int(a.latestStart() - b.latestStart()) }
 	dueDelay, latestStartDelay := 0.0, 0.0
 	const seeds = 200
 	for seed := range uint64(seeds) {
--- a/internal/batch/fold.go
+++ b/internal/batch/fold.go
@@ -36,7 +36,7 @@
 // pendingBatch holds the parts of a batch whose last part wasn't read yet.
 type pendingBatch struct {
 	submissionID string
-	head         *Head
+	head         *Header
 	items        []Item
 	nextPart     int // number of the part that must come next
 }
@@ -44,16 +44,16 @@
 // Batch is one accepted batch.
 type Batch struct {
 	ID string // key of the batch
-	Head
+	Header
 	Samples []Sample
 	Listed  []int // indices of the samples with a result, in the order of the results
 	Ended   bool  // the trainer needs no further results
-	// Seen is when this daemon read that the batch is accepted, on its own clock.
-	Seen time.Duration
-	// Since is this daemon's estimate of when the batch was accepted: when it read that, or
+	// ReadAt is when this daemon read that the batch is accepted, on its own clock.
+	ReadAt time.Duration
+	// AcceptedAt is this daemon's estimate of when the batch was accepted: when it read that, or
 	// earlier if the record was old by then. It is used to order samples but not to give any
 	// up, because the clocks of VMs may differ.
-	Since time.Duration
+	AcceptedAt time.Duration
 }
 
 // Sample is an item of a batch and the state of its run.
@@ -61,7 +61,7 @@
 	Item
 	State          State
 	Text           Text // the text kept so far
-	Whole          bool // Text is complete
+	TextComplete   bool // Text is complete
 	Failures       int  // how many responses of upstreams say that the sample failed
 	RewardFailures int  // how many responses of upstreams say that its reward call failed
 	// Score is the score of the result, or one that the same reward call returned for the
@@ -85,9 +85,9 @@
 // sample.
 func (s *Sample) Stage() Stage {
 	switch {
-	case !s.Whole:
+	case !s.TextComplete:
 		return Generating
-	case s.Reward != "" && s.Score == "":
+	case s.RewardCallID != "" && s.Score == "":
 		return Scoring
 	}
 	return Ready
@@ -100,9 +100,9 @@
 	Writer   string // of the last segment, "" if that comes from an earlier batch or there is none
 }
 
-// Closing reports whether the batch waits only for scores: too few groups are complete for
+// AwaitsScores reports whether the batch waits only for scores: too few groups are complete for
 // the trainer, and enough would be if the samples with complete text had their scores.
-func (b *Batch) Closing() bool {
+func (b *Batch) AwaitsScores() bool {
 	awaitingResult := map[string]bool{} // groups with a sample that isn't listed
 	generating := map[string]bool{}     // groups with a sample whose text isn't complete
 	groups := map[string]bool{}
@@ -130,7 +130,7 @@
 
 // VersionsAllowed reports whether a result of the batch may contain text by the weights
 // versions that generated this one.
-func (t Text) VersionsAllowed(head Head) bool {
+func (t Text) VersionsAllowed(head Header) bool {
 	first := int64(0)
 	for _, segment := range t.Segments {
 		for _, run := range segment.Versions {
@@ -174,11 +174,11 @@
 		return nil
 	}
 	p := f.pending[r.Batch]
-	if r.Part == 0 && r.Head != nil {
-		p = &pendingBatch{submissionID: r.Copy, head: r.Head}
+	if r.Part == 0 && r.Header != nil {
+		p = &pendingBatch{submissionID: r.SubmissionID, head: r.Header}
 		f.pending[r.Batch] = p
 	}
-	if p == nil || p.submissionID != r.Copy || p.nextPart != r.Part {
+	if p == nil || p.submissionID != r.SubmissionID || p.nextPart != r.Part {
 		return nil
 	}
 	p.items = append(p.items, r.Items...)
@@ -192,7 +192,7 @@
 
 // addBatch adds a batch whose parts were all read.
 func (f *Fold) addBatch(id string, p *pendingBatch, now time.Duration) *Batch {
-	b := &Batch{ID: id, Head: *p.head, Samples: make([]Sample, len(p.items)), Seen: now, Since: now}
+	b := &Batch{ID: id, Header: *p.head, Samples: make([]Sample, len(p.items)), ReadAt: now, AcceptedAt: now}
 	for i, item := range p.items {
 		b.Samples[i] = Sample{Item: item}
 		f.reuseText(b, &b.Samples[i])
@@ -213,13 +213,13 @@
 		return
 	}
 	earlier := &ref.batch.Samples[ref.index]
-	if !earlier.Text.VersionsAllowed(b.Head) {
+	if !earlier.Text.VersionsAllowed(b.Header) {
 		return
 	}
 	s.Text = earlier.Text.Clip()
 	s.Text.Writer = ""
-	s.Whole = earlier.Whole || earlier.State == Completed
-	if s.Whole && earlier.Reward == s.Reward {
+	s.TextComplete = earlier.TextComplete || earlier.State == Completed
+	if s.TextComplete && earlier.RewardCallID == s.RewardCallID {
 		s.Score = earlier.Score
 	}
 }
@@ -235,17 +235,17 @@
 
 func (f *Fold) applyProgress(r Progress) *Batch {
 	b, s := f.sample(r.Batch, r.Item)
-	if s == nil || s.State != Open || s.Whole {
+	if s == nil || s.State != Open || s.TextComplete {
 		return nil
 	}
-	node := s.chains.add(s.Text, r.Link, r.Segment)
+	node := s.chains.add(s.Text, r.Position, r.Segment)
 	if node == nil {
 		return nil
 	}
-	if r.Whole || node.events > s.Text.Events {
+	if r.TextComplete || node.events > s.Text.Events {
 		s.Text = node.text()
 	}
-	s.Whole = r.Whole
+	s.TextComplete = r.TextComplete
 	return b
 }
 
@@ -268,16 +268,16 @@
 // the score isn't one of the kept text.
 func (s *Sample) applyCompletion(r Result) bool {
 	switch {
-	case s.Reward != "":
+	case s.RewardCallID != "":
 		// Two owners may have generated two texts. The score of the one that wasn't kept
 		// doesn't belong to the kept text: its call may have begun before that one was
 		// complete.
-		if !s.Whole || r.Score == "" || !s.Text.endsWith(r.Link) {
+		if !s.TextComplete || r.Score == "" || !s.Text.endsWith(r.Position) {
 			return false
 		}
 		s.Score = r.Score
-	case !s.Whole:
-		node := s.chains.add(s.Text, r.Link, r.Segment)
+	case !s.TextComplete:
+		node := s.chains.add(s.Text, r.Position, r.Segment)
 		if node == nil {
 			return false
 		}
@@ -288,17 +288,17 @@
 
 // endsWith reports whether a position is the end of this text: as its writer names it, or as
 // an owner names it that resumed the text from the log.
-func (t Text) endsWith(link Link) bool {
-	return link.From == t.Events && (link.Writer == t.Writer || link.After == t.Writer && link.Base == link.From)
+func (t Text) endsWith(link TextPosition) bool {
+	return link.Events == t.Events && (link.Writer == t.Writer || link.BaseWriter == t.Writer && link.BaseEvents == link.Events)
 }
 
 func (f *Fold) applyFailed(r Failed) *Batch {
 	b, s := f.sample(r.Batch, r.Item)
-	if s == nil || s.State != Open || slices.Contains(s.failedAttempts, r.Attempt) {
+	if s == nil || s.State != Open || slices.Contains(s.failedAttempts, r.AttemptID) {
 		return nil
 	}
-	s.failedAttempts = append(s.failedAttempts, r.Attempt)
-	if r.Reward {
+	s.failedAttempts = append(s.failedAttempts, r.AttemptID)
+	if r.InRewardCall {
 		s.RewardFailures++
 	} else {
 		s.Failures++
@@ -319,7 +319,7 @@
 func (f *Fold) Get(id string) *Batch { return f.batches[id] }
 
 // Backdate sets the estimate of when the batch was accepted to age before it was read.
-func (b *Batch) Backdate(age time.Duration) { b.Since = b.Seen - age }
+func (b *Batch) Backdate(age time.Duration) { b.AcceptedAt = b.ReadAt - age }
 
 // Open returns the batches that need further results, in order of acceptance.
 func (f *Fold) Open() []*Batch {
@@ -341,7 +341,7 @@
 func (f *Fold) Forget(before time.Duration) {
 	kept := f.order[:0]
 	for _, b := range f.order {
-		if b.Seen >= before || (!b.Ended && len(b.Listed) < len(b.Samples)) {
+		if b.ReadAt >= before || (!b.Ended && len(b.Listed) < len(b.Samples)) {
 			kept = append(kept, b)
 			continue
 		}
--- a/internal/batch/fold_test.go
+++ b/internal/batch/fold_test.go
@@ -28,16 +28,16 @@
 		if a.Part == 0 {
 			clear(copies) // a submission replaces an earlier one that isn't complete
 			clear(next)
-			copies[a.Copy] = nil
-			next[a.Copy] = 0
+			copies[a.SubmissionID] = nil
+			next[a.SubmissionID] = 0
 		}
-		if want, begun := next[a.Copy]; !begun || want != a.Part {
+		if want, begun := next[a.SubmissionID]; !begun || want != a.Part {
 			continue
 		}
-		copies[a.Copy] = append(copies[a.Copy], a.Items...)
-		next[a.Copy]++
-		if next[a.Copy] == a.Parts {
-			return copies[a.Copy], i
+		copies[a.SubmissionID] = append(copies[a.SubmissionID], a.Items...)
+		next[a.SubmissionID]++
+		if next[a.SubmissionID] == a.Parts {
+			return copies[a.SubmissionID], i
 		}
 	}
 	return nil, -1
@@ -59,15 +59,15 @@
 	if from < 0 {
 		return out
 	}
-	scored := items[item].Reward != ""
+	scored := items[item].RewardCallID != ""
 	type textEnd struct {
 		writer string
 		events int
 	}
 	reached := []textEnd{{"", 0}}
-	extend := func(l Link, s Segment) bool {
-		to := textEnd{l.Writer, l.From + s.Events}
-		known := slices.Contains(reached, textEnd{l.Writer, l.From}) || l.From == l.Base && slices.Contains(reached, textEnd{l.After, l.Base})
+	extend := func(l TextPosition, s Segment) bool {
+		to := textEnd{l.Writer, l.Events + s.Events}
+		known := slices.Contains(reached, textEnd{l.Writer, l.Events}) || l.Events == l.BaseEvents && slices.Contains(reached, textEnd{l.BaseWriter, l.BaseEvents})
 		if !known || s.Events > 0 && slices.Contains(reached, to) {
 			return false
 		}
@@ -77,19 +77,19 @@
 	for _, r := range n.records[from+1:] {
 		switch r := r.(type) {
 		case Progress:
-			if r.Batch != id || r.Item != item || out.Whole || !extend(r.Link, r.Segment) {
+			if r.Batch != id || r.Item != item || out.Whole || !extend(r.Position, r.Segment) {
 				continue
 			}
-			if events := r.Link.From + r.Segment.Events; r.Whole || events > out.Events {
-				out.Events, out.Writer = events, r.Link.Writer
+			if events := r.Position.Events + r.Segment.Events; r.TextComplete || events > out.Events {
+				out.Events, out.Writer = events, r.Position.Writer
 			}
-			out.Whole = r.Whole
+			out.Whole = r.TextComplete
 		case Result:
-			here := r.Link.From == out.Events && (r.Link.Writer == out.Writer || r.Link.After == out.Writer && r.Link.Base == r.Link.From)
+			here := r.Position.Events == out.Events && (r.Position.Writer == out.Writer || r.Position.BaseWriter == out.Writer && r.Position.BaseEvents == r.Position.Events)
 			switch {
 			case r.Batch != id || r.Item != item:
-			case r.State == Dead:
-				out.State = Dead
+			case r.State == GivenUp:
+				out.State = GivenUp
 				return out
 			case scored && out.Whole && r.Score != "" && here:
 				out.State, out.Score = Completed, r.Score
@@ -97,8 +97,8 @@
 			case !scored && out.Whole:
 				out.State = Completed
 				return out
-			case !scored && extend(r.Link, r.Segment):
-				out.Events, out.Writer, out.State = r.Link.From+r.Segment.Events, r.Link.Writer, Completed
+			case !scored && extend(r.Position, r.Segment):
+				out.Events, out.Writer, out.State = r.Position.Events+r.Segment.Events, r.Position.Writer, Completed
 				return out
 			}
 		}
@@ -116,27 +116,27 @@
 		id := fmt.Sprint("b", random.IntN(3))
 		item := random.IntN(4)
 		writer := writers[random.IntN(2)]
-		link := Link{From: random.IntN(4), Writer: writer}
+		link := TextPosition{Events: random.IntN(4), Writer: writer}
 		switch random.IntN(3) {
 		case 0:
-			link.After, link.Base = writers[random.IntN(2)], link.From
+			link.BaseWriter, link.BaseEvents = writers[random.IntN(2)], link.Events
 		case 1:
-			link.After, link.Base = "", random.IntN(2)
+			link.BaseWriter, link.BaseEvents = "", random.IntN(2)
 		}
-		segment := Segment{At: int64(len(out)), Events: random.IntN(3), Versions: []VersionRun{{Version: 1, Events: 1}}}
+		segment := Segment{Offset: int64(len(out)), Events: random.IntN(3), Versions: []VersionRun{{Version: 1, Events: 1}}}
 		switch random.IntN(9) {
 		case 0, 1:
 			out = append(out, randomAccepted(random, id)...)
 		case 2, 3, 4, 5:
 			kept[id] += segment.Events
-			out = append(out, Progress{Batch: id, Item: item, Link: link, Segment: segment, Whole: random.IntN(8) == 0})
+			out = append(out, Progress{Batch: id, Item: item, Position: link, Segment: segment, TextComplete: random.IntN(8) == 0})
 		case 6:
-			out = append(out, Result{Batch: id, Item: item, State: Completed, Link: link, Segment: segment, Score: []string{"", fmt.Sprint("score", len(out))}[random.IntN(2)]})
+			out = append(out, Result{Batch: id, Item: item, State: Completed, Position: link, Segment: segment, Score: []string{"", fmt.Sprint("score", len(out))}[random.IntN(2)]})
 		case 7:
-			out = append(out, Failed{Batch: id, Item: item, Attempt: fmt.Sprint(random.IntN(5))})
+			out = append(out, Failed{Batch: id, Item: item, AttemptID: fmt.Sprint(random.IntN(5))})
 		case 8:
 			if random.IntN(8) == 0 {
-				out = append(out, Result{Batch: id, Item: item, State: Dead})
+				out = append(out, Result{Batch: id, Item: item, State: GivenUp})
 			}
 		}
 	}
@@ -147,17 +147,17 @@
 // missing, as if the log had lost it.
 func randomAccepted(random *rand.Rand, id string) []any {
 	copyID := fmt.Sprint(random.IntN(1000))
-	head := Head{Model: "m", MaxAttempts: 3}
+	head := Header{Model: "m", MaxAttempts: 3}
 	items := make([]Item, 4)
 	for i := range items {
 		items[i].ID = fmt.Sprint(id, "-", i)
 		if i%2 == 1 {
-			items[i].Reward = "reward of " + items[i].ID
+			items[i].RewardCallID = "reward of " + items[i].ID
 		}
 	}
 	parts := []any{
-		Accepted{Batch: id, Copy: copyID, Part: 0, Parts: 2, Head: &head, Items: items[:2]},
-		Accepted{Batch: id, Copy: copyID, Part: 1, Parts: 2, Items: items[2:]},
+		Accepted{Batch: id, SubmissionID: copyID, Part: 0, Parts: 2, Header: &head, Items: items[:2]},
+		Accepted{Batch: id, SubmissionID: copyID, Part: 1, Parts: 2, Items: items[2:]},
 	}
 	return parts[:1+random.IntN(2)]
 }
@@ -181,7 +181,7 @@
 			for i := range items {
 				want := reference.sample(id, i)
 				s := b.Samples[i]
-				got := referenceSample{s.Text.Events, s.Text.Writer, s.State, s.Whole, s.Score}
+				got := referenceSample{s.Text.Events, s.Text.Writer, s.State, s.TextComplete, s.Score}
 				g.Expect(got).To(Equal(want), "seed %d %s item %d", seed, id, i)
 				g.Expect(slices.Contains(b.Listed, i)).To(Equal(want.State != Open))
 			}
@@ -189,20 +189,20 @@
 	}
 }
 
-func acceptBatch(f *Fold, id string, h Head, ids ...string) *Batch {
+func acceptBatch(f *Fold, id string, h Header, ids ...string) *Batch {
 	var items []Item
 	for _, i := range ids {
 		items = append(items, Item{ID: i})
 	}
-	for _, part := range Split(id, "c", h, items, 4096) {
+	for _, part := range SplitAccepted(id, "c", h, items, 4096) {
 		f.Apply(part, 0)
 	}
 	return f.Get(id)
 }
 
 func progress(batch string, item, from, events int, version int64) Progress {
-	return Progress{Batch: batch, Item: item, Link: Link{From: from, Writer: "w"},
-		Segment: Segment{At: int64(from), Events: events, Versions: []VersionRun{{Version: version, Events: events}}}}
+	return Progress{Batch: batch, Item: item, Position: TextPosition{Events: from, Writer: "w"},
+		Segment: Segment{Offset: int64(from), Events: events, Versions: []VersionRun{{Version: version, Events: events}}}}
 }
 
 // Samples that a step left unfinished are submitted again with the next step. Text by weights
@@ -210,17 +210,17 @@
 func TestReusedTextHasAllowedVersions(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	acceptBatch(f, "one", Head{Model: "m", MinVersion: 1}, "fresh", "old", "done")
+	acceptBatch(f, "one", Header{Model: "m", MinVersion: 1}, "fresh", "old", "done")
 	f.Apply(progress("one", 0, 0, 2, 2), 0)
 	f.Apply(progress("one", 1, 0, 2, 1), 0)
-	f.Apply(Result{Batch: "one", Item: 2, State: Completed, Link: Link{Writer: "w"}, Segment: Segment{At: 9, Events: 3, Versions: []VersionRun{{Version: 2, Events: 3}}}}, 0)
-	b := acceptBatch(f, "two", Head{Model: "m", MinVersion: 2}, "fresh", "old", "done")
+	f.Apply(Result{Batch: "one", Item: 2, State: Completed, Position: TextPosition{Writer: "w"}, Segment: Segment{Offset: 9, Events: 3, Versions: []VersionRun{{Version: 2, Events: 3}}}}, 0)
+	b := acceptBatch(f, "two", Header{Model: "m", MinVersion: 2}, "fresh", "old", "done")
 	g.Expect(b.Samples[0].Text.Events).To(Equal(2))
 	g.Expect(b.Samples[1].Text.Events).To(BeZero())
-	g.Expect(b.Samples[2].Whole).To(BeTrue())
+	g.Expect(b.Samples[2].TextComplete).To(BeTrue())
 	f.Apply(progress("one", 0, 2, 1, 2), 0)
 	g.Expect(b.Samples[0].Text.Events).To(Equal(2), "progress in the earlier batch doesn't change the later one")
-	other := acceptBatch(f, "three", Head{Model: "other"}, "fresh")
+	other := acceptBatch(f, "three", Header{Model: "other"}, "fresh")
 	g.Expect(other.Samples[0].Text.Events).To(BeZero())
 }
 
@@ -230,19 +230,19 @@
 func TestDuplicateFailureRecordCountsOnce(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	b := acceptBatch(f, "b", Head{MaxAttempts: 2}, "s")
-	f.Apply(Failed{Batch: "b", Item: 0, Attempt: "x"}, 0)
-	f.Apply(Failed{Batch: "b", Item: 0, Attempt: "x"}, 0)
+	b := acceptBatch(f, "b", Header{MaxAttempts: 2}, "s")
+	f.Apply(Failed{Batch: "b", Item: 0, AttemptID: "x"}, 0)
+	f.Apply(Failed{Batch: "b", Item: 0, AttemptID: "x"}, 0)
 	g.Expect(b.Samples[0].Failures).To(Equal(1))
-	f.Apply(Failed{Batch: "b", Item: 0, Attempt: "y"}, 0)
+	f.Apply(Failed{Batch: "b", Item: 0, AttemptID: "y"}, 0)
 	g.Expect(b.Samples[0].Failures).To(Equal(2))
 }
 
 func TestForgetKeepsOpenBatches(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	acceptBatch(f, "open", Head{}, "s1")
-	acceptBatch(f, "over", Head{}, "s2")
+	acceptBatch(f, "open", Header{}, "s1")
+	acceptBatch(f, "over", Header{}, "s2")
 	f.Apply(Ended{Batch: "over"}, 0)
 	f.Forget(time.Second)
 	g.Expect(f.Get("open")).NotTo(BeNil())
@@ -252,11 +252,11 @@
 
 func TestRecordsRoundTrip(t *testing.T) {
 	for _, r := range []any{
-		Accepted{Batch: "b", Copy: "c", Parts: 1, Head: &Head{Host: "h", Model: "m", RequestCounts: []int{1}}, Items: []Item{{ID: "i", Group: "g", Expected: 3, Reward: "r"}}},
+		Accepted{Batch: "b", SubmissionID: "c", Parts: 1, Header: &Header{Host: "h", Model: "m", RequestCounts: []int{1}}, Items: []Item{{ID: "i", Group: "g", ExpectedTokens: 3, RewardCallID: "r"}}},
 		progress("b", 1, 2, 3, 4),
-		Result{Batch: "b", Item: 1, State: Completed, Link: Link{From: 1, Writer: "w", After: "v", Base: 1}, Segment: Segment{At: 2, Events: 1, Versions: []VersionRun{{1, 1}}}},
-		Result{Batch: "b", Item: 1, State: Completed, Link: Link{From: 1, Writer: "w"}, Segment: Segment{At: -1}, Score: "s"},
-		Failed{Batch: "b", Item: 2, Attempt: "a", Reward: true},
+		Result{Batch: "b", Item: 1, State: Completed, Position: TextPosition{Events: 1, Writer: "w", BaseWriter: "v", BaseEvents: 1}, Segment: Segment{Offset: 2, Events: 1, Versions: []VersionRun{{1, 1}}}},
+		Result{Batch: "b", Item: 1, State: Completed, Position: TextPosition{Events: 1, Writer: "w"}, Segment: Segment{Offset: -1}, Score: "s"},
+		Failed{Batch: "b", Item: 2, AttemptID: "a", InRewardCall: true},
 		Ended{Batch: "b"},
 		Loaded{Engine: "e", Model: "m", Version: 3, Started: 7},
 	} {
@@ -288,7 +288,7 @@
 			return
 		}
 		fold := NewFold()
-		acceptBatch(fold, "b", Head{}, "s")
+		acceptBatch(fold, "b", Header{}, "s")
 		fold.Apply(record, 0) // every record that can be decoded can be applied
 	})
 }
@@ -302,7 +302,7 @@
 	blobs, counts, err := PackRequests(requests, 2000)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(blobs)).To(BeNumerically(">", 3))
-	head := Head{RequestsAt: 7, RequestCounts: counts}
+	head := Header{RequestsOffset: 7, RequestCounts: counts}
 	for n := range requests {
 		at, index := head.RequestBlob(n)
 		got, err := UnpackRequests(blobs[at-7])
@@ -315,7 +315,7 @@
 }
 
 func completeText(batch string, item, events int, writer string) Progress {
-	return Progress{Batch: batch, Item: item, Link: Link{Writer: writer}, Whole: true,
+	return Progress{Batch: batch, Item: item, Position: TextPosition{Writer: writer}, TextComplete: true,
 		Segment: Segment{Events: events, Versions: []VersionRun{{Version: 1, Events: events}}}}
 }
 
@@ -328,22 +328,22 @@
 	f := NewFold()
 	var items []Item
 	for _, id := range []string{"s0", "s1"} {
-		items = append(items, Item{ID: id, Reward: "reward of " + id})
+		items = append(items, Item{ID: id, RewardCallID: "reward of " + id})
 	}
-	for _, part := range Split("b", "c", Head{Model: "m"}, items, 4096) {
+	for _, part := range SplitAccepted("b", "c", Header{Model: "m"}, items, 4096) {
 		f.Apply(part, 0)
 	}
 	s := &f.Get("b").Samples[0]
-	link := Link{From: 3, Writer: "mine"}
-	f.Apply(Result{Batch: "b", State: Completed, Link: link, Score: "early"}, 0)
+	link := TextPosition{Events: 3, Writer: "mine"}
+	f.Apply(Result{Batch: "b", State: Completed, Position: link, Score: "early"}, 0)
 	g.Expect(s.State).To(Equal(Open), "no text is kept yet")
 	f.Apply(completeText("b", 0, 3, "other"), 0)
 	g.Expect(s.Stage()).To(Equal(Scoring))
-	f.Apply(Result{Batch: "b", State: Completed, Link: link, Score: "of another text"}, 0)
+	f.Apply(Result{Batch: "b", State: Completed, Position: link, Score: "of another text"}, 0)
 	g.Expect(s.State).To(Equal(Open))
-	f.Apply(Result{Batch: "b", State: Completed, Link: Link{From: 3, Writer: "other"}}, 0)
+	f.Apply(Result{Batch: "b", State: Completed, Position: TextPosition{Events: 3, Writer: "other"}}, 0)
 	g.Expect(s.State).To(Equal(Open), "a result without a score")
-	f.Apply(Result{Batch: "b", State: Completed, Link: Link{From: 3, Writer: "next", After: "other", Base: 3}, Score: "right"}, 0)
+	f.Apply(Result{Batch: "b", State: Completed, Position: TextPosition{Events: 3, Writer: "next", BaseWriter: "other", BaseEvents: 3}, Score: "right"}, 0)
 	g.Expect(s.State).To(Equal(Completed))
 	g.Expect(s.Score).To(Equal("right"))
 }
@@ -355,7 +355,7 @@
 	g := NewWithT(t)
 	f := NewFold()
 	acceptWithReward := func(id, reward string) *Sample {
-		for _, part := range Split(id, "c", Head{Model: "m"}, []Item{{ID: "s", Reward: reward}}, 4096) {
+		for _, part := range SplitAccepted(id, "c", Header{Model: "m"}, []Item{{ID: "s", RewardCallID: reward}}, 4096) {
 			f.Apply(part, 0)
 		}
 		return &f.Get(id).Samples[0]
@@ -363,7 +363,7 @@
 	acceptWithReward("b1", "r1")
 	f.Apply(completeText("b1", 0, 2, "w"), 0)
 	g.Expect(acceptWithReward("b2", "r1").Stage()).To(Equal(Scoring), "the text is reused, it has no score yet")
-	f.Apply(Result{Batch: "b2", State: Completed, Link: Link{From: 2, Writer: "v", Base: 2}, Score: "x"}, 0)
+	f.Apply(Result{Batch: "b2", State: Completed, Position: TextPosition{Events: 2, Writer: "v", BaseEvents: 2}, Score: "x"}, 0)
 	g.Expect(f.Get("b2").Samples[0].State).To(Equal(Completed))
 	third := acceptWithReward("b3", "r1")
 	g.Expect(third.Stage()).To(Equal(Ready))
@@ -386,7 +386,7 @@
 	record, err := Decode(append([]byte{byte(kindResult)}, data...))
 	g.Expect(err).NotTo(HaveOccurred())
 	f := NewFold()
-	b := acceptBatch(f, "b", Head{Model: "m"}, "s")
+	b := acceptBatch(f, "b", Header{Model: "m"}, "s")
 	f.Apply(record, 0)
 	g.Expect(b.Samples[0].State).To(Equal(Completed))
 }
@@ -398,11 +398,11 @@
 func TestFirstCompleteTextCounts(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFold()
-	b := acceptBatch(f, "b", Head{Model: "m"}, "s")
+	b := acceptBatch(f, "b", Header{Model: "m"}, "s")
 	s := &b.Samples[0]
 	segment := func(writer string, from, events int) Progress {
-		return Progress{Batch: "b", Link: Link{From: from, Writer: writer},
-			Segment: Segment{At: int64(100*from + len(writer)), Events: events, Versions: []VersionRun{{Version: 1, Events: events}}}}
+		return Progress{Batch: "b", Position: TextPosition{Events: from, Writer: writer},
+			Segment: Segment{Offset: int64(100*from + len(writer)), Events: events, Versions: []VersionRun{{Version: 1, Events: events}}}}
 	}
 	f.Apply(segment("next", 0, 3), 0)
 	f.Apply(segment("last-owner", 0, 8), 0)
@@ -410,13 +410,13 @@
 	f.Apply(segment("next", 3, 4), 0)
 	g.Expect(f.Apply(segment("next", 3, 4), 0)).To(BeNil(), "a duplicate record")
 	g.Expect(s.Text.Events).To(Equal(8))
-	f.Apply(Progress{Batch: "b", Link: Link{From: 8, Writer: "third", After: "last-owner", Base: 8}, Segment: Segment{At: 1, Events: 1}}, 0)
+	f.Apply(Progress{Batch: "b", Position: TextPosition{Events: 8, Writer: "third", BaseWriter: "last-owner", BaseEvents: 8}, Segment: Segment{Offset: 1, Events: 1}}, 0)
 	g.Expect(s.Text.Events).To(Equal(9))
-	f.Apply(Result{Batch: "b", State: Completed, Link: Link{From: 7, Writer: "next"}, Segment: Segment{At: 2, Events: 5}}, 0)
+	f.Apply(Result{Batch: "b", State: Completed, Position: TextPosition{Events: 7, Writer: "next"}, Segment: Segment{Offset: 2, Events: 5}}, 0)
 	g.Expect(s.State).To(Equal(Completed))
 	g.Expect(s.Text.Events).To(Equal(12))
 	g.Expect(s.Text.Segments).To(HaveLen(3))
-	g.Expect([]int64{s.Text.Segments[0].At, s.Text.Segments[1].At, s.Text.Segments[2].At}).To(Equal([]int64{4, 304, 2}))
+	g.Expect([]int64{s.Text.Segments[0].Offset, s.Text.Segments[1].Offset, s.Text.Segments[2].Offset}).To(Equal([]int64{4, 304, 2}))
 }
 
 // Two customers use the same sample ID. The text of one customer's sample must not appear in
@@ -429,10 +429,10 @@
 		g := NewWithT(t)
 		f := NewFold()
 		accept := func(id, customer string) {
-			f.Apply(Accepted{Batch: Key(customer, id), Parts: 1, Head: &Head{Model: "m", Customer: customer}, Items: []Item{{ID: "s"}}}, 0)
+			f.Apply(Accepted{Batch: Key(customer, id), Parts: 1, Header: &Header{Model: "m", Customer: customer}, Items: []Item{{ID: "s"}}}, 0)
 		}
 		accept("first", "a")
-		f.Apply(Progress{Batch: Key("a", "first"), Link: Link{Writer: "w"}, Segment: Segment{Events: 3}}, 0)
+		f.Apply(Progress{Batch: Key("a", "first"), Position: TextPosition{Writer: "w"}, Segment: Segment{Events: 3}}, 0)
 		accept("second", c.customer)
 		g.Expect(f.Get(Key(c.customer, "second")).Samples[0].Text.Events).To(Equal(c.events), "customer %s", c.customer)
 	}
--- a/internal/batch/record.go
+++ b/internal/batch/record.go
@@ -38,17 +38,17 @@
 // last part.
 type Accepted struct {
 	Batch string `cbor:"1,keyasint"` // Key of the batch, as in all records
-	// Copy is a unique ID of the submission. It keeps the parts of a batch that is submitted
+	// SubmissionID is a unique ID of the submission. It keeps the parts of a batch that is submitted
 	// twice apart.
-	Copy  string `cbor:"2,keyasint"`
-	Part  int    `cbor:"3,keyasint"`           // number of this part, from 0
-	Parts int    `cbor:"4,keyasint"`           // how many parts the batch has
-	Head  *Head  `cbor:"5,keyasint,omitempty"` // only in part 0
-	Items []Item `cbor:"6,keyasint"`
+	SubmissionID string  `cbor:"2,keyasint"`
+	Part         int     `cbor:"3,keyasint"`           // number of this part, from 0
+	Parts        int     `cbor:"4,keyasint"`           // how many parts the batch has
+	Header       *Header `cbor:"5,keyasint,omitempty"` // only in part 0
+	Items        []Item  `cbor:"6,keyasint"`
 }
 
-// Head holds what all samples of a batch have in common.
-type Head struct {
+// Header holds what all samples of a batch have in common.
+type Header struct {
 	Host       string `cbor:"1,keyasint"` // that the batch was submitted to
 	Path       string `cbor:"2,keyasint"` // that the batch was submitted to
 	Model      string `cbor:"3,keyasint"`
@@ -60,8 +60,8 @@
 	MaxAttempts   int   `cbor:"8,keyasint"`           // failed attempts after which a sample is given up
 	RetentionMS   int64 `cbor:"9,keyasint"`           // a sample may be given up this long after acceptance
 	TargetMS      int64 `cbor:"10,keyasint"`          // the batch should be complete this long after acceptance
-	// RequestsAt is the offset of the first of the consecutive blobs with the requests.
-	RequestsAt int64 `cbor:"11,keyasint"`
+	// RequestsOffset is the offset of the first of the consecutive blobs with the requests.
+	RequestsOffset int64 `cbor:"11,keyasint"`
 	// RequestCounts holds the number of requests in each of these blobs.
 	RequestCounts []int `cbor:"12,keyasint"`
 	// Customer is the customer that the batch belongs to, "" if callers have none.
@@ -88,10 +88,10 @@
 type Item struct {
 	ID    string `cbor:"1,keyasint"`
 	Group string `cbor:"2,keyasint"` // ID of its group, which is complete once all its samples have a result
-	// Expected is the caller's estimate of how many tokens will be generated, 0 if unknown.
-	Expected int `cbor:"3,keyasint,omitempty"`
-	// Reward is the ID of the call that scores the text, "" for a sample without a score.
-	Reward string `cbor:"4,keyasint,omitempty"`
+	// ExpectedTokens is the caller's estimate of how many tokens will be generated, 0 if unknown.
+	ExpectedTokens int `cbor:"3,keyasint,omitempty"`
+	// RewardCallID is the ID of the call that scores the text, "" for a sample without a score.
+	RewardCallID string `cbor:"4,keyasint,omitempty"`
 }
 
 // Request is the request to an engine that generates a sample.
@@ -99,8 +99,8 @@
 	Path   string            `cbor:"1,keyasint"`
 	Header map[string]string `cbor:"2,keyasint"`
 	Body   []byte            `cbor:"3,keyasint"`
-	// Reward is the call that scores the text, nil for a sample without a score.
-	Reward *RewardCall `cbor:"4,keyasint,omitempty"`
+	// RewardCall is the call that scores the text, nil for a sample without a score.
+	RewardCall *RewardCall `cbor:"4,keyasint,omitempty"`
 }
 
 // RewardCall is the call that scores a sample. It is made when the sample's text is
@@ -120,7 +120,7 @@
 
 // Segment is a run of consecutive events of a sample's text, stored in one blob.
 type Segment struct {
-	At     int64 `cbor:"1,keyasint"` // offset of the blob, -1 if the segment has no events
+	Offset int64 `cbor:"1,keyasint"` // offset of the blob, -1 if the segment has no events
 	Events int   `cbor:"2,keyasint"` // number of events
 	// Versions are the weights versions that generated the events, in order.
 	Versions []VersionRun `cbor:"3,keyasint"`
@@ -132,30 +132,30 @@
 	Events  int   `cbor:"2,keyasint"` // number of events
 }
 
-// Link is the position in a sample's text at which a segment continues it. The number of
+// TextPosition is the position in a sample's text at which a segment continues it. The number of
 // events alone doesn't identify it, since two owners that run the same sample generate
 // different texts, so it also names the writer: one owner's work on the sample. A segment
 // counts only if the text before the position is in the log, by the same writer or, for a
 // writer's first segment, by the one whose text it resumed.
-type Link struct {
-	From   int    `cbor:"1,keyasint"` // number of events before the position
+type TextPosition struct {
+	Events int    `cbor:"1,keyasint"` // number of events before the position
 	Writer string `cbor:"2,keyasint"` // unique ID of one owner's work on the sample
-	// After is the writer of the text that Writer resumed.
-	After string `cbor:"3,keyasint,omitempty"`
-	// Base is the number of events of the text that Writer resumed.
-	Base int `cbor:"4,keyasint,omitempty"`
+	// BaseWriter is the writer of the text that Writer resumed.
+	BaseWriter string `cbor:"3,keyasint,omitempty"`
+	// BaseEvents is the number of events of the text that Writer resumed.
+	BaseEvents int `cbor:"4,keyasint,omitempty"`
 }
 
 // Progress appends a segment to a sample's unfinished text, so that another owner can
 // resume from its end.
 type Progress struct {
-	Batch   string  `cbor:"1,keyasint"`
-	Item    int     `cbor:"2,keyasint"` // index of the sample in the batch
-	Link    Link    `cbor:"3,keyasint"`
-	Segment Segment `cbor:"4,keyasint"`
-	// Whole says that the text is complete with this segment. It is set for samples that are
+	Batch    string       `cbor:"1,keyasint"`
+	Item     int          `cbor:"2,keyasint"` // index of the sample in the batch
+	Position TextPosition `cbor:"3,keyasint"`
+	Segment  Segment      `cbor:"4,keyasint"`
+	// TextComplete says that the text is complete with this segment. It is set for samples that are
 	// scored next, so that the next owner doesn't generate the text again.
-	Whole bool `cbor:"5,keyasint,omitempty"`
+	TextComplete bool `cbor:"5,keyasint,omitempty"`
 }
 
 // State says whether a sample has a result, and which.
@@ -165,29 +165,29 @@
 const (
 	Open      State = iota // no result yet
 	Completed              // its text, and its score if it has a reward call, are complete
-	Dead                   // given up
+	GivenUp                // given up
 )
 
 // Result is the result of a sample. The first one in the log's order counts. For a sample
 // without a score, it holds the last segment of the text. The text of a sample with a score is
 // complete before, and the result names the end of the text that was scored.
 type Result struct {
-	Batch   string  `cbor:"1,keyasint"`
-	Item    int     `cbor:"2,keyasint"` // index of the sample in the batch
-	State   State   `cbor:"3,keyasint"` // not Open
-	Link    Link    `cbor:"4,keyasint,omitempty"`
-	Segment Segment `cbor:"5,keyasint,omitempty"`
-	Score   string  `cbor:"6,keyasint,omitempty"`
+	Batch    string       `cbor:"1,keyasint"`
+	Item     int          `cbor:"2,keyasint"` // index of the sample in the batch
+	State    State        `cbor:"3,keyasint"` // not Open
+	Position TextPosition `cbor:"4,keyasint,omitempty"`
+	Segment  Segment      `cbor:"5,keyasint,omitempty"`
+	Score    string       `cbor:"6,keyasint,omitempty"`
 }
 
 // Failed records a response of an upstream that says that a sample, or its reward call, failed.
 type Failed struct {
 	Batch string `cbor:"1,keyasint"`
 	Item  int    `cbor:"2,keyasint"` // index of the sample in the batch
-	// Attempt is a unique ID of the attempt, so that a record that was appended twice counts
+	// AttemptID is a unique ID of the attempt, so that a record that was appended twice counts
 	// once.
-	Attempt string `cbor:"3,keyasint"`
-	Reward  bool   `cbor:"4,keyasint,omitempty"` // the reward call failed, not the sample
+	AttemptID    string `cbor:"3,keyasint"`
+	InRewardCall bool   `cbor:"4,keyasint,omitempty"` // the reward call failed, not the sample
 }
 
 // Ended says that the trainer needs no further results of the batch.
--- a/internal/batch/slow.go
+++ b/internal/batch/slow.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pace is the mean gap between two events of a sample on one engine.
-type Pace struct {
+// EngineGap is the mean gap between two events of a sample on one engine.
+type EngineGap struct {
 	Engine string        // ID
 	Gap    time.Duration // 0 if not known at present
 }
@@ -16,9 +16,9 @@
 // and more.
 const slowFactor = 2.0
 
-// Slow returns the IDs of the engines that are much slower than the median. With fewer than
+// SlowEngines returns the IDs of the engines that are much slower than the median. With fewer than
 // two known gaps there are none.
-func Slow(gaps []Pace) []string {
+func SlowEngines(gaps []EngineGap) []string {
 	median := medianGap(gaps)
 	var out []string
 	for _, g := range gaps {
@@ -29,9 +29,9 @@
 	return out
 }
 
-// Relative returns each engine's gap relative to the median, by engine ID, so that
+// RelativeGaps returns each engine's gap relative to the median, by engine ID, so that
 // a lookup gives 0 for an engine whose gap isn't known. The gaps must be those at equal load.
-func Relative(gaps []Pace) map[string]float64 {
+func RelativeGaps(gaps []EngineGap) map[string]float64 {
 	out := map[string]float64{}
 	median := medianGap(gaps)
 	for _, p := range gaps {
@@ -43,7 +43,7 @@
 }
 
 // medianGap returns the lower median of the known gaps, 0 if none is known.
-func medianGap(gaps []Pace) time.Duration {
+func medianGap(gaps []EngineGap) time.Duration {
 	var known []time.Duration
 	for _, p := range gaps {
 		if p.Gap > 0 {
--- a/internal/batchpeer/batchpeer_test.go
+++ b/internal/batchpeer/batchpeer_test.go
@@ -86,10 +86,10 @@
 	g := NewWithT(t)
 	listing := batchrun.Listing{Partition: 23, Total: 9, Blobs: map[int64][]byte{4: []byte(strings.Repeat("text", 200_000))}, Samples: []batch.Sample{
 		{Item: batch.Item{ID: "s1"}, State: batch.Completed, Score: "sig", Text: batch.Text{Segments: []batch.Segment{
-			{At: 4, Events: 3, Versions: []batch.VersionRun{{Version: 1, Events: 2}, {Version: 2, Events: 1}}},
-			{At: 9, Events: 1, Versions: []batch.VersionRun{{Version: 2, Events: 1}}},
+			{Offset: 4, Events: 3, Versions: []batch.VersionRun{{Version: 1, Events: 2}, {Version: 2, Events: 1}}},
+			{Offset: 9, Events: 1, Versions: []batch.VersionRun{{Version: 2, Events: 1}}},
 		}}},
-		{Item: batch.Item{ID: "s2"}, State: batch.Dead},
+		{Item: batch.Item{ID: "s2"}, State: batch.GivenUp},
 	}}
 	h := &fakeHandler{listing: listing}
 	address, c := serve(t, h)
--- a/internal/batchpeer/encode.go
+++ b/internal/batchpeer/encode.go
@@ -51,12 +51,12 @@
 }
 
 func encodeSample(s *batch.Sample) *peerpb.ListedSample {
-	out := &peerpb.ListedSample{Id: s.ID, Dead: s.State == batch.Dead, Score: s.Score}
+	out := &peerpb.ListedSample{Id: s.ID, Dead: s.State == batch.GivenUp, Score: s.Score}
 	if out.Dead {
 		return out // a dead sample has no text
 	}
 	for _, segment := range s.Text.Segments {
-		encoded := &peerpb.TextSegment{At: segment.At, Events: uint32(segment.Events)}
+		encoded := &peerpb.TextSegment{At: segment.Offset, Events: uint32(segment.Events)}
 		for _, run := range segment.Versions {
 			encoded.Versions = append(encoded.Versions, &peerpb.VersionRun{Version: run.Version, Events: uint32(run.Events)})
 		}
@@ -79,10 +79,10 @@
 func decodeSample(s *peerpb.ListedSample) batch.Sample {
 	out := batch.Sample{Item: batch.Item{ID: s.GetId()}, State: batch.Completed, Score: s.GetScore()}
 	if s.GetDead() {
-		out.State = batch.Dead
+		out.State = batch.GivenUp
 	}
 	for _, encoded := range s.GetSegments() {
-		segment := batch.Segment{At: encoded.GetAt(), Events: int(encoded.GetEvents())}
+		segment := batch.Segment{Offset: encoded.GetAt(), Events: int(encoded.GetEvents())}
 		for _, run := range encoded.GetVersions() {
 			segment.Versions = append(segment.Versions, batch.VersionRun{Version: run.GetVersion(), Events: int(run.GetEvents())})
 		}
--- a/internal/batchrun/blobs.go
+++ b/internal/batchrun/blobs.go
@@ -138,7 +138,7 @@
 		limit = smallFetchBytes
 	}
 	first := missing[0]
-	page, err := b.log.Read(ctx, textTopic, part, store.ReadFrom{Offset: first, MaxBytes: limit})
+	page, err := b.log.Read(ctx, textTopic, part, store.ReadOptions{Offset: first, MaxBytes: limit})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/batchrun/claimer.go
+++ b/internal/batchrun/claimer.go
@@ -127,7 +127,7 @@
 		}
 		records = append(records, data)
 	}
-	ctx, cancel := context.WithTimeout(ctx, store.FirstAnswer)
+	ctx, cancel := context.WithTimeout(ctx, store.FirstAppendTimeout)
 	defer cancel()
 	_, err := c.loader.options.Log.Append(ctx, claimsTopic, 0, records)
 	return err
--- a/internal/batchrun/directory.go
+++ b/internal/batchrun/directory.go
@@ -56,7 +56,7 @@
 		addresses := map[int]string{}
 		for _, o := range owned {
 			if address := memberAddress(o.Member); address != "" {
-				addresses[o.Part] = address
+				addresses[o.Partition] = address
 			}
 		}
 		d.mu.Lock()
--- a/internal/batchrun/homes.go
+++ b/internal/batchrun/homes.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = store.AppendRepeatable(ctx, p.options.Log, modelPartitionsTopic, 0, [][]byte{record}, 1)
+	_, err = store.AppendIdempotent(ctx, p.options.Log, modelPartitionsTopic, 0, [][]byte{record}, 1)
 	return err
 }
 
--- a/internal/batchrun/inspect.go
+++ b/internal/batchrun/inspect.go
@@ -66,7 +66,7 @@
 func (s *Service) describeBatch(p *partition, b *batch.Batch, running map[sampleKey]string) inspect.Batch {
 	out := inspect.Batch{
 		ID: b.ID, Model: b.Model, Part: p.number, MinVersion: b.MinVersion, Ended: b.Ended,
-		AgeMS: (s.options.Now() - b.Seen).Milliseconds(), Samples: len(b.Samples),
+		AgeMS: (s.options.Now() - b.ReadAt).Milliseconds(), Samples: len(b.Samples),
 	}
 	if running != nil {
 		out.Owner = s.options.VM
@@ -75,7 +75,7 @@
 		switch b.Samples[i].State {
 		case batch.Completed:
 			out.Completed++
-		case batch.Dead:
+		case batch.GivenUp:
 			out.Dead++
 		}
 		if running[sampleKey{b.ID, i}] != "" {
@@ -95,7 +95,7 @@
 	switch {
 	case s.State == batch.Completed:
 		out.State = "completed"
-	case s.State == batch.Dead:
+	case s.State == batch.GivenUp:
 		out.State = "dead"
 	case out.Upstream != "":
 		out.State = "running"
--- a/internal/batchrun/look.go
+++ b/internal/batchrun/look.go
@@ -10,11 +10,11 @@
 
 // modelWork is what a reconcile pass finds to do for one model.
 type modelWork struct {
-	service        string          // whose engines run the model
-	waiting        []batch.Waiting // samples that could start
-	active         bool            // a sample still has to be generated
-	nextMinVersion int64           // oldest weights version that the next step is expected to use
-	singleVersion  bool            // an open batch allows only one weights version in a sample
+	service        string                // whose engines run the model
+	waiting        []batch.WaitingSample // samples that could start
+	active         bool                  // a sample still has to be generated
+	nextMinVersion int64                 // oldest weights version that the next step is expected to use
+	singleVersion  bool                  // an open batch allows only one weights version in a sample
 }
 
 // reconcile brings runs, reward calls and loads in line with the log, the configuration
@@ -130,7 +130,7 @@
 // samples that could start to w.
 func (r *runner) reconcileBatchLocked(ctx context.Context, config *routes.Config, b *batch.Batch, w *modelWork, now time.Duration) {
 	ready := r.requestsLocked(ctx, b) != nil
-	expired := now-b.Seen > time.Duration(b.RetentionMS)*time.Millisecond+retentionMargin
+	expired := now-b.ReadAt > time.Duration(b.RetentionMS)*time.Millisecond+retentionMargin
 	for i := range b.Samples {
 		s := &b.Samples[i]
 		key := sampleKey{b.ID, i}
@@ -179,7 +179,7 @@
 // stageLocked returns a sample's stage by the log, or by this owner's text if that is
 // complete and its end isn't in the log yet.
 func (r *runner) stageLocked(key sampleKey, s *batch.Sample) batch.Stage {
-	if t := r.texts[key]; t != nil && t.complete && !s.Whole {
+	if t := r.texts[key]; t != nil && t.complete && !s.TextComplete {
 		return batch.Scoring
 	}
 	return s.Stage()
@@ -200,7 +200,7 @@
 }
 
 // waitingSampleLocked describes sample i of a batch to the planner.
-func (r *runner) waitingSampleLocked(b *batch.Batch, i int) batch.Waiting {
+func (r *runner) waitingSampleLocked(b *batch.Batch, i int) batch.WaitingSample {
 	s := &b.Samples[i]
 	key := sampleKey{b.ID, i}
 	retry := r.retries[key]
@@ -208,10 +208,10 @@
 	if t := r.texts[key]; t != nil {
 		events = max(events, t.eventCount())
 	}
-	return batch.Waiting{
+	return batch.WaitingSample{
 		Batch: b.ID, Index: i, Group: s.Group, MinVersion: b.MinVersion,
-		Remaining: r.estimator.Remaining(s.Expected, events), Due: b.Since + time.Duration(b.TargetMS)*time.Millisecond,
-		NotBefore: retry.notBefore, Avoid: retry.avoidEngine, Had: events,
+		Remaining: r.estimator.Remaining(s.ExpectedTokens, events), Due: b.AcceptedAt + time.Duration(b.TargetMS)*time.Millisecond,
+		NotBefore: retry.notBefore, AvoidEngine: retry.avoidEngine, Events: events,
 	}
 }
 
--- a/internal/batchrun/orders.go
+++ b/internal/batchrun/orders.go
@@ -71,7 +71,7 @@
 	x.mu.Lock()
 	last := x.logTail.Last()
 	x.mu.Unlock()
-	page, err := x.options.Log.Read(ctx, claimsTopic, 0, store.ReadFrom{Offset: last, MaxBytes: 1})
+	page, err := x.options.Log.Read(ctx, claimsTopic, 0, store.ReadOptions{Offset: last, MaxBytes: 1})
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
 		page, err = store.Page{End: trimmed.First}, nil
@@ -150,7 +150,7 @@
 
 // recordLoaded enters a completed load into the registry.
 func recordLoaded(view *fleet.View, l batch.Loaded) {
-	view.Upstreams(func(reg *registry.Registry, _ time.Duration) { reg.RecordLoad(l.Engine, l.Started, l.Model, l.Version) })
+	view.UpdateUpstreams(func(reg *registry.Registry, _ time.Duration) { reg.RecordLoad(l.Engine, l.Started, l.Model, l.Version) })
 }
 
 // claimAndLoad claims an engine, orders the load and waits for it. It returns what was
@@ -191,7 +191,7 @@
 		return false
 	}
 	newer := false
-	x.options.View.Upstreams(func(reg *registry.Registry, _ time.Duration) {
+	x.options.View.UpdateUpstreams(func(reg *registry.Registry, _ time.Duration) {
 		newer = reg.RecordRestart(u.ID, report.Started, report.Versions)
 	})
 	x.options.Logger.Warn().Str("upstream", u.Incarnation()).Int64("reported_start", report.Started).Bool("newer", newer).
@@ -283,6 +283,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = store.AppendRepeatable(ctx, x.options.Log, batchTopic, part, [][]byte{data}, 1)
+	_, err = store.AppendIdempotent(ctx, x.options.Log, batchTopic, part, [][]byte{data}, 1)
 	return err
 }
--- a/internal/batchrun/outbox.go
+++ b/internal/batchrun/outbox.go
@@ -67,7 +67,7 @@
 	}
 	runs := batch.VersionRuns(events)
 	o.enqueue(outboxEntry{blob: blob, record: func(offset int64) any {
-		return record(batch.Segment{At: offset, Events: len(events), Versions: runs})
+		return record(batch.Segment{Offset: offset, Events: len(events), Versions: runs})
 	}})
 }
 
@@ -167,7 +167,7 @@
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		outboxAppends.Add(1)
 		next := time.NewTimer(outboxRetryInterval)
-		offset, err := store.AppendRepeatable(ctx, o.log, topic, o.part, records, attempt)
+		offset, err := store.AppendIdempotent(ctx, o.log, topic, o.part, records, attempt)
 		if err == nil {
 			next.Stop()
 			return offset, true
--- a/internal/batchrun/owner.go
+++ b/internal/batchrun/owner.go
@@ -123,7 +123,7 @@
 }
 
 // membersOf returns the members that own a partition, each once.
-func membersOf(owned []store.Owned) []string {
+func membersOf(owned []store.PartitionOwner) []string {
 	var members []string
 	for _, o := range owned {
 		members = append(members, o.Member)
@@ -151,7 +151,7 @@
 	if err != nil {
 		return o.joinWanted // keep the last decision: no change is known
 	}
-	large := slices.ContainsFunc(owned, func(x store.Owned) bool { return !strings.HasSuffix(x.Member, smallSuffix) })
+	large := slices.ContainsFunc(owned, func(x store.PartitionOwner) bool { return !strings.HasSuffix(x.Member, smallSuffix) })
 	if o.joinWanted && large {
 		o.yieldToLargerVMs(ctx)
 	}
@@ -205,11 +205,11 @@
 	for _, r := range lost {
 		o.handOver(ctx, r)
 	}
-	o.releaseViews(a.Parts)
+	o.releaseViews(a.Partitions)
 	if changed {
-		o.s.options.Logger.Info().Int64("generation", a.Generation).Ints("parts", a.Parts).Msg("partitions owned")
+		o.s.options.Logger.Info().Int64("generation", a.Generation).Ints("parts", a.Partitions).Msg("partitions owned")
 	}
-	o.holdViews(a.Parts)
+	o.holdViews(a.Partitions)
 	o.startRunners(ctx)
 }
 
@@ -242,7 +242,7 @@
 func (o *owner) removeLostLocked(a store.Assignment) []*runner {
 	var lost []*runner
 	for part, r := range o.runners {
-		if !slices.Contains(a.Parts, part) {
+		if !slices.Contains(a.Partitions, part) {
 			lost = append(lost, r)
 			delete(o.runners, part)
 		}
--- a/internal/batchrun/owner_test.go
+++ b/internal/batchrun/owner_test.go
@@ -154,8 +154,8 @@
 		time.Sleep(3 * time.Second)
 		g.Expect(other.ownsPartitionOf("m0")).To(BeTrue())
 		other.daemon().partitionForModel("m0").withBatch("b", func(b *batch.Batch) {
-			g.Expect(b.Since).To(BeNumerically("~", submitted, 20*time.Millisecond))
-			g.Expect(b.Seen).To(BeNumerically(">", submitted+3*time.Second), "its retention time starts again when it is read")
+			g.Expect(b.AcceptedAt).To(BeNumerically("~", submitted, 20*time.Millisecond))
+			g.Expect(b.ReadAt).To(BeNumerically(">", submitted+3*time.Second), "its retention time starts again when it is read")
 		})
 	})
 }
--- a/internal/batchrun/pace.go
+++ b/internal/batchrun/pace.go
@@ -8,9 +8,9 @@
 	gapWeight = 0.05
 	// gapMaxAge is how long an average is valid without a new event.
 	gapMaxAge = 2 * time.Second
-	// gapAloneMaxAge is the same for the average at equal load, which changes only with the
+	// unloadedGapMaxAge is the same for the average at equal load, which changes only with the
 	// engine's hardware or during a disturbance of several seconds.
-	gapAloneMaxAge = 10 * time.Second
+	unloadedGapMaxAge = 10 * time.Second
 )
 
 // gapAverage is a moving average of the time between two events of a sample on an engine.
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -52,15 +52,15 @@
 		if r.unusableLocked(u.Incarnation(), now) {
 			continue
 		}
-		candidates = append(candidates, batch.Engine{ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, Pace: relativeGaps[u.Incarnation()]})
+		candidates = append(candidates, batch.Engine{ID: u.Incarnation(), Version: u.Models[model], Running: e.running, Slots: u.Slots, RelativeGap: relativeGaps[u.Incarnation()]})
 	}
 	ordinary, trials := r.splitTrialsLocked(w.waiting)
 	for _, start := range r.s.options.Policy.PlanSamples(ordinary, candidates, now) {
 		at := slices.IndexFunc(engines, func(u registry.Upstream) bool { return u.Incarnation() == start.Engine })
-		r.startRunLocked(ctx, model, engines[at], start.Waiting)
+		r.startRunLocked(ctx, model, engines[at], start.Sample)
 	}
 	r.startTrialLocked(ctx, model, engines, trials, now)
-	w.waiting = slices.DeleteFunc(w.waiting, func(x batch.Waiting) bool {
+	w.waiting = slices.DeleteFunc(w.waiting, func(x batch.WaitingSample) bool {
 		return r.runs[sampleKey{x.Batch, x.Index}] != nil
 	})
 }
--- a/internal/batchrun/policy.go
+++ b/internal/batchrun/policy.go
@@ -12,7 +12,7 @@
 type Policy struct {
 	policy.Set // which mechanisms are on
 	// PlanSamples chooses which waiting samples start now.
-	PlanSamples func(waiting []batch.Waiting, engines []batch.Engine, now time.Duration) []batch.Start
+	PlanSamples func(waiting []batch.WaitingSample, engines []batch.Engine, now time.Duration) []batch.Placement
 	// PlanLoads chooses the engines that load weights now.
 	PlanLoads func(loads.Input) loads.Plan
 }
@@ -21,7 +21,7 @@
 // mechanisms off.
 func DefaultPolicy(set policy.Set) Policy {
 	planner := batch.Planner{
-		Arrival: !set.Enabled(policy.LatestStart), AnyVersion: !set.Enabled(policy.Fitting), AnySpeed: !set.Enabled(policy.Hardware),
+		ArrivalOrder: !set.Enabled(policy.LatestStart), IgnoreScarceVersions: !set.Enabled(policy.Fitting), IgnoreSpeed: !set.Enabled(policy.Hardware),
 	}
 	return Policy{Set: set, PlanSamples: planner.Plan, PlanLoads: loads.Decide}
 }
@@ -31,6 +31,6 @@
 func BaselinePolicy() Policy {
 	return Policy{
 		Set:         policy.Without(policy.Moves, policy.Hardware, policy.Demand, policy.Retain, policy.SparedLoads, policy.Suspicion, policy.Trials),
-		PlanSamples: batch.PlanInTurn, PlanLoads: loads.DecideWithoutLimits,
+		PlanSamples: batch.PlanRoundRobin, PlanLoads: loads.DecideWithoutLimits,
 	}
 }
--- a/internal/batchrun/read.go
+++ b/internal/batchrun/read.go
@@ -169,7 +169,7 @@
 	}
 	l.Partition = p.number
 	l.Total = len(b.Samples)
-	l.lastScoresPending = b.Closing()
+	l.lastScoresPending = b.AwaitsScores()
 	for i := after; i < len(b.Listed) && len(l.Samples) < maxPageResults; i++ {
 		sample := b.Samples[b.Listed[i]]
 		sample.Text = sample.Text.Clip()
@@ -210,7 +210,7 @@
 			continue
 		}
 		for _, segment := range listed[i].Text.Segments {
-			out = append(out, segment.At)
+			out = append(out, segment.Offset)
 		}
 	}
 	return out
@@ -225,12 +225,12 @@
 	}
 	var texts []string
 	for _, segment := range s.Text.Segments {
-		events, err := batch.UnpackText(blobs[segment.At])
+		events, err := batch.UnpackText(blobs[segment.Offset])
 		if err != nil {
 			return Result{}, err
 		}
 		if len(events) != segment.Events {
-			return Result{}, fmt.Errorf("%w: %d events in the blob at offset %d, %d expected", batch.ErrMalformed, len(events), segment.At, segment.Events)
+			return Result{}, fmt.Errorf("%w: %d events in the blob at offset %d, %d expected", batch.ErrMalformed, len(events), segment.Offset, segment.Events)
 		}
 		texts = append(texts, events...)
 		for _, run := range segment.Versions {
--- a/internal/batchrun/requests.go
+++ b/internal/batchrun/requests.go
@@ -20,17 +20,17 @@
 		return requests
 	}
 	r.requests[b.ID] = nil
-	head, id, samples := b.Head, b.ID, len(b.Samples)
+	head, id, samples := b.Header, b.ID, len(b.Samples)
 	r.tasks.Go(func() { r.readRequests(ctx, id, head, samples) })
 	return nil
 }
 
 // readRequests reads the requests of a batch from their blobs. samples is the number of samples
 // in the batch.
-func (r *runner) readRequests(ctx context.Context, id string, head batch.Head, samples int) {
+func (r *runner) readRequests(ctx context.Context, id string, head batch.Header, samples int) {
 	var offsets []int64
 	for i := range head.RequestCounts {
-		offsets = append(offsets, head.RequestsAt+int64(i))
+		offsets = append(offsets, head.RequestsOffset+int64(i))
 	}
 	blobs, err := r.s.blobs.get(ctx, r.partition.number, offsets, nil)
 	var requests []batch.Request
--- a/internal/batchrun/rescue.go
+++ b/internal/batchrun/rescue.go
@@ -40,11 +40,11 @@
 // relativeGapsLocked returns, by incarnation, the ratio of each engine's token time at equal load
 // to the median one. Engines whose token time isn't known are missing.
 func (r *runner) relativeGapsLocked(engines []registry.Upstream, now time.Duration) map[string]float64 {
-	var gaps []batch.Pace
+	var gaps []batch.EngineGap
 	for _, u := range engines {
-		gaps = append(gaps, batch.Pace{Engine: u.Incarnation(), Gap: r.engineLocked(u.Incarnation()).gapAlone.mean(now, gapAloneMaxAge)})
+		gaps = append(gaps, batch.EngineGap{Engine: u.Incarnation(), Gap: r.engineLocked(u.Incarnation()).unloadedGap.mean(now, unloadedGapMaxAge)})
 	}
-	return batch.Relative(gaps)
+	return batch.RelativeGaps(gaps)
 }
 
 // moveFromSlowHardwareLocked moves the last samples of a step from slower hardware to other
@@ -77,16 +77,16 @@
 // moveFromSlowEnginesLocked moves samples off engines that are much slower than the model's
 // others, as many as there are free slots. Those with the most text left are moved first.
 func (r *runner) moveFromSlowEnginesLocked(model string, engines []registry.Upstream, now time.Duration) {
-	var gaps []batch.Pace
+	var gaps []batch.EngineGap
 	freeSlots := 0
 	for _, u := range engines {
 		e := r.engineLocked(u.Incarnation())
-		gaps = append(gaps, batch.Pace{Engine: u.Incarnation(), Gap: e.gap.mean(now, gapMaxAge)})
+		gaps = append(gaps, batch.EngineGap{Engine: u.Incarnation(), Gap: e.gap.mean(now, gapMaxAge)})
 		if !r.unusableLocked(u.Incarnation(), now) {
 			freeSlots += max(0, u.Slots-e.running)
 		}
 	}
-	for _, incarnation := range batch.Slow(gaps) {
+	for _, incarnation := range batch.SlowEngines(gaps) {
 		e := r.engineLocked(incarnation)
 		if e.running == 0 || now < e.slowUntil {
 			continue
--- a/internal/batchrun/rescue_test.go
+++ b/internal/batchrun/rescue_test.go
@@ -59,7 +59,7 @@
 		r := newRunner(New(o), newPartition(0, o), func() bool { return inContact })
 		for i, gap := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond, 100 * time.Millisecond} {
 			u := registry.Upstream{ID: fmt.Sprint("e", i), Service: "engines", Address: fmt.Sprint("a", i), Slots: 8}
-			view.Upstreams(func(reg *registry.Registry, _ time.Duration) { reg.Put(u) })
+			view.UpdateUpstreams(func(reg *registry.Registry, _ time.Duration) { reg.Put(u) })
 			e := r.engineLocked(u.ID)
 			e.running = 1
 			for range minGaps {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -83,8 +83,8 @@
 func (t *text) eventCount() int { return t.baseEvents + len(t.events) }
 
 // nextLink returns where in the sample's text the unsaved events belong.
-func (t *text) nextLink() batch.Link {
-	return batch.Link{From: t.baseEvents + t.savedEvents, Writer: t.writer, After: t.baseWriter, Base: t.baseEvents}
+func (t *text) nextLink() batch.TextPosition {
+	return batch.TextPosition{Events: t.baseEvents + t.savedEvents, Writer: t.writer, BaseWriter: t.baseWriter, BaseEvents: t.baseEvents}
 }
 
 // retryState is how a sample may be started again after a run of it failed.
@@ -215,8 +215,8 @@
 // saveProgressLocked queues a record with the events of a text that aren't saved yet.
 func (r *runner) saveProgressLocked(key sampleKey, t *text) {
 	if t.savedEvents < len(t.events) {
-		r.queueTextLocked(t, func(l batch.Link, s batch.Segment) any {
-			return batch.Progress{Batch: key.batch, Item: key.index, Link: l, Segment: s}
+		r.queueTextLocked(t, func(l batch.TextPosition, s batch.Segment) any {
+			return batch.Progress{Batch: key.batch, Item: key.index, Position: l, Segment: s}
 		})
 	}
 }
@@ -224,16 +224,16 @@
 // saveCompleteTextLocked queues the end of a text that is scored next.
 func (r *runner) saveCompleteTextLocked(key sampleKey, t *text) {
 	t.complete = true
-	r.queueTextLocked(t, func(l batch.Link, s batch.Segment) any {
-		return batch.Progress{Batch: key.batch, Item: key.index, Link: l, Segment: s, Whole: true}
+	r.queueTextLocked(t, func(l batch.TextPosition, s batch.Segment) any {
+		return batch.Progress{Batch: key.batch, Item: key.index, Position: l, Segment: s, TextComplete: true}
 	})
 }
 
 // queueTextLocked queues a record with the events that aren't saved yet.
-func (r *runner) queueTextLocked(t *text, record func(batch.Link, batch.Segment) any) {
+func (r *runner) queueTextLocked(t *text, record func(batch.TextPosition, batch.Segment) any) {
 	link := t.nextLink()
 	if t.savedEvents == len(t.events) {
-		r.outbox.add(record(link, batch.Segment{At: noBlob}))
+		r.outbox.add(record(link, batch.Segment{Offset: noBlob}))
 		return
 	}
 	r.outbox.addText(t.events[t.savedEvents:len(t.events):len(t.events)], func(s batch.Segment) any { return record(link, s) })
@@ -290,8 +290,8 @@
 func (r *runner) completeLocked(key sampleKey, t *text, score string) {
 	r.finished[key] = true
 	samplesCompleted.Add(1)
-	r.queueTextLocked(t, func(l batch.Link, s batch.Segment) any {
-		return batch.Result{Batch: key.batch, Item: key.index, State: batch.Completed, Link: l, Segment: s, Score: score}
+	r.queueTextLocked(t, func(l batch.TextPosition, s batch.Segment) any {
+		return batch.Result{Batch: key.batch, Item: key.index, State: batch.Completed, Position: l, Segment: s, Score: score}
 	})
 }
 
@@ -301,7 +301,7 @@
 // giveUpLocked queues the result of a sample that won't be completed.
 func (r *runner) giveUpLocked(key sampleKey, id, why string) {
 	r.finished[key] = true
-	r.outbox.add(batch.Result{Batch: key.batch, Item: key.index, State: batch.Dead})
+	r.outbox.add(batch.Result{Batch: key.batch, Item: key.index, State: batch.GivenUp})
 	samplesGivenUp.Add(1)
 	r.log.Warn().Str("batch", key.batch).Str("sample", id).Str("why", why).Msg("sample given up")
 }
--- a/internal/batchrun/scale_test.go
+++ b/internal/batchrun/scale_test.go
@@ -129,7 +129,7 @@
 // unboundedLog reads pages without a size limit.
 type unboundedLog struct{ store.Log }
 
-func (u unboundedLog) Read(ctx context.Context, topic string, part int, from store.ReadFrom) (store.Page, error) {
+func (u unboundedLog) Read(ctx context.Context, topic string, part int, from store.ReadOptions) (store.Page, error) {
 	from.MaxBytes = 0
 	return u.Log.Read(ctx, topic, part, from)
 }
--- a/internal/batchrun/scoring.go
+++ b/internal/batchrun/scoring.go
@@ -76,7 +76,7 @@
 	// The call is made even while the store is unavailable: if the score is known when the
 	// store is back, the sample gets its result half a second earlier. At worst another owner
 	// has made the call too.
-	call := requests[i].Reward
+	call := requests[i].RewardCall
 	if call == nil {
 		x.notBefore = now + noRouteDelay
 		r.log.Error().Str("batch", b.ID).Str("sample", s.ID).Msg("sample has a reward call, but its request does not contain one")
@@ -124,7 +124,7 @@
 		return // no longer wanted, or its text had no effect
 	}
 	for range v.Failures {
-		r.outbox.add(batch.Failed{Batch: key.batch, Item: key.index, Attempt: uuid.NewString(), Reward: true})
+		r.outbox.add(batch.Failed{Batch: key.batch, Item: key.index, AttemptID: uuid.NewString(), InRewardCall: true})
 	}
 	x.failures += v.Failures
 	rewardFailures.Add(int64(v.Failures))
--- a/internal/batchrun/scoring_test.go
+++ b/internal/batchrun/scoring_test.go
@@ -45,7 +45,7 @@
 		g.Expect(list).To(HaveLen(len(items)))
 		for _, r := range list {
 			if r.ID == items[1].ID {
-				g.Expect(r.State).To(Equal(batch.Dead))
+				g.Expect(r.State).To(Equal(batch.GivenUp))
 				g.Expect(w.scorer.callCount(r.ID)).To(Equal(4))
 				continue
 			}
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -18,10 +18,10 @@
 
 // Topics of the shared log, and the group that divides their partitions.
 const (
-	batchTopic           = "batches"                   // records of batches, followed by the partition's owner
-	textTopic            = "texts"                     // blobs that these records refer to
-	claimsTopic          = "claims"                    // claims on engines and duties, and delegated loads, followed by owners
-	modelPartitionsTopic = store.KeyedPrefix + "homes" // partition of each model, followed by every daemon
+	batchTopic           = "batches"                        // records of batches, followed by the partition's owner
+	textTopic            = "texts"                          // blobs that these records refer to
+	claimsTopic          = "claims"                         // claims on engines and duties, and delegated loads, followed by owners
+	modelPartitionsTopic = store.KeyedTopicPrefix + "homes" // partition of each model, followed by every daemon
 	ownersGroup          = "batch-owners"
 )
 
--- a/internal/batchrun/share.go
+++ b/internal/batchrun/share.go
@@ -66,7 +66,7 @@
 // enginesFor returns the engines that are allocated to a model. The list must not be
 // changed. demand is the number of samples in a batch by model, nil for an equal split.
 func (a *engineAllocator) enginesFor(service string, settings *routes.Engine, demand map[string]int, model string) []registry.Upstream {
-	members, changes := a.view.Members(service), a.view.UpstreamChanges()
+	members, changes := a.view.MemberChanges(service), a.view.UpstreamChanges()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	known := a.byService[service]
--- a/internal/batchrun/share_test.go
+++ b/internal/batchrun/share_test.go
@@ -31,7 +31,7 @@
 		settings, demand := allSettings[0], map[string]int{"m0": 10, "m1": 20}
 		for range 200 {
 			i := random.IntN(12)
-			view.Upstreams(func(r *registry.Registry, now time.Duration) {
+			view.UpdateUpstreams(func(r *registry.Registry, now time.Duration) {
 				switch random.IntN(7) {
 				case 0, 1:
 					r.Put(engineAt(i, int64(random.IntN(3))))
@@ -68,7 +68,7 @@
 	for _, engines := range []int{50, 1000, 12000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			view := fleet.New(func() time.Duration { return 0 })
-			view.Upstreams(func(r *registry.Registry, _ time.Duration) {
+			view.UpdateUpstreams(func(r *registry.Registry, _ time.Duration) {
 				for i := range engines {
 					r.Put(engineAt(i, 1))
 				}
@@ -95,7 +95,7 @@
 		at := func(i int) registry.Upstream {
 			return registry.Upstream{ID: fmt.Sprint("e", i), Service: "engines", Address: fmt.Sprintf("10.%d.%d.%d:1", i>>16, i>>8&255, i&255), Slots: slots, Models: map[string]int64{"m0": 1}}
 		}
-		view.Upstreams(func(r *registry.Registry, _ time.Duration) {
+		view.UpdateUpstreams(func(r *registry.Registry, _ time.Duration) {
 			for i := range engines {
 				r.Put(at(i))
 			}
@@ -111,7 +111,7 @@
 		version := int64(1)
 		allocsPerCall[engines] = testing.AllocsPerRun(100, func() {
 			version++
-			view.Upstreams(func(r *registry.Registry, _ time.Duration) { r.RecordLoad("e17", 0, "m0", version) })
+			view.UpdateUpstreams(func(r *registry.Registry, _ time.Duration) { r.RecordLoad("e17", 0, "m0", version) })
 			s.enginesFor("engines", settings, demand, "m0")
 		})
 		g.Expect(allocsPerCall[engines]).To(BeNumerically("<", 100), "after a load on another engine, %d engines", engines)
@@ -119,7 +119,7 @@
 		before := s.splitsComputed
 		const replaced = 200 // few of these engines are used by the models
 		for i := range replaced {
-			view.Upstreams(func(r *registry.Registry, now time.Duration) {
+			view.UpdateUpstreams(func(r *registry.Registry, now time.Duration) {
 				r.Remove(fmt.Sprint("e", i), now)
 				r.Put(at(engines + i))
 			})
--- a/internal/batchrun/stream.go
+++ b/internal/batchrun/stream.go
@@ -42,13 +42,13 @@
 	noOrderBefore time.Duration // no load order until then: the last load failed
 	trial         bool          // a sample runs alone on the engine
 	gap           gapAverage    // between two events of a sample
-	gapAlone      gapAverage    // estimate of gap if the engine ran one sample: its hardware's, whatever the load
+	unloadedGap   gapAverage    // estimate of gap if the engine ran one sample: its hardware's, whatever the load
 }
 
 // observeGap adds a gap between two events of a sample on the engine.
 func (e *engine) observeGap(gap, now time.Duration) {
 	e.gap.observe(gap, now, gapMaxAge)
-	e.gapAlone.observe(batch.GapAlone(gap, e.running), now, gapAloneMaxAge)
+	e.unloadedGap.observe(batch.UnloadedGap(gap, e.running), now, unloadedGapMaxAge)
 }
 
 // engineLocked returns the state of an engine, given by its incarnation.
@@ -78,7 +78,7 @@
 
 // startRunLocked starts a run of a waiting sample on an engine. It resumes the sample's text so
 // far.
-func (r *runner) startRunLocked(ctx context.Context, model string, u registry.Upstream, w batch.Waiting) {
+func (r *runner) startRunLocked(ctx context.Context, model string, u registry.Upstream, w batch.WaitingSample) {
 	key := sampleKey{w.Batch, w.Index}
 	r.partition.mu.Lock()
 	b := r.partition.state.Get(w.Batch)
@@ -87,13 +87,13 @@
 		r.partition.mu.Unlock()
 		return
 	}
-	head := b.Head
+	head := b.Header
 	s := b.Samples[w.Index]
 	t := r.textLocked(key, &s)
 	r.partition.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(ctx)
 	now := r.s.options.Now()
-	x := &run{ctx: ctx, key: key, sampleID: s.ID, upstream: u, incarnation: u.Incarnation(), model: model, hasReward: s.Reward != "", expectedTokens: s.Expected, text: t, startedAt: now, cancel: cancel, startEvents: t.eventCount(), lastEventAt: now}
+	x := &run{ctx: ctx, key: key, sampleID: s.ID, upstream: u, incarnation: u.Incarnation(), model: model, hasReward: s.RewardCallID != "", expectedTokens: s.ExpectedTokens, text: t, startedAt: now, cancel: cancel, startEvents: t.eventCount(), lastEventAt: now}
 	r.runs[key] = x
 	r.engineLocked(u.Incarnation()).running++
 	request := SampleRun{ID: s.ID, Host: head.Host, Customer: head.Customer, Request: requests[w.Index], ReceivedEvents: t.eventCount()}
@@ -112,7 +112,7 @@
 
 // onEvent adds an event of a run to the sample's text. It cancels the run if the event's weights
 // version isn't allowed.
-func (r *runner) onEvent(x *run, head batch.Head, e batch.Event) {
+func (r *runner) onEvent(x *run, head batch.Header, e batch.Event) {
 	now := r.s.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 	first := x.text.eventCount() == x.startEvents
 	if first {
-		r.s.options.View.Upstreams(func(reg *registry.Registry, _ time.Duration) {
+		r.s.options.View.UpdateUpstreams(func(reg *registry.Registry, _ time.Duration) {
 			reg.RecordServed(x.upstream.ID, x.upstream.Started, x.model, e.Version)
 		})
 	}
@@ -143,7 +143,7 @@
 
 // onRunEnded is called when a run has ended. err is nil if the text is complete. The text goes
 // to the log, and the sample gets its result, has its reward call made, or is retried.
-func (r *runner) onRunEnded(x *run, head batch.Head, err error) {
+func (r *runner) onRunEnded(x *run, head batch.Header, err error) {
 	now := r.s.options.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,7 +182,7 @@
 		r.giveUpLocked(x.key, x.sampleID, "an engine reported that the sample can't be completed")
 		return
 	case errors.Is(err, ErrFailed):
-		r.outbox.add(batch.Failed{Batch: x.key.batch, Item: x.key.index, Attempt: uuid.NewString()})
+		r.outbox.add(batch.Failed{Batch: x.key.batch, Item: x.key.index, AttemptID: uuid.NewString()})
 		retry.notBefore = now + failedDelay
 	case errors.Is(err, ErrRefused):
 		e.fullUntil = now + engineRefusedDelay
--- a/internal/batchrun/submit.go
+++ b/internal/batchrun/submit.go
@@ -40,7 +40,7 @@
 
 // Submit accepts a batch. It is idempotent by the batch's ID. A nil error means that the batch is
 // durable. Errors: ErrNotRun, ErrUnknown, ErrTooLarge.
-func (s *Service) Submit(ctx context.Context, id string, head batch.Head, items []batch.Item, requests []batch.Request) error {
+func (s *Service) Submit(ctx context.Context, id string, head batch.Header, items []batch.Item, requests []batch.Request) error {
 	began := time.Now()
 	err := s.submit(ctx, id, head, items, requests)
 	acceptTime.Observe(time.Since(began))
@@ -57,7 +57,7 @@
 }
 
 // submit is Submit without logging. It doesn't stop when the caller leaves.
-func (s *Service) submit(ctx context.Context, id string, head batch.Head, items []batch.Item, requests []batch.Request) error {
+func (s *Service) submit(ctx context.Context, id string, head batch.Header, items []batch.Item, requests []batch.Request) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), submitTimeout)
 	defer cancel()
 	part, err := s.modelPartitions.assign(ctx, head.Model, len(items))
@@ -69,7 +69,7 @@
 		return nil
 	}
 	head.AcceptedMS = time.Now().UnixMilli()
-	if head.RequestsAt, head.RequestCounts, err = s.appendRequests(ctx, p, requests); err != nil {
+	if head.RequestsOffset, head.RequestCounts, err = s.appendRequests(ctx, p, requests); err != nil {
 		return err
 	}
 	records, err := s.encodeBatch(id, head, items)
@@ -118,7 +118,7 @@
 		return 0, nil, ErrTooLarge
 	}
 	for attempt, refusals := 1, 0; ; attempt++ {
-		offset, err = store.AppendRepeatable(ctx, s.options.Log, textTopic, p.number, blobs, attempt)
+		offset, err = store.AppendIdempotent(ctx, s.options.Log, textTopic, p.number, blobs, attempt)
 		if err == nil {
 			break
 		}
@@ -152,9 +152,9 @@
 }
 
 // encodeBatch returns the records of a batch. Error: ErrTooLarge.
-func (s *Service) encodeBatch(id string, head batch.Head, items []batch.Item) ([][]byte, error) {
+func (s *Service) encodeBatch(id string, head batch.Header, items []batch.Item) ([][]byte, error) {
 	var records [][]byte
-	for _, part := range batch.Split(id, uuid.NewString(), head, items, s.options.RecordBytes-encodingMargin) {
+	for _, part := range batch.SplitAccepted(id, uuid.NewString(), head, items, s.options.RecordBytes-encodingMargin) {
 		data, err := batch.Encode(part)
 		if err != nil {
 			return nil, errors.Join(ErrTooLarge, err)
@@ -177,7 +177,7 @@
 	var lastErr error
 	unknown := false
 	for attempt, refusals := 1, 0; ctx.Err() == nil; attempt++ {
-		_, err := store.AppendRepeatable(ctx, s.options.Log, batchTopic, p.number, records, attempt)
+		_, err := store.AppendIdempotent(ctx, s.options.Log, batchTopic, p.number, records, attempt)
 		if err == nil {
 			return nil
 		}
--- a/internal/batchrun/submit_test.go
+++ b/internal/batchrun/submit_test.go
@@ -108,7 +108,7 @@
 		for _, r := range page.Results {
 			want := batch.Completed
 			if r.ID == items[1].ID {
-				want = batch.Dead
+				want = batch.GivenUp
 			}
 			g.Expect(r.State).To(Equal(want), r.ID)
 		}
--- a/internal/batchrun/trial.go
+++ b/internal/batchrun/trial.go
@@ -101,7 +101,7 @@
 }
 
 // splitTrialsLocked separates the samples that have to run alone from the others.
-func (r *runner) splitTrialsLocked(waiting []batch.Waiting) (ordinary, trials []batch.Waiting) {
+func (r *runner) splitTrialsLocked(waiting []batch.WaitingSample) (ordinary, trials []batch.WaitingSample) {
 	for _, w := range waiting {
 		standing, from := r.crashes.RunMode(sampleKey{w.Batch, w.Index})
 		if standing == crashes.Ordinary {
@@ -119,12 +119,12 @@
 // it, and the model's engines would crash one after the other for as long as its batch is
 // kept. One sample is tried at a time; those that only happened to share a crashed engine
 // pass within a few events.
-func (r *runner) startTrialLocked(ctx context.Context, model string, engines []registry.Upstream, trials []batch.Waiting, now time.Duration) {
-	trials = slices.DeleteFunc(trials, func(w batch.Waiting) bool { return w.NotBefore > now })
+func (r *runner) startTrialLocked(ctx context.Context, model string, engines []registry.Upstream, trials []batch.WaitingSample, now time.Duration) {
+	trials = slices.DeleteFunc(trials, func(w batch.WaitingSample) bool { return w.NotBefore > now })
 	if len(trials) == 0 || r.trialRunningLocked(model) {
 		return
 	}
-	slices.SortStableFunc(trials, func(a, b batch.Waiting) int { return cmp.Compare(a.NotBefore, b.NotBefore) })
+	slices.SortStableFunc(trials, func(a, b batch.WaitingSample) int { return cmp.Compare(a.NotBefore, b.NotBefore) })
 	for _, w := range trials {
 		u, ok := r.trialEngineLocked(model, engines, w, now)
 		if !ok {
@@ -160,10 +160,10 @@
 // with the fewest runs, and preferably not the one that crashed under it last. If that would
 // leave no engine for other samples, because it has crashed the rest, the sample waits as
 // long as a known crasher does.
-func (r *runner) trialEngineLocked(model string, engines []registry.Upstream, w batch.Waiting, now time.Duration) (best registry.Upstream, ok bool) {
+func (r *runner) trialEngineLocked(model string, engines []registry.Upstream, w batch.WaitingSample, now time.Duration) (best registry.Upstream, ok bool) {
 	rank := func(u registry.Upstream) int {
 		rank := 2 * r.engineLocked(u.Incarnation()).running
-		if u.Incarnation() == w.Avoid {
+		if u.Incarnation() == w.AvoidEngine {
 			rank++
 		}
 		return rank
--- a/internal/batchrun/wishes.go
+++ b/internal/batchrun/wishes.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = store.AppendRepeatable(ctx, x.options.Log, claimsTopic, 0, [][]byte{data}, 1)
+	_, err = store.AppendIdempotent(ctx, x.options.Log, claimsTopic, 0, [][]byte{data}, 1)
 	return err
 }
 
--- a/internal/batchrun/world_test.go
+++ b/internal/batchrun/world_test.go
@@ -119,14 +119,14 @@
 		{Host: testHost, PathPrefix: testPath, Kind: routes.Batch, Services: []routes.WeightedService{{Service: "engines", Weight: 1}}},
 		{Name: "rewards", Host: testHost, PathPrefix: rewardPath, Kind: routes.Safe, MaxAttempts: 4, Services: []routes.WeightedService{{Service: "scorers", Weight: 1}}},
 	}, []routes.Service{{Name: "engines", Engine: &routes.Engine{Slots: 8, Models: w.models}}}, routes.Limits{}, nil))
-	view.Upstreams(func(r *registry.Registry, now time.Duration) {
+	view.UpdateUpstreams(func(r *registry.Registry, now time.Duration) {
 		for id := range w.engines.engines {
 			r.Put(w.registryEntry(id))
 		}
 	})
 	w.mu.Lock()
 	for m, version := range w.published {
-		view.Publish(m, version)
+		view.SetPublished(m, version)
 	}
 	w.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -149,7 +149,7 @@
 func (w *testCluster) registerEngine(id string) {
 	for _, v := range w.vms {
 		if s := v.daemon(); s != nil {
-			s.options.View.Upstreams(func(r *registry.Registry, _ time.Duration) { r.Put(w.registryEntry(id)) })
+			s.options.View.UpdateUpstreams(func(r *registry.Registry, _ time.Duration) { r.Put(w.registryEntry(id)) })
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	w.mu.Unlock()
 	for _, v := range w.vms {
 		if s := v.daemon(); s != nil {
-			s.options.View.Publish(model, version)
+			s.options.View.SetPublished(model, version)
 		}
 	}
 }
@@ -204,8 +204,8 @@
 }
 
 // newBatch returns a batch with samples that no other batch has.
-func newBatch(model, id string, groups, size int, minVersion int64) (batch.Head, []batch.Item, []batch.Request) {
-	head := batch.Head{
+func newBatch(model, id string, groups, size int, minVersion int64) (batch.Header, []batch.Item, []batch.Request) {
+	head := batch.Header{
 		Host: testHost, Path: testPath, Model: model, MinVersion: minVersion, WantedGroups: groups,
 		MaxAttempts: 3, RetentionMS: 40_000, TargetMS: 7500,
 	}
@@ -217,7 +217,7 @@
 	}
 	if model == scoredModel {
 		for i := range items {
-			items[i].Reward = rewardCallID(items[i].ID)
+			items[i].RewardCallID = rewardCallID(items[i].ID)
 		}
 	}
 	return head, items, requestsOf(items)
@@ -231,8 +231,8 @@
 	var out []batch.Request
 	for _, i := range items {
 		r := batch.Request{Path: "/run/" + i.ID, Header: map[string]string{"H": i.ID}, Body: []byte("body of " + i.ID)}
-		if i.Reward != "" {
-			r.Reward = &batch.RewardCall{ID: i.Reward, Host: testHost, Path: rewardPath + i.ID, Body: []byte("score " + i.ID)}
+		if i.RewardCallID != "" {
+			r.RewardCall = &batch.RewardCall{ID: i.RewardCallID, Host: testHost, Path: rewardPath + i.ID, Body: []byte("score " + i.ID)}
 		}
 		out = append(out, r)
 	}
@@ -241,5 +241,5 @@
 
 // countGivenUp counts the results of samples that were given up.
 func countGivenUp(results []Result) int {
-	return len(slices.DeleteFunc(slices.Clone(results), func(r Result) bool { return r.State != batch.Dead }))
+	return len(slices.DeleteFunc(slices.Clone(results), func(r Result) bool { return r.State != batch.GivenUp }))
 }
--- a/internal/command/turn.go
+++ b/internal/command/turn.go
@@ -11,15 +11,15 @@
 )
 
 var keyedKinds = map[keyed.Reason]Kind{
-	keyed.InvalidKey:     Invalid,
-	keyed.InProgress:     InProgress,
-	keyed.Conflict:       Invalid,
-	keyed.AnswerNotKept:  Conflict,
-	keyed.LogUnavailable: Unavailable,
-	keyed.Overloaded:     Overloaded,
-	keyed.ClaimTooOld:    Unavailable,
-	keyed.Cancelled:      TimedOut,
-	keyed.Stopped:        Unavailable,
+	keyed.InvalidKey:      Invalid,
+	keyed.InProgress:      InProgress,
+	keyed.Conflict:        Invalid,
+	keyed.ResponseNotKept: Conflict,
+	keyed.LogUnavailable:  Unavailable,
+	keyed.Overloaded:      Overloaded,
+	keyed.ClaimTooOld:     Unavailable,
+	keyed.Cancelled:       TimedOut,
+	keyed.Stopped:         Unavailable,
 }
 
 func turnKeyed(e *keyed.Error) *Error {
--- a/internal/confsync/follow.go
+++ b/internal/confsync/follow.go
@@ -19,7 +19,7 @@
 	snapshots := snapshotWriter{store: s}
 	// Daemons that start at the same time, as after the outage of a data centre, would
 	// otherwise all read the whole stream at once.
-	pause.For(ctx, time.Duration(s.options.Random()*float64(s.options.StartSpread)))
+	pause.For(ctx, time.Duration(s.options.Random()*float64(s.options.StartJitter)))
 	logUp := true
 	for ctx.Err() == nil {
 		began := s.options.Now()
--- a/internal/confsync/follow_test.go
+++ b/internal/confsync/follow_test.go
@@ -156,7 +156,7 @@
 		const daemons, spread = 30, 2 * time.Second
 		var stores []*confsync.Store
 		for range daemons {
-			stores = append(stores, startFollower(ctx, log, confsync.Options{StartSpread: spread}))
+			stores = append(stores, startFollower(ctx, log, confsync.Options{StartJitter: spread}))
 		}
 		countUpToDate := func() (n int) {
 			synctest.Wait()
--- a/internal/confsync/options.go
+++ b/internal/confsync/options.go
@@ -49,9 +49,9 @@
 	SnapshotJitter time.Duration
 	RestoreGrace   time.Duration
 
-	// StartSpread is the largest random delay of the first read, for daemons that
+	// StartJitter is the largest random delay of the first read, for daemons that
 	// start at the same time; 0 is no delay.
-	StartSpread time.Duration
+	StartJitter time.Duration
 
 	// Retention is how long the log keeps records. With the zero value, unlimited,
 	// snapshots are only written on request.
--- a/internal/crashes/service.go
+++ b/internal/crashes/service.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	topic = store.KeyedPrefix + "crashes"
+	topic = store.KeyedTopicPrefix + "crashes"
 	// writeTimeout bounds the write of a record. A lost record costs one more crash.
 	writeTimeout = 2 * time.Second
 	// cleanupInterval is the time between two deletions of expired crashes.
--- a/internal/duties/counts.go
+++ b/internal/duties/counts.go
@@ -161,7 +161,7 @@
 	for _, r := range c.unconfirmed {
 		data = append(data, r.data)
 	}
-	_, err := store.AppendRepeatable(ctx, c.options.Log, topic, part, data, min(attempt, maxTimeoutAttempt))
+	_, err := store.AppendIdempotent(ctx, c.options.Log, topic, part, data, min(attempt, maxTimeoutAttempt))
 	if err == nil {
 		countsAppended.Add(1)
 		c.unconfirmed = nil
--- a/internal/duties/log.go
+++ b/internal/duties/log.go
@@ -187,7 +187,7 @@
 func (v *view) append(ctx context.Context, r logRecord) bool {
 	data, err := r.encode(v.options.Clock())
 	if err == nil {
-		_, err = store.AppendRepeatable(ctx, v.options.Log, topic, part, [][]byte{data}, 1)
+		_, err = store.AppendIdempotent(ctx, v.options.Log, topic, part, [][]byte{data}, 1)
 	}
 	if err != nil {
 		v.options.Logger.Warn().Err(err).Msg("record of the duties not appended")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -87,9 +87,9 @@
 	return accepted
 }
 
-// Publish sets the newest weights version of a model and returns true, unless the version isn't
+// SetPublished sets the newest weights version of a model and returns true, unless the version isn't
 // newer than the one before.
-func (v *View) Publish(model string, version int64) bool {
+func (v *View) SetPublished(model string, version int64) bool {
 	accepted := false
 	v.update(func() {
 		if version > v.published[model] {
@@ -108,9 +108,9 @@
 	return maps.Clone(v.published)
 }
 
-// Upstreams calls change with the registry. It signals a change only if the registry has
+// UpdateUpstreams calls change with the registry. It signals a change only if the registry has
 // changed, since most entries of servers and most responses contain nothing new.
-func (v *View) Upstreams(change func(r *registry.Registry, now time.Duration)) {
+func (v *View) UpdateUpstreams(change func(r *registry.Registry, now time.Duration)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	before := v.upstreams.Changes()
@@ -136,18 +136,18 @@
 	return v.upstreams.Count()
 }
 
-// Of returns the upstreams of a service, including those that are leaving. The caller must not
+// ByService returns the upstreams of a service, including those that are leaving. The caller must not
 // modify the list.
-func (v *View) Of(service string) []registry.Upstream {
+func (v *View) ByService(service string) []registry.Upstream {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.upstreams.Expire(v.now())
 	return v.upstreams.ByService(service)
 }
 
-// Members returns the number of changes of a service's upstreams so far, except changes of
+// MemberChanges returns the number of changes of a service's upstreams so far, except changes of
 // their weights versions.
-func (v *View) Members(service string) uint64 {
+func (v *View) MemberChanges(service string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.upstreams.Expire(v.now())
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -297,7 +297,7 @@
 		f.keyScan = keyScan{started: true, end: page.End}
 	}
 	f.keyScan.entries = append(f.keyScan.entries, page.Entries...)
-	f.keyScan.after = page.Last()
+	f.keyScan.after = page.LastKey()
 	if page.More {
 		return nil
 	}
@@ -333,7 +333,7 @@
 // waits for one, at most for the time wait.
 func (f *Follower) read(ctx context.Context, wait time.Duration) error {
 	from := f.NextOffset()
-	page, err := f.options.Log.Read(ctx, f.options.Topic, f.options.Partition, store.ReadFrom{Offset: from, MaxBytes: pageBytes, Wait: wait})
+	page, err := f.options.Log.Read(ctx, f.options.Topic, f.options.Partition, store.ReadOptions{Offset: from, MaxBytes: pageBytes, Wait: wait})
 	var trimmed *store.TrimmedError
 	if errors.As(err, &trimmed) {
 		return f.skipGap(ctx, trimmed.First)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -207,7 +207,7 @@
 	reads int
 }
 
-func (c *countingLog) Read(ctx context.Context, topic string, part int, from store.ReadFrom) (store.Page, error) {
+func (c *countingLog) Read(ctx context.Context, topic string, part int, from store.ReadOptions) (store.Page, error) {
 	c.reads++
 	return c.Log.Read(ctx, topic, part, from)
 }
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -68,7 +68,7 @@
 				start := time.Now()
 				now := func() time.Duration { return time.Since(start) }
 				view := fleet.New(now)
-				view.Upstreams(func(r *registry.Registry, _ time.Duration) {
+				view.UpdateUpstreams(func(r *registry.Registry, _ time.Duration) {
 					for i := range 20 {
 						r.Put(registry.Upstream{ID: fmt.Sprint("u", i), Service: "s", DataCentre: "here"})
 					}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -249,7 +249,7 @@
 
 // send starts a send to an upstream not tried before. It reports false if there is none.
 func (a *activeCall) send(ctx context.Context) bool {
-	u, ok := a.g.balancer.pick(a.g.view.Of(a.service), a.tried, a.g.now())
+	u, ok := a.g.balancer.pick(a.g.view.ByService(a.service), a.tried, a.g.now())
 	if !ok {
 		return false
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -99,7 +99,7 @@
 	now := func() time.Duration { return time.Since(start) }
 	f := &fakeUpstreams{behaviours: map[string]behaviour{}, sends: map[string]int{}}
 	view := fleet.New(now)
-	view.Upstreams(func(r *registry.Registry, _ time.Duration) {
+	view.UpdateUpstreams(func(r *registry.Registry, _ time.Duration) {
 		for i, b := range behaviours {
 			id := fmt.Sprint("u", i)
 			f.behaviours[id] = b
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -127,7 +127,7 @@
 	now := func() time.Duration { return time.Since(start) }
 	f := &fakeStreams{behaviours: map[string]streamBehaviour{}}
 	view := fleet.New(now)
-	view.Upstreams(func(r *registry.Registry, _ time.Duration) {
+	view.UpdateUpstreams(func(r *registry.Registry, _ time.Duration) {
 		for i, b := range behaviours {
 			id := fmt.Sprint("u", i)
 			f.behaviours[id] = b
--- a/internal/keyed/do.go
+++ b/internal/keyed/do.go
@@ -160,7 +160,7 @@
 		return nil, false, &Error{Outcome: outcome.Unknown, Reason: InProgress, RetryAfter: retryAfterInProgress}
 	}
 	if status.Answer == nil {
-		return nil, false, &Error{Outcome: outcome.Ran, Reason: AnswerNotKept}
+		return nil, false, &Error{Outcome: outcome.Ran, Reason: ResponseNotKept}
 	}
 	metrics.Counter("keyed_replays").Add(1)
 	return responseOf(status.Answer), true, nil
--- a/internal/keyed/errors.go
+++ b/internal/keyed/errors.go
@@ -12,20 +12,20 @@
 
 // The reasons, each with its outcome.
 const (
-	InvalidKey     Reason = iota // key empty, key or scope too long or not UTF-8: NotRun
-	InProgress                   // another attempt holds the key: Unknown
-	Conflict                     // the key was used with another body (422): NotRun for this body
-	AnswerNotKept                // the request ran, its response can't be replayed (409): Ran
-	LogUnavailable               // the claim couldn't be appended or read back: NotRun
-	Overloaded                   // too many keys or claims: NotRun
-	ClaimTooOld                  // the claim was read back too late for a dispatch: NotRun
-	Cancelled                    // the caller's context ended before the dispatch: NotRun
-	Stopped                      // the service is shutting down: NotRun
+	InvalidKey      Reason = iota // key empty, key or scope too long or not UTF-8: NotRun
+	InProgress                    // another attempt holds the key: Unknown
+	Conflict                      // the key was used with another body (422): NotRun for this body
+	ResponseNotKept               // the request ran, its response can't be replayed (409): Ran
+	LogUnavailable                // the claim couldn't be appended or read back: NotRun
+	Overloaded                    // too many keys or claims: NotRun
+	ClaimTooOld                   // the claim was read back too late for a dispatch: NotRun
+	Cancelled                     // the caller's context ended before the dispatch: NotRun
+	Stopped                       // the service is shutting down: NotRun
 )
 
 var reasonNames = [...]string{
 	InvalidKey: "invalid key", InProgress: "in progress", Conflict: "key used with another body",
-	AnswerNotKept: "ran, answer not kept", LogUnavailable: "log unavailable", Overloaded: "overloaded",
+	ResponseNotKept: "ran, answer not kept", LogUnavailable: "log unavailable", Overloaded: "overloaded",
 	ClaimTooOld: "claim too old", Cancelled: "cancelled", Stopped: "stopped",
 }
 
--- a/internal/keyed/logloops.go
+++ b/internal/keyed/logloops.go
@@ -94,8 +94,8 @@
 
 // followLoop reads the claims stream from its oldest kept record on, until the context ends.
 func (s *Service) followLoop(ctx context.Context) error {
-	if s.opts.StartSpread > 0 {
-		pause.For(ctx, rand.N(s.opts.StartSpread))
+	if s.opts.StartJitter > 0 {
+		pause.For(ctx, rand.N(s.opts.StartJitter))
 	}
 	backoff := readBackoffMin
 	down := false
--- a/internal/keyed/once_test.go
+++ b/internal/keyed/once_test.go
@@ -317,6 +317,6 @@
 		_, replayed, err := late.Do(background, "s", "new", 1, up.run("new", nil))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(replayed).To(BeTrue())
-		g.Expect(late.Keys()).To(Equal(1))
+		g.Expect(late.KeyCount()).To(Equal(1))
 	})
 }
--- a/internal/keyed/options.go
+++ b/internal/keyed/options.go
@@ -38,13 +38,13 @@
 	// MaxKeys limits the keys held in memory, by default 200,000. Above the limit requests
 	// with new keys are refused with the outcome NotRun. Keys are never evicted.
 	MaxKeys int
-	// MaxAnswerBytes limits the responses held in memory for replay, by default 64 MiB.
-	MaxAnswerBytes int
+	// MaxResponseBytes limits the responses held in memory for replay, by default 64 MiB.
+	MaxResponseBytes int
 	// MaxPending limits the claims that wait to be appended, by default 10,000.
 	MaxPending int
-	// StartSpread is the longest random delay before the first read, so that daemons that
+	// StartJitter is the longest random delay before the first read, so that daemons that
 	// start together don't read at once. 0: no delay.
-	StartSpread time.Duration
+	StartJitter time.Duration
 	// OutcomeOf returns the outcome that an error of RunFunc stands for. The default knows
 	// *upstream.Error and returns outcome.Unknown for any other error.
 	OutcomeOf func(error) outcome.Outcome
@@ -69,7 +69,7 @@
 	o.AppendTimeout = cmp.Or(o.AppendTimeout, defaultAppendTimeout)
 	o.PollWait = cmp.Or(o.PollWait, defaultPollWait)
 	o.MaxKeys = cmp.Or(o.MaxKeys, defaultMaxKeys)
-	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, defaultMaxAnswerBytes)
+	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, defaultMaxAnswerBytes)
 	o.MaxPending = cmp.Or(o.MaxPending, defaultMaxPending)
 	if o.Daemons == nil {
 		o.Daemons = func() int { return 1 }
--- a/internal/keyed/service.go
+++ b/internal/keyed/service.go
@@ -80,7 +80,7 @@
 	return &Service{
 		opts:        opts,
 		noncePrefix: newNoncePrefix(),
-		fold:        claims.NewTable(opts.MaxAnswerBytes),
+		fold:        claims.NewTable(opts.MaxResponseBytes),
 		batcher:     claims.NewBatcher(batcherOptions(opts), time.Now()),
 		waiting:     map[string]*waiter{},
 		next:        1,
@@ -91,11 +91,11 @@
 
 func batcherOptions(opts Options) claims.BatcherOptions {
 	return claims.BatcherOptions{
-		BatchDelay:     opts.BatchInterval,
-		AppendsPerSecond:     opts.AppendBudget,
-		Burst:      appendBurst,
-		MaxClaims:  opts.MaxPending,
-		MaxOutcomes: maxReports,
+		BatchDelay:       opts.BatchInterval,
+		AppendsPerSecond: opts.AppendBudget,
+		Burst:            appendBurst,
+		MaxClaims:        opts.MaxPending,
+		MaxOutcomes:      maxReports,
 	}
 }
 
@@ -136,8 +136,8 @@
 	}
 }
 
-// Keys returns the number of idempotency keys in memory.
-func (s *Service) Keys() int {
+// KeyCount returns the number of idempotency keys in memory.
+func (s *Service) KeyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fold.Len()
--- a/internal/relay/publisher.go
+++ b/internal/relay/publisher.go
@@ -172,7 +172,7 @@
 	for partition := range p.shards {
 		for page := (store.NewestPage{More: true}); page.More; {
 			var err error
-			if page, err = p.options.Log.Newest(ctx, topic, partition, page.Last()); err != nil {
+			if page, err = p.options.Log.Newest(ctx, topic, partition, page.LastKey()); err != nil {
 				p.options.Logger.Debug().Err(err).Msg("daemons not counted")
 				return
 			}
@@ -199,7 +199,7 @@
 	}
 	services := map[string][]registry.Upstream{}
 	for _, name := range calledServices(p.options.View.Config()) {
-		services[name] = p.options.View.Of(name)
+		services[name] = p.options.View.ByService(name)
 	}
 	assigned, err := p.assigner.assign(services)
 	if err != nil {
@@ -293,7 +293,7 @@
 	if err == nil {
 		appendCount.Add(1)
 		appendedRecordCount.Add(int64(len(records)))
-		ctx, cancel := context.WithTimeout(ctx, store.FirstAnswer)
+		ctx, cancel := context.WithTimeout(ctx, store.FirstAppendTimeout)
 		defer cancel()
 		_, err = p.options.Log.AppendAt(ctx, topic, s.partition, offset, records)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,7 +34,7 @@
 )
 
 // topic holds the shards, one in each partition.
-const topic = store.KeyedPrefix + "relay"
+const topic = store.KeyedTopicPrefix + "relay"
 
 // DirectReader reads the platform's topics directly on this daemon.
 type DirectReader interface {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -30,8 +30,8 @@
 	testParts    = 24
 	testReadRate = 80_000_000
 	testLatency  = 4 * time.Millisecond
-	serversTopic = store.KeyedPrefix + "servers"
-	configTopic  = store.KeyedPrefix + "op"
+	serversTopic = store.KeyedTopicPrefix + "servers"
+	configTopic  = store.KeyedTopicPrefix + "op"
 	entryBytes   = 300
 	configBytes  = 80_000
 )
@@ -134,7 +134,7 @@
 }
 
 func (s *upstreamSink) Reset(entries []store.Entry) {
-	s.view.Upstreams(func(r *registry.Registry, now time.Duration) {
+	s.view.UpdateUpstreams(func(r *registry.Registry, now time.Duration) {
 		var list []registry.Upstream
 		for _, e := range entries {
 			list = append(list, parseUpstream(e.Key, e.Value))
@@ -148,7 +148,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s.view.Upstreams(func(r *registry.Registry, now time.Duration) {
+	s.view.UpdateUpstreams(func(r *registry.Registry, now time.Duration) {
 		if len(value) == 0 {
 			r.Remove(key, now)
 			return
@@ -306,7 +306,7 @@
 func (f *testFleet) countReady(version int64) int {
 	ready := 0
 	for _, n := range f.nodes {
-		if c := n.view.Config(); c != nil && c.Version >= version && n.service.Ready() && len(n.view.Of("calls")) > 0 {
+		if c := n.view.Config(); c != nil && c.Version >= version && n.service.Ready() && len(n.view.ByService("calls")) > 0 {
 			ready++
 		}
 	}
--- a/internal/relay/subscriber.go
+++ b/internal/relay/subscriber.go
@@ -40,7 +40,7 @@
 	if !s.active() {
 		return
 	}
-	s.options.View.Upstreams(func(r *registry.Registry, now time.Duration) { r.Replace(upstreams, now) })
+	s.options.View.UpdateUpstreams(func(r *registry.Registry, now time.Duration) { r.Replace(upstreams, now) })
 }
 
 // active reports whether the fleet's view comes from the shard. A shard without a watermark
@@ -54,7 +54,7 @@
 	if !ok || !s.active() {
 		return
 	}
-	s.options.View.Upstreams(func(r *registry.Registry, now time.Duration) {
+	s.options.View.UpdateUpstreams(func(r *registry.Registry, now time.Duration) {
 		if len(value) == 0 {
 			s.options.Logger.Info().Str("upstream", id).Msg("upstream removed according to the relay, it gets no new work")
 			r.Remove(id, now)
--- a/internal/standin/metastore/client.go
+++ b/internal/standin/metastore/client.go
@@ -136,7 +136,7 @@
 }
 
 // Read implements store.Log.
-func (c *Client) Read(ctx context.Context, topic string, part int, from store.ReadFrom) (store.Page, error) {
+func (c *Client) Read(ctx context.Context, topic string, part int, from store.ReadOptions) (store.Page, error) {
 	c.addCalls(Calls{Reads: 1})
 	f, err := c.applyCallFaults(ctx)
 	if err != nil {
@@ -217,7 +217,7 @@
 }
 
 // Owners implements store.Membership.
-func (c *Client) Owners(ctx context.Context, group string) ([]store.Owned, error) {
+func (c *Client) Owners(ctx context.Context, group string) ([]store.PartitionOwner, error) {
 	c.addCalls(Calls{Membership: 1})
 	if _, err := c.applyCallFaults(ctx); err != nil {
 		return nil, err
--- a/internal/standin/metastore/store.go
+++ b/internal/standin/metastore/store.go
@@ -82,7 +82,7 @@
 
 // read returns the records available from an offset on, and a channel that is closed by
 // the next append.
-func (s *Store) read(topic string, part int, from store.ReadFrom) (store.Page, <-chan struct{}, error) {
+func (s *Store) read(topic string, part int, from store.ReadOptions) (store.Page, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partitionLocked(topic, part)
@@ -176,7 +176,7 @@
 	defer s.mu.Unlock()
 	p := s.partitionLocked(topic, part)
 	before = min(max(before, p.firstOffset), p.end())
-	if strings.HasPrefix(topic, store.KeyedPrefix) {
+	if strings.HasPrefix(topic, store.KeyedTopicPrefix) {
 		if p.compacted == nil {
 			p.compacted = map[string]store.Entry{}
 		}
@@ -222,7 +222,7 @@
 		g.rebalance()
 	}
 	g.handOverReleased(id)
-	return store.Assignment{Generation: g.generation, Parts: g.assignedTo(id)}
+	return store.Assignment{Generation: g.generation, Partitions: g.assignedTo(id)}
 }
 
 // removeExpired removes the members whose membership has expired and reports whether there
@@ -279,7 +279,7 @@
 }
 
 // owners returns the partitions of a group that are owned by a live member.
-func (s *Store) owners(name string) []store.Owned {
+func (s *Store) owners(name string) []store.PartitionOwner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.groups[name]
@@ -287,10 +287,10 @@
 		return nil
 	}
 	g.removeExpired(time.Now())
-	var owned []store.Owned
+	var owned []store.PartitionOwner
 	for part, id := range g.owner {
 		if _, alive := g.members[id]; alive {
-			owned = append(owned, store.Owned{Part: part, Member: id})
+			owned = append(owned, store.PartitionOwner{Partition: part, Member: id})
 		}
 	}
 	return owned
--- a/internal/store/keyed.go
+++ b/internal/store/keyed.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// KeyedPrefix is the prefix of the names of keyed topics. Their records have a key, and the
+// KeyedTopicPrefix is the prefix of the names of keyed topics. Their records have a key, and the
 // newest record of each key is kept beyond the log's retention.
-const KeyedPrefix = "keyed."
+const KeyedTopicPrefix = "keyed."
 
 // maxKeyBytes is the largest length of a key, which is stored in one byte.
 const maxKeyBytes = 255
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -44,8 +44,8 @@
 	End     int64    // offset after the partition's last record
 }
 
-// ReadFrom holds the parameters of a read.
-type ReadFrom struct {
+// ReadOptions holds the parameters of a read.
+type ReadOptions struct {
 	Offset   int64         // of the first record to return
 	MaxBytes int           // limit on the size of all records, 0: the store's default
 	Wait     time.Duration // how long to wait for a record if there is none
@@ -66,8 +66,8 @@
 	End     int64 // offset after the partition's last record when the page was read
 }
 
-// Last returns the last key of the page, "" if the page is empty.
-func (p NewestPage) Last() string {
+// LastKey returns the last key of the page, "" if the page is empty.
+func (p NewestPage) LastKey() string {
 	if len(p.Entries) == 0 {
 		return ""
 	}
@@ -82,7 +82,7 @@
 	// Otherwise it returns a *ConflictError.
 	AppendAt(ctx context.Context, topic string, partition int, end int64, records [][]byte) (int64, error)
 	// Read returns the records from an offset on. It may return a *TrimmedError.
-	Read(ctx context.Context, topic string, partition int, from ReadFrom) (Page, error)
+	Read(ctx context.Context, topic string, partition int, from ReadOptions) (Page, error)
 	// Newest returns the newest record of each key in a partition of a keyed topic, in the
 	// order of the keys and from the first key that follows after. The store chooses how many
 	// it returns at once.
@@ -92,13 +92,13 @@
 // Assignment is the set of partitions that are assigned to a member of a group.
 type Assignment struct {
 	Generation int64 // grows with each change of the group
-	Parts      []int // partitions of the group's topic, sorted
+	Partitions []int // partitions of the group's topic, sorted
 }
 
-// Owned is a partition and the group member that owns it.
-type Owned struct {
-	Part   int
-	Member string // name
+// PartitionOwner is a partition and the group member that owns it.
+type PartitionOwner struct {
+	Partition int
+	Member    string // name
 }
 
 // Membership assigns the partitions of a topic to the live members of a group.
@@ -109,7 +109,7 @@
 	// that took it away, or hasn't joined for ttl.
 	Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation int64) (Assignment, error)
 	// Owners returns the partitions of the group that have an owner now.
-	Owners(ctx context.Context, group string) ([]Owned, error)
+	Owners(ctx context.Context, group string) ([]PartitionOwner, error)
 	// Leave removes a member from the group, so that its partitions are free at once.
 	Leave(ctx context.Context, group, member string) error
 }
--- a/internal/weightsync/options.go
+++ b/internal/weightsync/options.go
@@ -83,9 +83,9 @@
 	// requested at once; default none.
 	OnApplied func(group string, engine ident.Upstream)
 	Logger    zerolog.Logger
-	// StartSpread is the time over which daemons that start together spread their first reads
+	// StartJitter is the time over which daemons that start together spread their first reads
 	// of the log, 0 for none.
-	StartSpread time.Duration
+	StartJitter time.Duration
 	// PollInterval is the least time between two polls of a model's versions, default 1 s, with
 	// jitter.
 	PollInterval time.Duration
--- a/internal/weightsync/streams.go
+++ b/internal/weightsync/streams.go
@@ -87,8 +87,8 @@
 	}
 	g.Go(func() error {
 		defer stop()
-		if s.opts.StartSpread > 0 {
-			pause.For(ctx, rand.N(s.opts.StartSpread))
+		if s.opts.StartJitter > 0 {
+			pause.For(ctx, rand.N(s.opts.StartJitter))
 		}
 		return s.followLeases(ctx, stream)
 	})
