--- a/internal/app/rollouts.go
+++ b/internal/app/rollouts.go
@@ -136,7 +136,7 @@
 	if !errors.As(err, &e) {
 		return false
 	}
-	switch e.Code {
+	switch e.StatusCode {
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge, http.StatusUnprocessableEntity:
 		return true
 	}
--- a/internal/dispatch/fault.go
+++ b/internal/dispatch/fault.go
@@ -36,7 +36,7 @@
 		kind:       upstreamErr.Fault,
 		outcome:    upstreamErr.Outcome,
 		leaving:    upstreamErr.Leaving,
-		transient:  upstreamErr.Fault == upstream.Status && upstreamErr.Code >= firstServerErrorStatus,
+		transient:  upstreamErr.Fault == upstream.Status && upstreamErr.StatusCode >= firstServerErrorStatus,
 		retryAfter: upstreamErr.RetryAfter,
 		err:        err,
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -298,7 +298,7 @@
 		g.hedges.recordSuccess()
 		g.balancer.recordSuccess(u.Incarnation(), response.Load, now)
 		g.clearCrashes(ctx, call, response)
-	case ctx.Err() == nil && errors.As(err, &f) && f.Kind != exchange.Malformed && !f.BrokeIdle():
+	case ctx.Err() == nil && errors.As(err, &f) && f.Kind != exchange.Malformed && !f.StaleConn():
 		g.balancer.recordFailure(u.Incarnation(), now)
 		g.checkForCrash(ctx, u, call, f)
 	}
--- a/internal/infra/http.go
+++ b/internal/infra/http.go
@@ -85,13 +85,13 @@
 // delay the response. Every error is an ErrUnavailable.
 func (c *client) get(ctx context.Context, path string, wait time.Duration) (response, error) {
 	r := exchange.Request{Method: http.MethodGet, URL: c.base + path}
-	plan := exchange.Plan{}
+	plan := exchange.SendOptions{}
 	if wait == 0 {
-		plan.FirstByteReused = c.options.Timeout / reusedFirstByteDivisor
+		plan.ReusedHeaderTimeout = c.options.Timeout / reusedFirstByteDivisor
 	}
 	resp, err := c.do(ctx, r, wait, plan)
 	if isSilent(err) {
-		resp, err = c.do(ctx, r, wait, exchange.Plan{Fresh: true})
+		resp, err = c.do(ctx, r, wait, exchange.SendOptions{NewConn: true})
 	}
 	if err != nil {
 		return response{}, fmt.Errorf("%w: GET %s: %w", ErrUnavailable, path, err)
@@ -122,7 +122,7 @@
 		Header: http.Header{"Content-Type": {"application/json"}},
 		Body:   data,
 	}
-	resp, err := c.do(ctx, r, 0, exchange.Plan{Fresh: true})
+	resp, err := c.do(ctx, r, 0, exchange.SendOptions{NewConn: true})
 	if err != nil {
 		return response{}, fmt.Errorf("%w: POST %s: %w", outcomeError(err), path, err)
 	}
@@ -140,7 +140,7 @@
 }
 
 // do makes one call with a timeout. The connection of a call that failed is closed.
-func (c *client) do(ctx context.Context, r exchange.Request, wait time.Duration, plan exchange.Plan) (response, error) {
+func (c *client) do(ctx context.Context, r exchange.Request, wait time.Duration, plan exchange.SendOptions) (response, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, wait+c.options.Timeout, errTimeout)
 	defer cancel()
 	resp, err := c.sender.Send(ctx, r, plan)
@@ -148,7 +148,7 @@
 		return response{}, err
 	}
 	defer resp.Close()
-	body, err := resp.Whole(c.options.MaxBodyBytes)
+	body, err := resp.ReadAll(c.options.MaxBodyBytes)
 	if err != nil {
 		return response{}, err
 	}
--- a/internal/upstream/api.go
+++ b/internal/upstream/api.go
@@ -48,11 +48,11 @@
 
 // Error is the error that the methods of Client return.
 type Error struct {
-	Fault    Fault
-	Outcome  outcome.Outcome
-	Upstream ident.Upstream
-	Leaving  bool // the response has "X-Leaving: true": the upstream is shutting down
-	Code     int  // HTTP status, 0: no response header was received
+	Fault      Fault
+	Outcome    outcome.Outcome
+	Upstream   ident.Upstream
+	Leaving    bool // the response has "X-Leaving: true": the upstream is shutting down
+	StatusCode int  // HTTP status, 0: no response header was received
 	// RetryAfter is the wait that the upstream asked for before a retry, 0: none.
 	RetryAfter time.Duration
 	Err        error // cause
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -70,34 +70,34 @@
 	path        string // includes the query
 	header      http.Header
 	body        []byte
-	sendOptions exchange.Plan
+	sendOptions exchange.SendOptions
 }
 
 // queryOptions returns the options for status queries, which an upstream can answer at once.
-func (c *Client) queryOptions() exchange.Plan {
-	return exchange.Plan{FirstByte: c.options.ProgressTimeout, Progress: c.options.ProgressTimeout}
+func (c *Client) queryOptions() exchange.SendOptions {
+	return exchange.SendOptions{HeaderTimeout: c.options.ProgressTimeout, ReadTimeout: c.options.ProgressTimeout}
 }
 
 // queuedOptions returns the options for requests that the upstream may queue before it
 // responds. The timeout is shorter on a reused connection, which may be dead.
-func (c *Client) queuedOptions() exchange.Plan {
-	return exchange.Plan{
-		FirstByte:       c.options.FirstByteTimeout,
-		FirstByteReused: min(c.options.FirstByteTimeout, c.options.ProgressTimeout),
-		Progress:        c.options.ProgressTimeout,
+func (c *Client) queuedOptions() exchange.SendOptions {
+	return exchange.SendOptions{
+		HeaderTimeout:       c.options.FirstByteTimeout,
+		ReusedHeaderTimeout: min(c.options.FirstByteTimeout, c.options.ProgressTimeout),
+		ReadTimeout:         c.options.ProgressTimeout,
 	}
 }
 
 // unboundedOptions returns the options for requests whose response time is limited by the
 // context alone. Only a reused connection, which may be dead, has a timeout for the header; a
 // connection that was just opened is known to work.
-func (c *Client) unboundedOptions() exchange.Plan {
-	return exchange.Plan{FirstByteReused: c.options.FirstByteTimeout, Progress: c.options.ProgressTimeout}
+func (c *Client) unboundedOptions() exchange.SendOptions {
+	return exchange.SendOptions{ReusedHeaderTimeout: c.options.FirstByteTimeout, ReadTimeout: c.options.ProgressTimeout}
 }
 
 // nonRepeatableOptions returns the options for requests that must not run twice.
-func (c *Client) nonRepeatableOptions() exchange.Plan {
-	return exchange.Plan{Fresh: true, Progress: c.options.ProgressTimeout}
+func (c *Client) nonRepeatableOptions() exchange.SendOptions {
+	return exchange.SendOptions{NewConn: true, ReadTimeout: c.options.ProgressTimeout}
 }
 
 // newJSONCall returns a POST request with a JSON body. The caller sets sendOptions.
@@ -120,7 +120,7 @@
 
 // send sends the request. Before it returns a response, it reports an upstream that is
 // shutting down to Options.OnLeaving and checks that the response isn't for another request.
-func (k *call) send(ctx context.Context) (*exchange.Answer, error) {
+func (k *call) send(ctx context.Context) (*exchange.Response, error) {
 	if !strings.HasPrefix(k.path, "/") {
 		return nil, unsentError(k.target, fmt.Errorf("path %q doesn't begin with /", k.path))
 	}
@@ -149,7 +149,7 @@
 // checkRequestID returns an error if the request ID in the header is that of another request.
 // This is checked before the status and X-Not-Run, which would belong to the other request
 // too.
-func (k *call) checkRequestID(resp *exchange.Answer) error {
+func (k *call) checkRequestID(resp *exchange.Response) error {
 	got := resp.Header.Get(wire.HeaderRequestID)
 	if got == "" || k.requestID == "" || got == string(k.requestID) {
 		return nil
@@ -159,7 +159,7 @@
 
 // sendForJSON sends the request and decodes the JSON body of the response into result. A
 // status other than 200 is an error.
-func (k *call) sendForJSON(ctx context.Context, result any) (*exchange.Answer, error) {
+func (k *call) sendForJSON(ctx context.Context, result any) (*exchange.Response, error) {
 	resp, err := k.send(ctx)
 	if err != nil {
 		return nil, err
@@ -172,8 +172,8 @@
 }
 
 // decodeBody decodes the JSON body of a response into result.
-func (k *call) decodeBody(resp *exchange.Answer, result any) error {
-	data, err := resp.Whole(k.client.options.MaxBodyBytes)
+func (k *call) decodeBody(resp *exchange.Response, result any) error {
+	data, err := resp.ReadAll(k.client.options.MaxBodyBytes)
 	if err != nil {
 		return k.responseError(resp, err)
 	}
--- a/internal/upstream/control.go
+++ b/internal/upstream/control.go
@@ -79,7 +79,7 @@
 }
 
 // readOrderResult converts the response to an order.
-func (k *call) readOrderResult(resp *exchange.Answer) (wire.OrderResult, error) {
+func (k *call) readOrderResult(resp *exchange.Response) (wire.OrderResult, error) {
 	var result wire.OrderResult
 	if resp.Status != http.StatusOK && resp.Status != http.StatusConflict {
 		return result, k.statusError(resp)
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -52,16 +52,16 @@
 }
 
 // responseError returns the error for a failure while the body was read.
-func (k *call) responseError(resp *exchange.Answer, err error) *Error {
+func (k *call) responseError(resp *exchange.Response, err error) *Error {
 	e := k.exchangeError(err)
 	e.Outcome = outcome.Unknown
 	e.Leaving = reportsLeaving(resp.Header)
-	e.Code = resp.Status
+	e.StatusCode = resp.Status
 	return e
 }
 
 // responseFault returns the error for a fault that this package found in a response.
-func (k *call) responseFault(f Fault, resp *exchange.Answer, err error) *Error {
+func (k *call) responseFault(f Fault, resp *exchange.Response, err error) *Error {
 	e := k.responseError(resp, err)
 	e.Fault = f
 	return e
@@ -70,7 +70,7 @@
 // statusError returns the error for a response whose status isn't a success. The outcome is
 // NotRun only if the response has "X-Not-Run: true": a 503 without it may come from a worker
 // that failed while it ran the request.
-func (k *call) statusError(resp *exchange.Answer) *Error {
+func (k *call) statusError(resp *exchange.Response) *Error {
 	e := k.responseFault(Status, resp, fmt.Errorf("status %d: %s", resp.Status, bodyExcerpt(resp)))
 	e.Outcome = outcome.Ran
 	if reportsNotRun(resp.Header) {
@@ -83,8 +83,8 @@
 
 // bodyExcerpt returns the start of the body of an error response, quoted, for the text of an
 // error.
-func bodyExcerpt(resp *exchange.Answer) string {
-	data, err := resp.Whole(maxErrorBodyBytes)
+func bodyExcerpt(resp *exchange.Response) string {
+	data, err := resp.ReadAll(maxErrorBodyBytes)
 	if err != nil {
 		return "(body not readable)"
 	}
--- a/internal/upstream/exchange/answer.go
+++ b/internal/upstream/exchange/answer.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Answer is an HTTP response whose header was received. It isn't safe for concurrent use.
-type Answer struct {
+// Response is an HTTP response whose header was received. It isn't safe for concurrent use.
+type Response struct {
 	Status int
 	Header http.Header
 
@@ -24,9 +24,9 @@
 	framed bool
 }
 
-func newResponse(ctx context.Context, cancel context.CancelCauseFunc, x *attempt, resp *http.Response) *Answer {
+func newResponse(ctx context.Context, cancel context.CancelCauseFunc, x *attempt, resp *http.Response) *Response {
 	chunked := len(resp.TransferEncoding) > 0
-	return &Answer{
+	return &Response{
 		Status: resp.StatusCode, Header: resp.Header,
 		ctx: ctx, cancel: cancel, attempt: x,
 		body: resp.Body, contentLength: resp.ContentLength,
@@ -36,8 +36,8 @@
 
 // Read reads the body with a timeout for this read. An error other than io.EOF is a
 // *Failure.
-func (r *Answer) Read(p []byte) (int, error) {
-	r.attempt.watchdog.reset(r.attempt.options.Progress)
+func (r *Response) Read(p []byte) (int, error) {
+	r.attempt.watchdog.reset(r.attempt.options.ReadTimeout)
 	n, err := r.body.Read(p)
 	// The watchdog is off between reads: a slow caller isn't a silent server.
 	r.attempt.watchdog.stop()
@@ -47,14 +47,14 @@
 	return n, r.attempt.classify(r.ctx, err)
 }
 
-// LimitProgress sets the timeout of further reads of the body, 0: only the context limits
+// SetReadTimeout sets the timeout of further reads of the body, 0: only the context limits
 // them.
-func (r *Answer) LimitProgress(limit time.Duration) { r.attempt.options.Progress = limit }
+func (r *Response) SetReadTimeout(limit time.Duration) { r.attempt.options.ReadTimeout = limit }
 
-// Whole reads the body to its end. It fails as Malformed if the body is longer than limit
+// ReadAll reads the body to its end. It fails as Malformed if the body is longer than limit
 // bytes, and as Truncated unless the framing (Content-Length or the last chunk, which
 // net/http checks while it reads) confirms the end.
-func (r *Answer) Whole(limit int64) ([]byte, error) {
+func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	if r.contentLength > limit {
 		return nil, r.newFailure(Malformed, ErrTooLarge)
 	}
@@ -71,13 +71,13 @@
 	return data, nil
 }
 
-func (r *Answer) newFailure(kind Kind, err error) *Failure {
+func (r *Response) newFailure(kind Kind, err error) *Failure {
 	return &Failure{Kind: kind, Sent: true, Err: err}
 }
 
 // Close ends the exchange. Unless the body was read to its end, the connection is closed
 // too, so that no later request can read the rest of this response.
-func (r *Answer) Close() {
+func (r *Response) Close() {
 	r.attempt.watchdog.stop()
 	_ = r.body.Close()
 	r.cancel(nil)
@@ -85,4 +85,4 @@
 
 // Framed reports whether the response marks its own end, by its length or by chunked
 // encoding.
-func (r *Answer) Framed() bool { return r.framed }
+func (r *Response) Framed() bool { return r.framed }
--- a/internal/upstream/exchange/exchange.go
+++ b/internal/upstream/exchange/exchange.go
@@ -44,9 +44,9 @@
 	Err    error // cause
 }
 
-// BrokeIdle reports whether a connection that had been idle broke. The server may have
+// StaleConn reports whether a connection that had been idle broke. The server may have
 // closed it in the meantime, which isn't a sign of a problem with the server.
-func (f *Failure) BrokeIdle() bool { return f.Kind == Reset && f.Reused }
+func (f *Failure) StaleConn() bool { return f.Kind == Reset && f.Reused }
 
 // Error returns the text of the cause.
 func (f *Failure) Error() string { return f.Err.Error() }
@@ -72,25 +72,25 @@
 	// the timeouts of requests, a request that is repeated after such a timeout can't get
 	// another connection that stopped working at the same time as the first.
 	IdleTimeout time.Duration
-	// LongestIdle is the maximum idle time for servers that advertise an idle timeout in
+	// MaxIdleTimeout is the maximum idle time for servers that advertise an idle timeout in
 	// a Keep-Alive header; a shorter advertised timeout takes precedence. If it is 0,
 	// the header is ignored and IdleTimeout applies.
-	LongestIdle time.Duration
-	Dial        DialFunc // nil: TCP
+	MaxIdleTimeout time.Duration
+	Dial           DialFunc // nil: TCP
 }
 
-// Plan holds the options of one request.
-type Plan struct {
-	// Fresh opens a new connection for this request and closes it afterwards.
-	Fresh bool
-	// FirstByte limits the wait for the response header, 0: only the context limits it.
-	FirstByte time.Duration
-	// FirstByteReused is the limit on a reused connection, which may be dead without a sign
+// SendOptions holds the options of one request.
+type SendOptions struct {
+	// NewConn opens a new connection for this request and closes it afterwards.
+	NewConn bool
+	// HeaderTimeout limits the wait for the response header, 0: only the context limits it.
+	HeaderTimeout time.Duration
+	// ReusedHeaderTimeout is the limit on a reused connection, which may be dead without a sign
 	// of it, 0: the same as on a new one.
-	FirstByteReused time.Duration
-	// Progress limits the wait for each read of the response body, 0: only the context
+	ReusedHeaderTimeout time.Duration
+	// ReadTimeout limits the wait for each read of the response body, 0: only the context
 	// limits it.
-	Progress time.Duration
+	ReadTimeout time.Duration
 }
 
 // Sender sends requests over connections of its own. It is safe for concurrent use.
@@ -132,7 +132,7 @@
 		DialContext:            newTrackedDial(o),
 		DisableCompression:     true,
 		Protocols:              &protocols,
-		IdleConnTimeout:        max(o.IdleTimeout, o.LongestIdle),
+		IdleConnTimeout:        max(o.IdleTimeout, o.MaxIdleTimeout),
 		MaxIdleConnsPerHost:    maxIdleConnsPerHost,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         readBufferBytes,
--- a/internal/upstream/exchange/guard_test.go
+++ b/internal/upstream/exchange/guard_test.go
@@ -27,7 +27,7 @@
 var _ = Describe("Sender, with the automatic retries of net/http,", func() {
 	type sendFunc func(context.Context, Request) error
 
-	withSender := func(opts Plan) sendFunc {
+	withSender := func(opts SendOptions) sendFunc {
 		s := NewSender(Options{DialTimeout: time.Minute, IdleTimeout: time.Minute})
 		return func(ctx context.Context, r Request) error {
 			resp, err := s.Send(ctx, r, opts)
@@ -35,7 +35,7 @@
 				return err
 			}
 			defer resp.Close()
-			_, err = resp.Whole(1 << 10)
+			_, err = resp.ReadAll(1 << 10)
 			return err
 		}
 	}
@@ -70,7 +70,7 @@
 				It("sends "+method+" "+key+" "+body+" once", func(ctx SpecContext) {
 					for _, reset := range []bool{false, true} {
 						for _, newConn := range []bool{false, true} {
-							count, reused, err := countArrivals(ctx, withSender(Plan{Fresh: newConn}), reset, method, key, body)
+							count, reused, err := countArrivals(ctx, withSender(SendOptions{NewConn: newConn}), reset, method, key, body)
 							Expect(err).To(HaveField("Sent", true))
 							Expect(count).To(Equal(1))
 							Expect(reused && newConn).To(BeFalse())
@@ -82,7 +82,7 @@
 	}
 
 	It("reuses a connection in these tests, and net/http alone sends the request twice", func(ctx SpecContext) {
-		_, reused, _ := countArrivals(ctx, withSender(Plan{}), false, http.MethodPost, "Idempotency-Key", "body")
+		_, reused, _ := countArrivals(ctx, withSender(SendOptions{}), false, http.MethodPost, "Idempotency-Key", "body")
 		Expect(reused).To(BeTrue())
 
 		count, _, _ := countArrivals(ctx, withNetHTTP, false, http.MethodPost, "Idempotency-Key", "body")
--- a/internal/upstream/exchange/idle.go
+++ b/internal/upstream/exchange/idle.go
@@ -33,7 +33,7 @@
 }
 
 func newIdleLimits(o Options) *idleLimits {
-	return &idleLimits{defaultLimit: o.IdleTimeout, maxLimit: o.LongestIdle, advertisedLimits: map[string]time.Duration{}, overloadedUntil: map[string]time.Duration{}}
+	return &idleLimits{defaultLimit: o.IdleTimeout, maxLimit: o.MaxIdleTimeout, advertisedLimits: map[string]time.Duration{}, overloadedUntil: map[string]time.Duration{}}
 }
 
 // recordResponse records the idle timeout in a response header, or that there is none.
--- a/internal/upstream/exchange/idle_test.go
+++ b/internal/upstream/exchange/idle_test.go
@@ -18,7 +18,7 @@
 
 	DescribeTable("follows what the server advertises",
 		func(header http.Header, want time.Duration) {
-			l := newIdleLimits(Options{IdleTimeout: 800 * time.Millisecond, LongestIdle: 20 * time.Second})
+			l := newIdleLimits(Options{IdleTimeout: 800 * time.Millisecond, MaxIdleTimeout: 20 * time.Second})
 			l.recordResponse(address, header)
 			Expect(l.limit(address, 0)).To(Equal(want))
 			Expect(l.limit("another", 0)).To(Equal(800 * time.Millisecond))
@@ -35,7 +35,7 @@
 	// further ones. If each VM kept idle connections for as long as the server allows, new
 	// ones would be reset repeatedly.
 	It("is short for a while after a server reset a new connection", func() {
-		l := newIdleLimits(Options{IdleTimeout: time.Second, LongestIdle: time.Minute})
+		l := newIdleLimits(Options{IdleTimeout: time.Second, MaxIdleTimeout: time.Minute})
 		l.recordResponse(address, keepAlive("timeout=10"))
 		l.recordReset(address, 5*time.Second)
 		Expect(l.limit(address, 6*time.Second)).To(Equal(time.Second))
@@ -43,7 +43,7 @@
 	})
 
 	It("is the default again after a response without the header", func() {
-		l := newIdleLimits(Options{IdleTimeout: time.Second, LongestIdle: time.Minute})
+		l := newIdleLimits(Options{IdleTimeout: time.Second, MaxIdleTimeout: time.Minute})
 		l.recordResponse(address, keepAlive("timeout=10"))
 		l.recordResponse(address, http.Header{})
 		Expect(l.limit(address, 0)).To(Equal(time.Second))
@@ -61,15 +61,15 @@
 			_, _ = w.Write([]byte("x"))
 		}))
 		defer server.Close()
-		s := NewSender(Options{DialTimeout: time.Second, IdleTimeout: 100 * time.Millisecond, LongestIdle: time.Minute,
+		s := NewSender(Options{DialTimeout: time.Second, IdleTimeout: 100 * time.Millisecond, MaxIdleTimeout: time.Minute,
 			Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 				dials.Add(1)
 				return (&net.Dialer{}).DialContext(ctx, network, address)
 			}})
 		call := func() {
-			resp, err := s.Send(ctx, Request{Method: http.MethodPost, URL: server.URL, Body: []byte("q")}, Plan{})
+			resp, err := s.Send(ctx, Request{Method: http.MethodPost, URL: server.URL, Body: []byte("q")}, SendOptions{})
 			Expect(err).NotTo(HaveOccurred())
-			_, err = resp.Whole(10)
+			_, err = resp.ReadAll(10)
 			Expect(err).NotTo(HaveOccurred())
 			resp.Close()
 		}
--- a/internal/upstream/exchange/send.go
+++ b/internal/upstream/exchange/send.go
@@ -20,19 +20,19 @@
 
 // Send writes the request at most once and waits for the response header. The error is a
 // *Failure. The caller must close the response.
-func (s *Sender) Send(ctx context.Context, r Request, opts Plan) (*Answer, error) {
+func (s *Sender) Send(ctx context.Context, r Request, opts SendOptions) (*Response, error) {
 	resp, err := s.send(ctx, r, opts)
 	var f *Failure
 	if errors.As(err, &f) && f.Reused && !f.Sent && f.Kind != Cancelled && f.Kind != Silent {
 		// The idle connection was closed just as it was chosen. Nothing was sent, so the
 		// request may be sent over a new connection.
-		opts.Fresh = true
+		opts.NewConn = true
 		return s.send(ctx, r, opts)
 	}
 	return resp, err
 }
 
-func (s *Sender) send(ctx context.Context, r Request, opts Plan) (*Answer, error) {
+func (s *Sender) send(ctx context.Context, r Request, opts SendOptions) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	watch := newWatchdog(func() { cancel(errNoProgress) })
 	x := &attempt{sender: s, watchdog: watch, options: opts}
@@ -79,8 +79,8 @@
 
 // transportFor returns the transport for the request. An explicit empty body can't be a
 // singleUseBody (see there), so such a request gets a connection of its own.
-func (s *Sender) transportFor(r Request, opts Plan) *http.Transport {
-	if opts.Fresh || r.hasExplicitEmptyBody() {
+func (s *Sender) transportFor(r Request, opts SendOptions) *http.Transport {
+	if opts.NewConn || r.hasExplicitEmptyBody() {
 		return s.unpooledTransport
 	}
 	return s.pooledTransport
@@ -98,7 +98,7 @@
 	sender   *Sender
 	address  string // host:port
 	watchdog *watchdog
-	options  Plan
+	options  SendOptions
 
 	mu                sync.Mutex
 	conn              *trackedConn // last connection used, nil: none yet
@@ -130,9 +130,9 @@
 		x.conn.stopIdleTimer()
 		x.initialWriteCalls = x.conn.writeCallCount()
 	}
-	limit := x.options.FirstByte
-	if info.Reused && x.options.FirstByteReused > 0 {
-		limit = x.options.FirstByteReused
+	limit := x.options.HeaderTimeout
+	if info.Reused && x.options.ReusedHeaderTimeout > 0 {
+		limit = x.options.ReusedHeaderTimeout
 	}
 	x.watchdog.reset(limit)
 }
--- a/internal/upstream/generate.go
+++ b/internal/upstream/generate.go
@@ -69,7 +69,7 @@
 
 // checkStreamHeader returns an error unless the header is that of an event stream for this
 // request.
-func (k *call) checkStreamHeader(resp *exchange.Answer) error {
+func (k *call) checkStreamHeader(resp *exchange.Response) error {
 	if resp.Status != http.StatusOK {
 		return k.statusError(resp)
 	}
@@ -86,28 +86,28 @@
 // readStream passes the chunks of the response to onChunk. After the end marker it reads the
 // end of the response, so that the connection can be reused; if more data follows instead, the
 // connection is closed.
-func (k *call) readStream(resp *exchange.Answer, onChunk func(Chunk) error) error {
+func (k *call) readStream(resp *exchange.Response, onChunk func(Chunk) error) error {
 	s := newChunkStream(resp, k.requestID, k.client.options.MaxEventBytes)
 	s.merger.disabled = k.client.mergingDisabled
 	leaving := reportsLeaving(resp.Header)
 	// An engine may send the header at once and then queue the request, so the first chunk
 	// has the longer timeout.
-	resp.LimitProgress(k.client.options.FirstByteTimeout)
+	resp.SetReadTimeout(k.client.options.FirstByteTimeout)
 	err := s.read(func(c Chunk) error {
-		resp.LimitProgress(k.client.options.ProgressTimeout)
+		resp.SetReadTimeout(k.client.options.ProgressTimeout)
 		c.Leaving = leaving
 		return onChunk(c)
 	})
 	if err != nil {
 		return k.streamError(resp, err)
 	}
-	resp.LimitProgress(drainTimeout)
+	resp.SetReadTimeout(drainTimeout)
 	s.events.readEnd()
 	return nil
 }
 
 // streamError converts an error of chunkStream.read.
-func (k *call) streamError(resp *exchange.Answer, err error) *Error {
+func (k *call) streamError(resp *exchange.Response, err error) *Error {
 	var crossed *crossedError
 	var malformed *malformedError
 	var stopped *stoppedError
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -42,21 +42,21 @@
 }
 
 // serviceOptions returns the options for a call of a service.
-func (c *Client) serviceOptions(r ServiceRequest) exchange.Plan {
+func (c *Client) serviceOptions(r ServiceRequest) exchange.SendOptions {
 	opts := c.unboundedOptions()
 	if r.NeverRetry {
 		opts = c.nonRepeatableOptions()
 	}
 	if r.FirstByteTimeout > 0 {
-		opts.FirstByte = r.FirstByteTimeout
-		opts.FirstByteReused = 0
+		opts.HeaderTimeout = r.FirstByteTimeout
+		opts.ReusedHeaderTimeout = 0
 	}
 	return opts
 }
 
 // serviceResponse reads the whole response of a service.
-func (k *call) serviceResponse(resp *exchange.Answer) (*ServiceResponse, error) {
-	body, err := resp.Whole(k.client.options.MaxBodyBytes)
+func (k *call) serviceResponse(resp *exchange.Response) (*ServiceResponse, error) {
+	body, err := resp.ReadAll(k.client.options.MaxBodyBytes)
 	if err != nil {
 		return nil, k.responseError(resp, err)
 	}
