--- a/cmd/dogwoodflowctl/platform.go
+++ b/cmd/dogwoodflowctl/platform.go
@@ -210,7 +210,7 @@
 			ready = "no: " + s.NotReady
 		}
 		oldestView, outOfContact := summarizeViews(s.Views)
-		t.row(s.VM, s.DataCentre, ready, s.Config.Version, formatAge(s.Config.AgeMS), s.Config.Routes, joinInts(s.Owns), oldestView, outOfContact)
+		t.row(s.VM, s.DataCentre, ready, s.Config.Version, formatAge(s.Config.AgeMS), s.Config.Routes, joinInts(s.OwnedPartitions), oldestView, outOfContact)
 	}
 }
 
@@ -245,13 +245,13 @@
 func dutiesTable(t table, duties []daemonDuties) {
 	t.row("DAEMON", "RANK", "LAST WINDOW REPORTED", "DUTY", "LAST HOLDER", "FENCE", "CLAIMED AGO")
 	for _, d := range duties {
-		for _, h := range d.Held {
+		for _, h := range d.Holders {
 			t.row(d.Daemon, d.Rank, d.LastWindow, h.Duty, h.VM, h.Fence, formatAge(h.AgeMS))
 		}
 	}
 	t.row("DAEMON", "SERVICE", "DATA CENTRE", "REGULAR", "SPOT", "SPOT ORDERED")
 	for _, d := range duties {
-		for _, s := range d.Servers {
+		for _, s := range d.ServerCounts {
 			t.row(d.Daemon, s.Service, s.DataCentre, s.Regular, s.Spot, s.SpotOrdered)
 		}
 	}
@@ -264,7 +264,7 @@
 		if u.Leaving {
 			state = "leaving"
 		}
-		t.row(u.ID, u.Service, u.Address, u.DataCentre, state, u.Slots, formatWeights(u.Models), u.Holder, u.Fence)
+		t.row(u.ID, u.Service, u.Address, u.DataCentre, state, u.Slots, formatWeights(u.Models), u.DutyHolder, u.Fence)
 	}
 }
 
@@ -298,7 +298,7 @@
 	t.row("owner", b.Owner)
 	t.row("samples", fmt.Sprintf("%d completed, %d dead, %d running here, of %d", b.Completed, b.Dead, b.Running, b.Samples))
 	t.row("SAMPLE", "GROUP", "STATE", "POSITION", "EVENTS KEPT", "FAILURES", "UPSTREAM")
-	for _, s := range b.List {
+	for _, s := range b.SampleDetails {
 		t.row(s.ID, s.Group, s.State, s.Position, s.Events, s.Failures, s.Upstream)
 	}
 }
--- a/cmd/dogwoodflowctl/platform_test.go
+++ b/cmd/dogwoodflowctl/platform_test.go
@@ -26,7 +26,7 @@
 
 func (d fakePlatformDaemon) Status() inspect.Status {
 	return inspect.Status{
-		VM: d.vm, DataCentre: "east", Owns: []int{0, 4}, Config: inspect.Configuration{Version: 7, AgeMS: 1500, Routes: 3},
+		VM: d.vm, DataCentre: "east", OwnedPartitions: []int{0, 4}, Config: inspect.Configuration{Version: 7, AgeMS: 1500, Routes: 3},
 		Views: []inspect.View{{Topic: "batches", Part: 0, AgeMS: 120, InContact: true}, {Topic: "claims", AgeMS: 2300}},
 	}
 }
@@ -39,15 +39,15 @@
 	if id != "b1" {
 		return inspect.BatchDetail{}, false
 	}
-	return inspect.BatchDetail{Batch: d.Batches()[0], List: []inspect.Sample{
+	return inspect.BatchDetail{Batch: d.Batches()[0], SampleDetails: []inspect.Sample{
 		{ID: "s1", Group: "g1", State: "completed", Position: 3, Events: 12},
 		{ID: "s2", Group: "g1", State: "running", Position: -1, Events: 2, Upstream: "i-1"},
 	}}, true
 }
 
 func (d fakePlatformDaemon) Duties() inspect.Duties {
-	return inspect.Duties{Rank: 1, LastWindow: 357924715, Held: []inspect.Holder{{Duty: "duty/usage", VM: "vm-2", Fence: 54, AgeMS: 1200}},
-		Servers: []inspect.Servers{{Service: "engines", DataCentre: "east", Regular: 16, Spot: 5, SpotOrdered: 8}}}
+	return inspect.Duties{Rank: 1, LastWindow: 357924715, Holders: []inspect.Holder{{Duty: "duty/usage", VM: "vm-2", Fence: 54, AgeMS: 1200}},
+		ServerCounts: []inspect.Servers{{Service: "engines", DataCentre: "east", Regular: 16, Spot: 5, SpotOrdered: 8}}}
 }
 
 func (d fakePlatformDaemon) Customers() []customers.ActiveKey {
@@ -56,7 +56,7 @@
 
 func (d fakePlatformDaemon) Upstreams() []inspect.Upstream {
 	return []inspect.Upstream{{ID: "i-1", Service: "engines", Address: "10.0.0.1:80", DataCentre: "east", Leaving: true, Slots: 8,
-		Models: map[string]int64{"m": 6, "a": 2}, Holder: "vm-2", Fence: 41}}
+		Models: map[string]int64{"m": 6, "a": 2}, DutyHolder: "vm-2", Fence: 41}}
 }
 
 func (d fakePlatformDaemon) End(context.Context, string) error { return d.end }
--- a/internal/batchrun/inspect.go
+++ b/internal/batchrun/inspect.go
@@ -39,7 +39,7 @@
 	}
 	out := inspect.BatchDetail{Batch: s.describeBatch(p, b, running)}
 	for i := range b.Samples {
-		out.List = append(out.List, describeSample(b, i, running))
+		out.SampleDetails = append(out.SampleDetails, describeSample(b, i, running))
 	}
 	return out, true
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -481,7 +481,7 @@
 func (f *Follower) Inspect() inspect.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := inspect.View{Topic: f.options.Topic, Part: f.options.Partition, Next: f.next, AgeMS: -1, InContact: !f.contactLost}
+	out := inspect.View{Topic: f.options.Topic, Part: f.options.Partition, NextOffset: f.next, AgeMS: -1, InContact: !f.contactLost}
 	if f.loaded {
 		out.AgeMS = (f.options.Now() - f.currentAt).Milliseconds()
 	}
--- a/internal/inspect/inspect.go
+++ b/internal/inspect/inspect.go
@@ -10,10 +10,10 @@
 	VM         string `json:"vm"`
 	DataCentre string `json:"data_centre"`
 	// NotReady is the reason why the daemon isn't ready for new connections, "" if it is.
-	NotReady string        `json:"not_ready,omitempty"`
-	Config   Configuration `json:"config"`
-	Views    []View        `json:"views"`
-	Owns     []int         `json:"owns"` // numbers of the partitions whose batches this daemon runs
+	NotReady        string        `json:"not_ready,omitempty"`
+	Config          Configuration `json:"config"`
+	Views           []View        `json:"views"`
+	OwnedPartitions []int         `json:"owns"` // numbers of the partitions whose batches this daemon runs
 }
 
 // Configuration describes the configuration in force. Version 0 means that there is none.
@@ -25,11 +25,11 @@
 
 // View describes the daemon's view of a partition of the store that it follows.
 type View struct {
-	Topic     string `json:"topic"`
-	Part      int    `json:"part"`       // partition number
-	Next      int64  `json:"next"`       // offset of the next record to read
-	AgeMS     int64  `json:"age_ms"`     // time since the view was up to date, -1 if it never was
-	InContact bool   `json:"in_contact"` // whether the store answers reads
+	Topic      string `json:"topic"`
+	Part       int    `json:"part"`       // partition number
+	NextOffset int64  `json:"next"`       // offset of the next record to read
+	AgeMS      int64  `json:"age_ms"`     // time since the view was up to date, -1 if it never was
+	InContact  bool   `json:"in_contact"` // whether the store answers reads
 }
 
 // Batch describes a batch of samples.
@@ -64,7 +64,7 @@
 // BatchDetail is a batch with its samples.
 type BatchDetail struct {
 	Batch
-	List []Sample `json:"list"` // in the order of the batch
+	SampleDetails []Sample `json:"list"` // in the order of the batch
 }
 
 // Upstream describes an incarnation of an upstream.
@@ -76,10 +76,10 @@
 	Leaving    bool             `json:"leaving"` // shutting down: it gets no new work
 	Slots      int              `json:"slots"`   // number of calls that it runs concurrently
 	Models     map[string]int64 `json:"models"`  // weight version by model
-	// Holder is the VM with the last claim on the upstream's address, "" if there is none,
+	// DutyHolder is the VM with the last claim on the upstream's address, "" if there is none,
 	// and Fence the fencing token of that claim.
-	Holder string `json:"holder"`
-	Fence  int64  `json:"fence"`
+	DutyHolder string `json:"holder"`
+	Fence      int64  `json:"fence"`
 }
 
 // Duties describes the duties, which one daemon at a time performs for the fleet, and the
@@ -90,9 +90,9 @@
 	Rank int `json:"rank"`
 	// LastWindow is the newest usage window whose report the platform accepted, as far as
 	// this daemon knows. It is 0 if there is none or the daemon isn't a candidate.
-	LastWindow int64     `json:"last_window"`
-	Held       []Holder  `json:"held"`    // last holder of each duty
-	Servers    []Servers `json:"servers"` // of each service and data centre
+	LastWindow   int64     `json:"last_window"`
+	Holders      []Holder  `json:"held"`    // last holder of each duty
+	ServerCounts []Servers `json:"servers"` // of each service and data centre
 }
 
 // Holder describes the last claim on a duty.
