--- a/internal/batchrun/look.go
+++ b/internal/batchrun/look.go
@@ -51,7 +51,7 @@
 	if r.releaseUpstreams == nil {
 		r.releaseUpstreams = upstreams.Hold()
 	}
-	return upstreams.Whole()
+	return upstreams.Loaded()
 }
 
 // modelWorkLocked returns an entry without samples for each configured model that is
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -67,8 +67,8 @@
 type Upstreams interface {
 	// Hold has all upstreams read until release is called.
 	Hold() (release func())
-	// Whole reports whether all upstreams are known.
-	Whole() bool
+	// Loaded reports whether all upstreams are known.
+	Loaded() bool
 }
 
 // Service accepts trainers' batches and answers calls about them. It is safe for concurrent
@@ -119,9 +119,9 @@
 	return s.loader.claimer.claim(ctx, duty)
 }
 
-// Barred returns for how long another VM's claim still keeps this VM from claiming a duty, 0
+// BlockedFor returns for how long another VM's claim still keeps this VM from claiming a duty, 0
 // if none does.
-func (s *Service) Barred(duty string) time.Duration { return s.loader.claimBlockedFor(duty) }
+func (s *Service) BlockedFor(duty string) time.Duration { return s.loader.claimBlockedFor(duty) }
 
 // Demand returns the number of samples in a batch by model, for the models where it is known.
 func (s *Service) Demand() map[string]int { return s.modelPartitions.demand() }
--- a/internal/confsync/store.go
+++ b/internal/confsync/store.go
@@ -52,9 +52,9 @@
 	return s.changed
 }
 
-// Offer replaces the state by a peer's state if that is newer, and reports whether it
+// UpdateIfNewer replaces the state by a peer's state if that is newer, and reports whether it
 // did.
-func (s *Store) Offer(state *config.State) bool {
+func (s *Store) UpdateIfNewer(state *config.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.reader.UpdateIfNewer(state) {
--- a/internal/crashes/crashes_test.go
+++ b/internal/crashes/crashes_test.go
@@ -85,7 +85,7 @@
 		c := newCluster()
 		defer c.cancel()
 		for i := range 3 {
-			c.daemon(fmt.Sprint("vm", i)).Crashed(c.ctx, 7, fmt.Sprint("u", i))
+			c.daemon(fmt.Sprint("vm", i)).RecordCrash(c.ctx, 7, fmt.Sprint("u", i))
 		}
 		late := c.daemon("late")
 		time.Sleep(time.Second)
@@ -103,7 +103,7 @@
 		defer c.cancel()
 		first := c.daemon("first")
 		for i := range 3 {
-			first.Crashed(c.ctx, 7, fmt.Sprint("u", i))
+			first.RecordCrash(c.ctx, 7, fmt.Sprint("u", i))
 		}
 		time.Sleep(time.Second)
 		g.Expect(first.Blocked(7)).To(BeTrue())
@@ -124,11 +124,11 @@
 		first, second := c.daemon("first"), c.daemon("second")
 		time.Sleep(time.Second)
 		for i := range 3 {
-			first.Crashed(c.ctx, 7, fmt.Sprint("u", i))
+			first.RecordCrash(c.ctx, 7, fmt.Sprint("u", i))
 		}
 		time.Sleep(6 * time.Second)
 		g.Expect(second.Blocked(7)).To(BeTrue())
-		second.Succeeded(c.ctx, 7)
+		second.RecordSuccess(c.ctx, 7)
 		time.Sleep(6 * time.Second)
 		g.Expect(first.Blocked(7)).To(BeFalse())
 		g.Expect(second.Blocked(7)).To(BeFalse())
@@ -141,7 +141,7 @@
 		g := NewWithT(t)
 		c := newCluster()
 		defer c.cancel()
-		c.daemon("first").Crashed(c.ctx, 7, "u")
+		c.daemon("first").RecordCrash(c.ctx, 7, "u")
 		client := metastore.NewClient(c.store, time.Second)
 		kept := func() []store.Entry {
 			snapshot, err := client.Newest(c.ctx, topic, 0, "")
--- a/internal/crashes/service.go
+++ b/internal/crashes/service.go
@@ -68,9 +68,9 @@
 	crashWriteFailures = metrics.Counter("crash_records_failed")
 )
 
-// Crashed records that an incarnation of an upstream crashed while it ran a request, and
+// RecordCrash records that an incarnation of an upstream crashed while it ran a request, and
 // tells the other daemons.
-func (s *Tracker) Crashed(ctx context.Context, request poison.Fingerprint, incarnation string) {
+func (s *Tracker) RecordCrash(ctx context.Context, request poison.Fingerprint, incarnation string) {
 	c := crash{request, incarnation}
 	s.mu.Lock()
 	s.table.add(c, s.now())
@@ -86,9 +86,9 @@
 	s.write(ctx, c, data)
 }
 
-// Succeeded deletes the crashes of a request: one that crashes its upstreams never
+// RecordSuccess deletes the crashes of a request: one that crashes its upstreams never
 // succeeds. It doesn't wait for the store.
-func (s *Tracker) Succeeded(ctx context.Context, request poison.Fingerprint) {
+func (s *Tracker) RecordSuccess(ctx context.Context, request poison.Fingerprint) {
 	s.mu.Lock()
 	crashes := s.table.crashesOf(request)
 	for _, c := range crashes {
--- a/internal/duties/caller.go
+++ b/internal/duties/caller.go
@@ -48,7 +48,7 @@
 // daemon's claim ends at the same time for all candidates. Rank 0 retries first: if a standby
 // claimed the duty first, its claim would block the holder in turn.
 func (c *fencedCaller) waitToRetry(ctx context.Context, duty string, rank int) {
-	wait := c.options.Claims.Barred(duty)
+	wait := c.options.Claims.BlockedFor(duty)
 	if wait > 0 {
 		wait += time.Duration(rank) * rankDelay
 	}
--- a/internal/duties/counts.go
+++ b/internal/duties/counts.go
@@ -62,9 +62,9 @@
 	return c
 }
 
-// Began counts a request of a customer. ago is the time since the request started to run. It
+// RecordRun counts a request of a customer. ago is the time since the request started to run. It
 // doesn't block.
-func (c *UsageRecorder) Began(customer string, ago time.Duration) {
+func (c *UsageRecorder) RecordRun(customer string, ago time.Duration) {
 	if c.counter == nil {
 		return
 	}
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -68,8 +68,8 @@
 type Claims interface {
 	// Claim claims a duty for this VM. After an error no call may be made.
 	Claim(ctx context.Context, duty string) (loads.Permit, error)
-	// Barred returns how long another VM's claim still blocks this VM, 0 if none does.
-	Barred(duty string) time.Duration
+	// BlockedFor returns how long another VM's claim still blocks this VM, 0 if none does.
+	BlockedFor(duty string) time.Duration
 }
 
 // RankFunc returns a daemon's rank. Rank 0 performs the duties, higher ranks are standbys. ok is
--- a/internal/duties/world_test.go
+++ b/internal/duties/world_test.go
@@ -239,7 +239,7 @@
 			continue // the load balancer sends no calls to a daemon that is down
 		}
 		customer, at := fmt.Sprint("c", random.IntN(5)), time.Now()
-		counts.Began(customer, 0)
+		counts.RecordRun(customer, 0)
 		c.mu.Lock()
 		k := timing.Windows.IndexAt(at)
 		if c.truth[k] == nil {
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -15,11 +15,11 @@
 	// Blocked reports whether a request has crashed so many upstreams that it must not be
 	// sent.
 	Blocked(request poison.Fingerprint) bool
-	// Crashed records that an upstream, named by its incarnation, crashed while it ran a
+	// RecordCrash records that an upstream, named by its incarnation, crashed while it ran a
 	// request.
-	Crashed(ctx context.Context, request poison.Fingerprint, upstream string)
-	// Succeeded drops all crashes recorded for a request.
-	Succeeded(ctx context.Context, request poison.Fingerprint)
+	RecordCrash(ctx context.Context, request poison.Fingerprint, upstream string)
+	// RecordSuccess drops all crashes recorded for a request.
+	RecordSuccess(ctx context.Context, request poison.Fingerprint)
 }
 
 const (
@@ -66,7 +66,7 @@
 		if call.succeeded.Load() || g.upstreams.Reachable(ctx, u) {
 			return
 		}
-		g.crashes.Crashed(ctx, call.requestFingerprint, u.Incarnation())
+		g.crashes.RecordCrash(ctx, call.requestFingerprint, u.Incarnation())
 	})
 }
 
@@ -76,5 +76,5 @@
 	if response.NotRun || call.succeeded.Swap(true) {
 		return
 	}
-	g.crashes.Succeeded(context.WithoutCancel(ctx), call.requestFingerprint)
+	g.crashes.RecordSuccess(context.WithoutCancel(ctx), call.requestFingerprint)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -83,8 +83,8 @@
 
 // UsageRecorder counts the requests of customers that upstreams began to run.
 type UsageRecorder interface {
-	// Began counts one request of a customer that began to run the given time ago.
-	Began(customer string, ago time.Duration)
+	// RecordRun counts one request of a customer that began to run the given time ago.
+	RecordRun(customer string, ago time.Duration)
 }
 
 // Options configures a Gateway.
@@ -283,7 +283,7 @@
 // countRun counts a run of a customer's request that began at startedAt.
 func (g *Gateway) countRun(call *Call, startedAt time.Time) {
 	if g.usage != nil && call.Customer != "" {
-		g.usage.Began(call.Customer, time.Since(startedAt))
+		g.usage.RecordRun(call.Customer, time.Since(startedAt))
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -54,9 +54,9 @@
 // noCrashes is a CrashTracker that never blocks a request.
 type noCrashes struct{}
 
-func (noCrashes) Blocked(poison.Fingerprint) bool                     { return false }
-func (noCrashes) Crashed(context.Context, poison.Fingerprint, string) {}
-func (noCrashes) Succeeded(context.Context, poison.Fingerprint)       {}
+func (noCrashes) Blocked(poison.Fingerprint) bool                         { return false }
+func (noCrashes) RecordCrash(context.Context, poison.Fingerprint, string) {}
+func (noCrashes) RecordSuccess(context.Context, poison.Fingerprint)       {}
 
 // Open fails: the tests with fakeUpstreams use no streams.
 func (f *fakeUpstreams) Open(context.Context, registry.Upstream, *Call, Resume) (*Stream, error) {
--- a/internal/gateway/usage_test.go
+++ b/internal/gateway/usage_test.go
@@ -19,7 +19,7 @@
 	starts []time.Time
 }
 
-func (r *runCounter) Began(_ string, ago time.Duration) {
+func (r *runCounter) RecordRun(_ string, ago time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts = append(r.starts, time.Now().Add(-ago))
--- a/internal/peer/fakes_test.go
+++ b/internal/peer/fakes_test.go
@@ -95,7 +95,7 @@
 
 func (f *fakeConfig) Current() *config.State   { return f.state.Load() }
 func (f *fakeConfig) Changed() <-chan struct{} { return nil }
-func (f *fakeConfig) Offer(s *config.State) bool {
+func (f *fakeConfig) UpdateIfNewer(s *config.State) bool {
 	if s.AppliedOffset() <= f.Current().AppliedOffset() {
 		return false
 	}
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -90,7 +90,7 @@
 		return fmt.Errorf("peer: configuration of %s: %w", vm, err)
 	}
 	configFetches.Add(1)
-	if s.options.Config.Offer(state) {
+	if s.options.Config.UpdateIfNewer(state) {
 		s.options.Log.Info().Str("vm", string(vm)).Int64("through", int64(state.AppliedOffset())).
 			Msg("configuration taken from a peer")
 	}
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -36,7 +36,7 @@
 // ConfigPort is confsync.Store.
 type ConfigPort interface {
 	Current() *config.State
-	Offer(*config.State) bool
+	UpdateIfNewer(*config.State) bool
 	Changed() <-chan struct{}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -43,9 +43,9 @@
 	// HoldLowPriority does the same, but reading is throttled until the topics are read to their
 	// ends, unless somebody else needs them soon.
 	HoldLowPriority() (release func())
-	// Whole reports whether the topics have been read to their ends since they are followed.
+	// Loaded reports whether the topics have been read to their ends since they are followed.
 	// The fleet's view comes from them then.
-	Whole() bool
+	Loaded() bool
 	// Snapshot returns the data to publish, false while the topics aren't read to their ends or
 	// the store doesn't answer.
 	Snapshot() (Snapshot, bool)
@@ -232,7 +232,7 @@
 
 // Ready reports whether the configuration and the upstreams are known.
 func (s *Service) Ready() bool {
-	return s.options.DirectReader.Whole() || s.relayed() && s.ownShard.follower.Loaded()
+	return s.options.DirectReader.Loaded() || s.relayed() && s.ownShard.follower.Loaded()
 }
 
 // Lag returns the lag of the shard's view, 0 while this daemon doesn't use it.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -70,10 +70,10 @@
 	return func() { a(); b() }
 }
 
-func (t *directTopics) Whole() bool { return t.operator.Loaded() && t.servers.Loaded() }
+func (t *directTopics) Loaded() bool { return t.operator.Loaded() && t.servers.Loaded() }
 
 func (t *directTopics) Snapshot() (Snapshot, bool) {
-	if !t.Whole() || !t.operator.InContact() || !t.servers.InContact() {
+	if !t.Loaded() || !t.operator.InContact() || !t.servers.InContact() {
 		return Snapshot{}, false
 	}
 	t.mu.Lock()
@@ -476,7 +476,7 @@
 		time.Sleep(40 * time.Second)
 		for _, n := range f.nodes {
 			g.Expect(n.service.relayed()).To(BeFalse())
-			g.Expect(n.topics.Whole()).To(BeTrue())
+			g.Expect(n.topics.Loaded()).To(BeTrue())
 		}
 		g.Expect(f.store.BytesRead(topic)).To(BeNumerically("<", 40_000), "nothing is published")
 	})
--- a/internal/relay/subscriber.go
+++ b/internal/relay/subscriber.go
@@ -45,7 +45,7 @@
 
 // active reports whether the fleet's view comes from the shard. A shard without a watermark
 // isn't published and holds no upstreams.
-func (s *subscriber) active() bool { return s.shard.published() && !s.options.DirectReader.Whole() }
+func (s *subscriber) active() bool { return s.shard.published() && !s.options.DirectReader.Loaded() }
 
 // applyRecord applies one record; one without a value deletes its key.
 func (s *subscriber) applyRecord(key string, value []byte) {
