--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -26,7 +26,7 @@
 //
 // An engine's time per token grows linearly with its load but is not proportional
 // to it, so an empty slow engine costs more than a fast one with some load. The
-// product of locality and slowdown is the L x V product of PAL (see speed.go).
+// product of locality and slowdown is the L x V product of PAL (see slowdown.go).
 //
 // # Alternatives considered
 //
