--- a/internal/batchpeer/encode.go
+++ b/internal/batchpeer/encode.go
@@ -8,7 +8,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/peer/peerpb"
 )
 
-// outcomeOf encodes an error of batchrun.Here. Any error that does not exclude that the call
+// outcomeOf encodes an error of batchrun.LocalHandler. Any error that does not exclude that the call
 // takes effect later is OUTCOME_UNKNOWN.
 func outcomeOf(err error) peerpb.Outcome {
 	switch {
--- a/internal/batchpeer/server.go
+++ b/internal/batchpeer/server.go
@@ -32,7 +32,7 @@
 	idleConnTimeout = 3 * idleTimeout
 )
 
-// Handler handles calls on the batches that are held locally. batchrun.Here implements it.
+// Handler handles calls on the batches that are held locally. batchrun.LocalHandler implements it.
 type Handler interface {
 	// Locate reports whether the batch with this ID is held here. With confirm, partitions
 	// where it was not found catch up with the log first.
--- a/internal/confsync/restore.go
+++ b/internal/confsync/restore.go
@@ -22,7 +22,7 @@
 // Restore replaces the whole configuration by a tree; see config.Restore. It first
 // appends a snapshot request to the log and waits for the snapshot of a daemon that
 // still has the configuration. The verdict is a rejection if another record was
-// appended first. Error: *PublishError, which wraps ErrNotBehind if no records are
+// appended first. Error: *PublishError, which wraps ErrNothingToRestore if no records are
 // missing or a snapshot or a peer's state has replaced them.
 //
 // Repeating a restore is safe: after one has taken effect, further ones are rejected.
--- a/internal/customers/customers_test.go
+++ b/internal/customers/customers_test.go
@@ -119,7 +119,7 @@
 }
 
 // The list of keys that operators see must distinguish the keys without containing one.
-func TestInForceShowsOnlyHashes(t *testing.T) {
+func TestActiveKeysShowOnlyHashes(t *testing.T) {
 	g := NewWithT(t)
 	shown := directory(t, entry("b", "secret-3"), entry("a", "secret-1", "secret-2")).ActiveKeys()
 	g.Expect(shown).To(HaveLen(3))
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -31,7 +31,7 @@
 // copyPlacement sends all copies of a request to one upstream until one of them has been
 // answered. If a request that kills its upstream arrives at several daemons at the same
 // time, and each places it by its own view of the load, each loses an upstream before any
-// can report it. See poison.Places.
+// can report it. See poison.Placements.
 type copyPlacement struct {
 	mu               sync.Mutex
 	placer           CopyPlacer // nil: this daemon places all copies itself
--- a/internal/dispatch/reservedemand.go
+++ b/internal/dispatch/reservedemand.go
@@ -3,7 +3,7 @@
 import "github.com/dogwoodflow/dogwoodflow/internal/routing"
 
 // reserveDemand estimates how many sensitive requests of a group are in flight, over all
-// daemons (see routing.Table.SetReserve). Production is extrapolated from this daemon's,
+// daemons (see routing.Table.UpdateReserve). Production is extrapolated from this daemon's,
 // since the platform's load balancer spreads callers evenly over the daemons. Of rollouts
 // only this daemon's own count, those that decide when their step ends.
 type reserveDemand struct {
--- a/internal/dispatch/subset.go
+++ b/internal/dispatch/subset.go
@@ -46,7 +46,7 @@
 // choose returns which upstreams of the group this daemon uses. A small group is used whole.
 // Of a larger one, the daemon uses a subset of the upstreams that are local to its data
 // centre: those in it and those in data centres without daemons, which would otherwise be
-// unused. If there are few of these, routing.Favourites from other data centres are added.
+// unused. If there are few of these, routing.TopRanked from other data centres are added.
 func (f DaemonView) choose(self ident.VM, dataCentre ident.DataCentre, group config.Group) upstreamChoice {
 	if len(group.Upstreams) <= maxWholeGroupSize {
 		return upstreamChoice{upstreams: setOf(slices.Collect(maps.Keys(group.Upstreams)))}
--- a/internal/dispatch/trials.go
+++ b/internal/dispatch/trials.go
@@ -81,7 +81,7 @@
 }
 
 // isUnrelatedDeath reports whether a death tells nothing new of the suspect, see
-// poison.Keeper.Unrelated.
+// poison.Tracker.IsUnrelatedDeath.
 func (d *Dispatcher) isUnrelatedDeath(fp poison.Fingerprint, death poison.Death) bool {
 	d.poisonMu.Lock()
 	defer d.poisonMu.Unlock()
--- a/internal/duties/duties_test.go
+++ b/internal/duties/duties_test.go
@@ -13,7 +13,7 @@
 	"github.com/dogwoodflow/dogwoodflow/internal/standin/metastore"
 )
 
-func TestByPartition(t *testing.T) {
+func TestRankByPartition(t *testing.T) {
 	for _, c := range []struct {
 		owned []int
 		rank  int
--- a/internal/keyed/logloops.go
+++ b/internal/keyed/logloops.go
@@ -153,7 +153,7 @@
 	s.fold.Trim(page.First)
 }
 
-// applyPage applies the records of a page. Trim must come first, see claims.Fold.Apply.
+// applyPage applies the records of a page. Trim must come first, see claims.Table.Apply.
 func (s *Service) applyPage(page infra.Page) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/peer/copies.go
+++ b/internal/peer/copies.go
@@ -46,7 +46,7 @@
 	PlaceHere(c poison.Copy) ident.Upstream
 }
 
-// PlaceCopy implements dispatch.Placer: the daemon that owns a fingerprint places all
+// PlaceCopy implements dispatch.CopyPlacer: the daemon that owns a fingerprint places all
 // copies of the request. While views of the fleet differ there may be two such daemons.
 func (s *Service) PlaceCopy(ctx context.Context, c poison.Copy) (ident.Upstream, error) {
 	vm, self := s.Owner(c.Fingerprint.String())
--- a/internal/rollouts/api.go
+++ b/internal/rollouts/api.go
@@ -49,7 +49,7 @@
 // PullRequest is the body of POST /v1/jobs/{job}/steps/{step}/pull. A trainer has at
 // most one pull outstanding for a step.
 type PullRequest struct {
-	// Have is the cursor: the groups that the trainer holds, as encoded by EncodeHave.
+	// Have is the cursor: the groups that the trainer holds, as encoded by EncodeCursor.
 	Have string `json:"have"`
 	// TrainerVersion is the newest version that the trainer knows.
 	TrainerVersion ident.Version `json:"trainer_version"`
--- a/internal/rollouts/interfaces.go
+++ b/internal/rollouts/interfaces.go
@@ -31,7 +31,7 @@
 }
 
 // Generator runs attempts. It calls began, if not nil, at most once, with the version
-// of the first token. Its errors are *WorkError; any other error counts as transient.
+// of the first token. Its errors are *AttemptError; any other error counts as transient.
 type Generator interface {
 	Generate(ctx context.Context, r GenerateRequest, began func(ident.Version)) (Generated, error)
 }
@@ -46,7 +46,7 @@
 	Deadline   time.Time
 }
 
-// Scorer scores completions. Its errors are *WorkError; any other error counts as
+// Scorer scores completions. Its errors are *AttemptError; any other error counts as
 // transient.
 type Scorer interface {
 	Score(ctx context.Context, r ScoreRequest) (float64, error)
--- a/internal/rollouts/manager_test.go
+++ b/internal/rollouts/manager_test.go
@@ -499,7 +499,7 @@
 	})
 }
 
-func FuzzDecodeHave(f *testing.F) {
+func FuzzDecodeCursor(f *testing.F) {
 	valid, _ := EncodeCursor(roaring.BitmapOf(1, 2, 3, 70000))
 	f.Add(valid)
 	f.Add("OzAAAAEAAAEAAQAAAA==")
--- a/internal/routing/policy_test.go
+++ b/internal/routing/policy_test.go
@@ -196,7 +196,7 @@
 	bulk := routing.Request{Class: routing.ClassRollout, Prefix: 5, ExpectedTokens: 100}
 	long := routing.Request{Class: routing.ClassRollout, ExpectedTokens: 1000}
 
-	// afterBulk applies a burst of bulk requests, whose peak SetReserve records.
+	// afterBulk applies a burst of bulk requests, whose peak UpdateReserve records.
 	afterBulk := func(t *routing.Table) *routing.Table {
 		t.AdvanceClock(start)
 		for i := range t.Len() {
