--- a/internal/claims/batcher.go
+++ b/internal/claims/batcher.go
@@ -10,9 +10,9 @@
 
 // The results of an append.
 const (
-	Appended    AppendResult = iota // the records are in the log
-	NotAppended                     // the records are certainly not in the log
-	AppendUnknown                            // no answer: the records may be in the log, or still get there
+	Appended      AppendResult = iota // the records are in the log
+	NotAppended                       // the records are certainly not in the log
+	AppendUnknown                     // no answer: the records may be in the log, or still get there
 )
 
 // ErrFull is returned when the queue of claims is full.
@@ -20,11 +20,11 @@
 
 // BatcherOptions are the limits of a Batcher. All fields are required.
 type BatcherOptions struct {
-	BatchDelay     time.Duration // how long the first queued record waits for others to share its batch
-	AppendsPerSecond     float64       // appends per second, of all daemons together
-	Burst      time.Duration // an idle daemon may save up its share of the appends for this long
-	MaxClaims  int           // most claims queued
-	MaxOutcomes int           // most releases and done records queued
+	BatchDelay       time.Duration // how long the first queued record waits for others to share its batch
+	AppendsPerSecond float64       // appends per second, of all daemons together
+	Burst            time.Duration // an idle daemon may save up its share of the appends for this long
+	MaxClaims        int           // most claims queued
+	MaxOutcomes      int           // most releases and done records queued
 }
 
 // Batcher queues records, decides when a batch of them is appended, and handles the
@@ -211,7 +211,9 @@
 }
 
 // tokenRate returns this daemon's share of the append rate, in appends per second.
-func (b *Batcher) tokenRate(daemons int) float64 { return b.opts.AppendsPerSecond / float64(max(daemons, 1)) }
+func (b *Batcher) tokenRate(daemons int) float64 {
+	return b.opts.AppendsPerSecond / float64(max(daemons, 1))
+}
 
 func (b *Batcher) refillTokens(now time.Time, daemons int) {
 	b.tokens += now.Sub(b.refilledAt).Seconds() * b.tokenRate(daemons)
--- a/internal/loads/plan.go
+++ b/internal/loads/plan.go
@@ -25,9 +25,9 @@
 	// MinVersion is the oldest version that all waiting samples may use, 0 if none wait.
 	MinVersion int64
 	// NextMinVersion is the oldest version that the next step is expected to use, 0 if unknown.
-	NextMinVersion    int64
-	Waiting int  // samples that no engine runs yet
-	Active  bool // a batch of the model is open
+	NextMinVersion int64
+	Waiting        int  // samples that no engine runs yet
+	Active         bool // a batch of the model is open
 	// Retain reports whether samples keep running while their engine loads, and continue with
 	// the new version after that. The engine takes no new samples during the load.
 	Retain bool
@@ -35,7 +35,7 @@
 
 // Plan lists the engines to act on now, by ID.
 type Plan struct {
-	Load   []string // engines to order to load the newest version
+	Load  []string // engines to order to load the newest version
 	Evict []string // engines whose samples are to continue on others, so that they can load
 }
 
